--- a/src/leadership/ask-endpoints.ts
+++ b/src/leadership/ask-endpoints.ts
@@ -8,25 +8,25 @@
 import type {LeadershipRecord} from './leadership-record.js';
 import type {ReplacePrimaryParts} from './replace-parts.js';
 
-/** Longest question to an endpoint, in milliseconds: a status waits for a slot behind statements of 60 ms at most. */
+/** Timeout of a request to an endpoint, in milliseconds: a status request waits for a slot behind statements of 60 ms at most. */
 const STATUS_TIMEOUT_MS = 500;
 
-/** A primary that is being replaced for its silence may answer so much later than the others, in milliseconds. */
-const SILENT_EXTRA_MS = 30;
+/** Extra time for the response of a primary that is being replaced because it is silent, after those of the others, in milliseconds. */
+const SILENT_GRACE_MS = 30;
 
-/** Longest wait for a successor to hold all of a primary that still serves, in milliseconds. */
-const CATCH_UP_MS = 1500;
+/** Timeout of the wait for a successor to hold the whole log of a primary that still serves, in milliseconds. */
+const CATCH_UP_TIMEOUT_MS = 1500;
 
-/** Pause before endpoints that have to catch up are asked again, in milliseconds. */
+/** Interval at which endpoints that have to catch up are asked again, in milliseconds. */
 const CATCH_UP_POLL_MS = 40;
 
-/** An endpoint is let go at least so often, with a pause in milliseconds between: one that is cut off for 5 s is still reached. */
-const UNFENCE_TRIES = 8;
+/** Attempts to lift an endpoint's fence and the pause between them, in milliseconds: an endpoint that is cut off for 5 s is still reached. */
+const UNFENCE_ATTEMPTS = 8;
 const UNFENCE_PAUSE_MS = 700;
 
 /**
- * Asks every endpoint of a group; those that do not answer are left out. A primary that is being replaced for its silence would hold up
- * the others for the whole timeout, which callers wait for: it gets little longer than they took.
+ * Sends a command to every endpoint of a group and returns those that responded. A primary that is being replaced because it is silent would
+ * delay the result by the whole timeout while callers wait, so it gets only slightly longer than the others took.
  */
 export async function gatherCandidates(parts: ReplacePrimaryParts, group: string, command: EndpointCommand, silentId?: string): Promise<readonly SuccessorCandidate[]> {
 	const ask = async (endpoint: KnownEndpoint): Promise<SuccessorCandidate | undefined> => {
@@ -38,11 +38,11 @@
 	const silent = endpoints.find(({entry}) => entry.id === silentId);
 	const askedSilent = silent && ask(silent);
 	const answers = await Promise.all(endpoints.filter(endpoint => endpoint !== silent).map(async endpoint => ask(endpoint)));
-	const late = askedSilent && await withinMs(parts.clock, SILENT_EXTRA_MS, askedSilent);
+	const late = askedSilent && await withinMs(parts.clock, SILENT_GRACE_MS, askedSilent);
 	return [...answers, late?.timedOut === false ? late.value : undefined].filter(candidate => candidate !== undefined);
 }
 
-/** Asks one endpoint; undefined where no status came in time. */
+/** Sends a command to one endpoint; resolves to undefined if no status arrives in time. */
 export async function askStatus({clock}: Pick<ReplacePrimaryParts, 'clock'>, {pool}: KnownEndpoint, command: EndpointCommand): Promise<EndpointStatus | undefined> {
 	try {
 		const bounded = await withinMs(clock, STATUS_TIMEOUT_MS, pool.ask(command, STATUS_TIMEOUT_MS));
@@ -56,9 +56,9 @@
 	}
 }
 
-/** Waits until an endpoint other than the primary holds all of its log, which no longer grows; at most for a bounded time. */
+/** Waits until an endpoint other than the primary holds the primary's whole log, which no longer grows; at most for {@link CATCH_UP_TIMEOUT_MS}. */
 export async function waitForCatchUp(parts: ReplacePrimaryParts, before: LeadershipRecord): Promise<void> {
-	const until = parts.clock.now() + CATCH_UP_MS;
+	const until = parts.clock.now() + CATCH_UP_TIMEOUT_MS;
 	for (;;) {
 		const all = await gatherCandidates(parts, before.group, {kind: 'status'});
 		const primary = all.find(({endpointId}) => endpointId === before.primaryId);
@@ -73,11 +73,11 @@
 }
 
 /**
- * Leaves out candidates whose fence is gone.
+ * Returns the candidates that are still fenced, or that are primary.
  *
- * Guards against a host that was not reached and holds evidence from the endpoints themselves, none of which had shown it a
- * fence: an endpoint that restarted after it was fenced shows none again, so what that host saw there may be younger than
- * the time that was waited for. Such an endpoint is no candidate in this replacement.
+ * A host that was not reached may hold a lease that it renewed because no endpoint reported a fence to it. An endpoint that restarted after it was
+ * fenced reports none again, so that renewal may be more recent than the lease duration that was waited. Such an endpoint is no candidate in this
+ * replacement.
  */
 export async function keepFenced(parts: ReplacePrimaryParts, candidates: readonly SuccessorCandidate[], before: LeadershipRecord): Promise<readonly SuccessorCandidate[]> {
 	const now = await gatherCandidates(parts, before.group, {kind: 'status'});
@@ -85,7 +85,7 @@
 		|| now.some(other => other.endpointId === endpointId && other.status.fencedTerm > before.term));
 }
 
-/** Lets all endpoints of a group receive again but the one that leads; nothing waits for it. */
+/** Lifts the fences of all endpoints of a group except the primary, so that they receive again; returns without waiting. */
 export function liftFences(parts: Pick<ReplacePrimaryParts, 'clock' | 'directory'>, group: string, leadingId: string) {
 	for (const endpoint of parts.directory.list(group)) {
 		if (endpoint.entry.id !== leadingId) {
@@ -94,8 +94,8 @@
 	}
 }
 
-/** Lets the other replicas receive again and makes the former primary one; nothing waits for it. */
-export function cleanUp(parts: ReplacePrimaryParts, leading: SuccessorCandidate, before: LeadershipRecord) {
+/** Lifts the fences of the other replicas and makes the former primary a replica; returns without waiting. */
+export function restoreReplicas(parts: ReplacePrimaryParts, leading: SuccessorCandidate, before: LeadershipRecord) {
 	liftFences(parts, before.group, leading.endpointId);
 	const former = parts.directory.get(before.primaryId);
 	if (former && before.primaryId !== leading.endpointId) {
@@ -103,9 +103,9 @@
 	}
 }
 
-/** An endpoint left fenced would receive nothing for ever, so it is asked again where no answer came. */
+/** Lifts an endpoint's fence. An endpoint left fenced would never receive again, so the request is repeated if no response arrives. */
 async function unfence(parts: Pick<ReplacePrimaryParts, 'clock'>, endpoint: KnownEndpoint) {
-	for (let i = 0; i < UNFENCE_TRIES; i++) {
+	for (let i = 0; i < UNFENCE_ATTEMPTS; i++) {
 		if (await askStatus(parts, endpoint, {kind: 'unfence'})) {
 			return;
 		}
--- a/src/leadership/cut-offs.ts
+++ b/src/leadership/cut-offs.ts
@@ -1,14 +1,14 @@
 /** Groups whose primary this host cannot reach while other hosts can. */
 export type CutOffs = {
-	/** Notes at the steady time `now` that it is so. */
+	/** Records that the group's primary is cut off from this host at the monotonic time `now`. */
 	note(group: string, now: number): void;
-	/** Notes that the primary was heard again. */
+	/** Records that the primary has responded again. */
 	clear(group: string): void;
-	/** Whether work for the primary is hopeless here at `now`, and would be served at another host. */
+	/** Whether work for the primary cannot be served here at `now`, but could be at another host. */
 	isCutOff(group: string, now: number): boolean;
 };
 
-/** How long a finding holds, in milliseconds: the hosts are asked again about twice in that time while the primary stays silent. */
+/** How long a record is valid, in milliseconds: the hosts are asked about twice in that time while the primary stays silent. */
 const HOLDS_MS = 1000;
 
 /** Creates an empty set. */
--- a/src/leadership/duty-lease.ts
+++ b/src/leadership/duty-lease.ts
@@ -6,17 +6,17 @@
 import type {ElapsedClock} from '../time/elapsed-clock.js';
 import {DUTY_NAME, type DutyRecord} from './leadership-record.js';
 
-/** The duty to have primaries replaced, which one host at a time holds. */
+/** The failover lease: the right to replace primaries, which one host at a time holds. */
 export type DutyLease = {
-	/** Takes or renews the duty; false where another host holds it or the store does not say. */
+	/** Acquires or renews the lease; resolves to false if another host holds it or the store does not respond. */
 	take(): Promise<boolean>;
-	/** The fencing token for an order that may be under way for `ms`; undefined where the duty may end before. */
+	/** Returns the fencing token for an order that may take `ms` milliseconds; undefined if the lease may end earlier. */
 	getToken(ms: number): number | undefined;
-	/** The host that holds it, as far as this one can tell; undefined where nobody does. */
+	/** Returns the other host that holds the lease, as far as this one can tell; undefined if there is none. */
 	getOtherHolder(): string | undefined;
 };
 
-/** What the lease needs. */
+/** What {@link createDutyLease} needs. */
 export type DutyLeaseOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
@@ -27,12 +27,12 @@
 };
 
 /**
- * How long the duty lasts after each taking, in milliseconds of elapsed time. A replacement takes 1 to 2 s, and after the
- * death of its holder the next one waits this long.
+ * Duration of the failover lease after each acquisition or renewal, in milliseconds of elapsed time. A replacement takes 1 to 2 s, and after the
+ * holder's death the next holder waits this long.
  */
 export const DUTY_LEASE_MS = 3000;
 
-/** Others wait this much longer, in milliseconds: clocks differ in rate. */
+/** Other hosts wait this much longer than the lease, in milliseconds, since clocks differ in rate. */
 const MARGIN_MS = 200;
 
 const STORE_TIMEOUT_MS = 900;
@@ -43,15 +43,15 @@
 	let seenVersion = -1;
 	let seenSince = 0;
 	let generation = 0;
-	/** Since when this host has seen the store in its generation; undefined where it never came back from a copy. */
-	let returnSeenAt: number | undefined;
+	/** Elapsed time at which this host first saw the present store generation; undefined while it has seen only the first. */
+	let restoreSeenAt: number | undefined;
 	let held: {readonly token: number; readonly until: number} | undefined;
 
 	const observe = () => {
 		const current = getGeneration(mirror.state.revision);
 		if (current !== generation) {
 			generation = current;
-			returnSeenAt = elapsedClock.elapsed();
+			restoreSeenAt = elapsedClock.elapsed();
 		}
 
 		const version = mirror.state.duty?.version ?? 0;
@@ -63,60 +63,60 @@
 
 	mirror.onChange(observe);
 
-	const isMine = (duty: DutyRecord | undefined) => duty?.holder === hostName && duty.incarnation === incarnation;
+	const isOwnRecord = (record: DutyRecord | undefined) => record?.holder === hostName && record.incarnation === incarnation;
 
 	const isHeld = (now: number) => held !== undefined && now < held.until;
 
 	/**
-	 * Guards against two holders at once: a store that came back from a copy may have lost the record of one whose duty lasts, and show none, another's or this host's own
-	 * of before. The holder itself may renew.
+	 * Prevents two holders at once: a store restored from a backup may have lost the record of a holder whose lease is still running, and contain no
+	 * record, that of another host or an earlier one of this host. The holder itself may renew.
 	 */
-	const isJustBack = (now: number) => returnSeenAt !== undefined && now - returnSeenAt < DUTY_LEASE_MS + MARGIN_MS;
+	const isRecentlyRestored = (now: number) => restoreSeenAt !== undefined && now - restoreSeenAt < DUTY_LEASE_MS + MARGIN_MS;
 
 	/**
-	 * Guards against two holders at once: the record of another is replaced only after this host has seen it unchanged
+	 * Prevents two holders at once: this host replaces the record of another holder only after it has seen the record unchanged
 	 * for the whole lease. The holder counts its lease from before the update that this host saw.
 	 */
 	const isFree = (now: number) => {
-		const {duty} = mirror.state;
-		if (isJustBack(now)) {
-			return isHeld(now) && (isMine(duty) || getGeneration(duty?.token ?? 0) < generation);
+		const {duty: record} = mirror.state;
+		if (isRecentlyRestored(now)) {
+			return isHeld(now) && (isOwnRecord(record) || getGeneration(record?.token ?? 0) < generation);
 		}
 
-		return !duty || isMine(duty) || now - seenSince >= DUTY_LEASE_MS + MARGIN_MS;
+		return !record || isOwnRecord(record) || now - seenSince >= DUTY_LEASE_MS + MARGIN_MS;
 	};
 
 	const getNext = (now: number): DutyRecord => {
-		const {duty} = mirror.state;
-		const renews = isHeld(now) && (isMine(duty) || isJustBack(now));
+		const {duty: record} = mirror.state;
+		const renews = isHeld(now) && (isOwnRecord(record) || isRecentlyRestored(now));
 		return {
 			holder: hostName,
 			incarnation,
-			token: renews ? held!.token : getNextInGeneration(generation, duty?.token ?? 0),
-			renewals: renews ? (duty?.renewals ?? 0) + 1 : 0,
+			token: renews ? held!.token : getNextInGeneration(generation, record?.token ?? 0),
+			renewals: renews ? (record?.renewals ?? 0) + 1 : 0,
 		};
 	};
 
 	const put = async (now: number) => {
-		const takenIn = generation;
+		const acquiredIn = generation;
 		const next = getNext(now);
 		const version = mirror.state.duty?.version ?? 0;
 		try {
 			const stored = await store.putRecord(RecordKind.Leadership, {name: DUTY_NAME, version, value: next}, STORE_TIMEOUT_MS);
-			if (getGeneration(stored.version) !== takenIn) {
-				log.info('the duty was not taken: the store came back from a copy meanwhile', {fence: next.token});
+			if (getGeneration(stored.version) !== acquiredIn) {
+				log.info('the failover lease was not acquired: the store was restored from a backup meanwhile', {fence: next.token});
 				return false;
 			}
 
 			held = {token: next.token, until: now + DUTY_LEASE_MS};
-			log.info('the duty is held', {fence: next.token, renewals: next.renewals});
+			log.info('the failover lease is held', {fence: next.token, renewals: next.renewals});
 			return true;
 		} catch (err) {
 			if (!(err instanceof PlatformError || err instanceof PlatformConflictError)) {
 				throw err;
 			}
 
-			log.info('the duty was not taken', {fence: next.token, reason: (err as Error).message});
+			log.info('the failover lease was not acquired', {fence: next.token, reason: (err as Error).message});
 			return false;
 		} finally {
 			await mirror.confirm();
@@ -138,8 +138,8 @@
 		},
 		getOtherHolder() {
 			observe();
-			const {duty} = mirror.state;
-			return isFree(elapsedClock.elapsed()) || !duty ? undefined : duty.holder;
+			const {duty: record} = mirror.state;
+			return isFree(elapsedClock.elapsed()) || !record ? undefined : record.holder;
 		},
 	};
 }
--- a/src/leadership/first-record.ts
+++ b/src/leadership/first-record.ts
@@ -7,13 +7,13 @@
 import type {Clock} from '../time/clock.js';
 import {getLeadershipName, LeadPhase, type LeadershipRecord} from './leadership-record.js';
 
-/** Writes the record of a group that has none. */
+/** Writes the first record of a group. */
 export type FirstRecord = {
-	/** Records the endpoint that claims to lead, where just one does. */
+	/** Records the endpoint that claims to be primary, if exactly one does. Rejects with PlatformError, PlatformConflictError or LinkError. */
 	create(group: string): Promise<void>;
 };
 
-/** What this needs. */
+/** What {@link createFirstRecord} needs. */
 export type FirstRecordOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
@@ -23,12 +23,12 @@
 	readonly hostName: string;
 };
 
-/** Each host gives the one before it this long to write a group's first record, in milliseconds: a status, an update and a confirmation. */
-const STEP_MS = 300;
+/** Time that each host gives the host before it to write a group's first record, in milliseconds: a status request, an update and a confirmation. */
+const RANK_DELAY_MS = 300;
 
 const STORE_TIMEOUT_MS = 900;
 
-/** Creates the writer. Hosts go in the order of their names, so that a first record costs one update and not one of each host. */
+/** Creates the writer. Hosts try in the order of their names, so that a first record costs one update and not one per host. */
 export function createFirstRecord({store, mirror, directory, clock, log, hostName}: FirstRecordOptions): FirstRecord {
 	return {
 		async create(group) {
@@ -38,7 +38,7 @@
 				return;
 			}
 
-			await clock.sleep(rank * STEP_MS);
+			await clock.sleep(rank * RANK_DELAY_MS);
 			if (mirror.state.leadership.has(group)) {
 				return;
 			}
@@ -59,7 +59,7 @@
 				group, primaryId: leader.entry.id, term: status.term, epoch: getNextInGeneration(generation, 0), phase: LeadPhase.Steady, start: status.received, changedBy: hostName, generation,
 			};
 			await store.putRecord(RecordKind.Leadership, {name: getLeadershipName(group), version: 0, value: record}, STORE_TIMEOUT_MS);
-			log.info('a group is led for the first time', {group, primary: record.primaryId, term: record.term});
+			log.info('a group has a primary for the first time', {group, primary: record.primaryId, term: record.term});
 			await mirror.confirm();
 		},
 	};
--- a/src/leadership/gone-hosts.ts
+++ b/src/leadership/gone-hosts.ts
@@ -8,20 +8,20 @@
 import type {HostRecord} from './leadership-record.js';
 
 /**
- * Hosts that did not answer when a primary was replaced.
+ * Marks hosts that did not respond as unresponsive, and deletes their records later.
  *
- * Guards against a host that lives, cut off from its peers, and holds evidence of other groups: once it is asked no more, the next replacement
- * could begin while that evidence lasts. So its record stays, marked, for longer than a host goes on without the store, and as long
- * as it stays each replacement waits for the time that evidence lasts. The host registers anew once it reads the store.
+ * Such a host may be running, cut off from its peers, and hold leases of other groups. Once no more requests are sent to it, the next replacement
+ * could promote an endpoint while such a lease is valid. So its record stays, marked, for longer than a host may continue without the store, and
+ * while it is there each replacement waits for the duration of a primary lease. The host registers again once it reads the store.
  */
 export type GoneHosts = {
-	/** Marks a host that did not answer, so that the next replacement does not wait for it. */
-	markGone(host: Versioned<HostRecord>): Promise<void>;
-	/** Deletes the records of hosts that have been marked for long. */
+	/** Marks a host that did not respond, so that the next replacement sends it no request. */
+	mark(host: Versioned<HostRecord>): Promise<void>;
+	/** Deletes the records of hosts that have been marked for longer than {@link RETENTION_MS}. */
 	sweep(): Promise<void>;
 };
 
-/** What the marking needs. */
+/** What {@link createGoneHosts} needs. */
 export type GoneHostsOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
@@ -29,12 +29,12 @@
 	readonly log: Log;
 };
 
-/** A marked record is deleted after so long, in milliseconds: longer than a host goes on without the store, with the time that evidence lasts. */
-const KEEP_MS = LONGEST_WITHOUT_STORE_MS + (2 * EVIDENCE_MS);
+/** A marked record is deleted after this time, in milliseconds: longer than a host may continue without the store plus the duration of a primary lease. */
+const RETENTION_MS = LONGEST_WITHOUT_STORE_MS + (2 * EVIDENCE_MS);
 
 const STORE_TIMEOUT_MS = 900;
 
-/** Creates the marking. */
+/** Creates the marking of unresponsive hosts. */
 export function createGoneHosts({store, mirror, elapsedClock, log: parentLog}: GoneHostsOptions): GoneHosts {
 	const log = parentLog.part('hosts: ');
 	const seenAt = new Map<string, number>();
@@ -64,15 +64,15 @@
 	};
 
 	return {
-		async markGone(host) {
+		async mark(host) {
 			const {version, ...record} = host;
-			await attempt('a host that does not answer was marked', host, async () => store.putRecord(RecordKind.Hosts, {name: host.name, version, value: {...record, gone: true}}, STORE_TIMEOUT_MS));
+			await attempt('an unresponsive host was marked', host, async () => store.putRecord(RecordKind.Hosts, {name: host.name, version, value: {...record, gone: true}}, STORE_TIMEOUT_MS));
 		},
 		async sweep() {
 			const now = elapsedClock.elapsed();
 			for (const host of mirror.state.hosts) {
-				if (host.gone && now - (seenAt.get(host.name) ?? now) > KEEP_MS) {
-					await attempt('the record of a host that is gone was deleted', host, async () => store.deleteRecord(RecordKind.Hosts, host.name, host.version, STORE_TIMEOUT_MS));
+				if (host.gone && now - (seenAt.get(host.name) ?? now) > RETENTION_MS) {
+					await attempt('the record of an unresponsive host was deleted', host, async () => store.deleteRecord(RecordKind.Hosts, host.name, host.version, STORE_TIMEOUT_MS));
 				}
 			}
 		},
--- a/src/leadership/host-census.ts
+++ b/src/leadership/host-census.ts
@@ -8,18 +8,18 @@
 import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
 
 /**
- * Marks hosts that have ended without a word, in calm times.
+ * Marks hosts that have ended without notice, while no primary is being replaced.
  *
- * Guards against a dead host in the list, which would not acknowledge when a primary is replaced, so that every replacement would take longer by
- * the time that evidence lasts. Hosts hear the questions of those below them in the tree and tell upwards whom they do not hear; the host that
- * reads the store for all asks those itself.
+ * A dead host in the list would not acknowledge when a primary is replaced, so that every replacement would take longer by the duration of a primary
+ * lease. Hosts receive the requests of those below them in the host tree and report upwards from whom they receive none; the host that reads the
+ * store for all sends those hosts a request itself.
  */
 export type HostCensus = {
 	start(): Promise<void>;
 	stop(): Promise<void>;
 };
 
-/** What the census needs. */
+/** What {@link createHostCensus} needs. */
 export type HostCensusOptions = {
 	readonly mirror: StoreMirror;
 	readonly peers: Peers;
@@ -29,58 +29,58 @@
 	readonly ownPeerAddress: string;
 };
 
-/** How often it is looked who was heard, in milliseconds. */
-const LOOK_MS = 1000;
+/** Interval of the check, in milliseconds. */
+const POLL_INTERVAL_MS = 1000;
 
-/** A host that asked nothing for so long is asked itself, in milliseconds; each asks once in 700 ms. Most that restart are back before. */
-const QUIET_MS = 3000;
+/** A host that has sent no request for this long is sent one, in milliseconds. Each host sends one per 700 ms, and most restarting hosts are back earlier. */
+const HEARTBEAT_AFTER_MS = 3000;
 
-/** Creates the census. */
-export function createHostCensus({mirror, peers, gone, clock, log: parentLog, ownPeerAddress}: HostCensusOptions): HostCensus {
+/** Creates the check; it does nothing before it is started. */
+export function createHostCensus({mirror, peers, gone: unresponsiveHosts, clock, log: parentLog, ownPeerAddress}: HostCensusOptions): HostCensus {
 	const log = parentLog.part('hosts: ');
 	const stopping = createSleepAlarm();
-	/** Addresses that did not answer at the last look. */
-	let unanswered: ReadonlySet<string> = new Set();
+	/** Addresses that did not respond at the previous check. */
+	let lastUnresponsive: ReadonlySet<string> = new Set();
 
 	peers.handle('host-alive', async () => ({alive: true as const}));
 
-	const look = async () => {
+	const poll = async () => {
 		const now = clock.now();
 		if (!mirror.readsForAll) {
 			return;
 		}
 
-		const unheard = new Set(mirror.getUnheard(QUIET_MS));
-		const quiet = mirror.state.hosts.filter(({peerAddress, gone: isGone}) => !isGone && peerAddress !== ownPeerAddress && unheard.has(peerAddress));
-		const before = unanswered;
-		const silent = new Set<string>();
-		await Promise.all(quiet.map(async host => {
+		const silentAddresses = new Set(mirror.getUnheard(HEARTBEAT_AFTER_MS));
+		const silentHosts = mirror.state.hosts.filter(({peerAddress, gone}) => !gone && peerAddress !== ownPeerAddress && silentAddresses.has(peerAddress));
+		const previouslyUnresponsive = lastUnresponsive;
+		const unresponsive = new Set<string>();
+		await Promise.all(silentHosts.map(async host => {
 			if (!await isHostAlive(peers, host.peerAddress, LEAD_CALL_TIMEOUT_MS)) {
-				silent.add(host.peerAddress);
+				unresponsive.add(host.peerAddress);
 			}
 		}));
-		unanswered = silent;
+		lastUnresponsive = unresponsive;
 		/*
-		 * Guards against the smaller part of a split, or a host that was cut off itself: it would mark those that go on without it, who
-		 * lose their evidence by that and are no longer counted when it asks who reaches a primary. One that was cut off asks over links
-		 * opened in the cut, which take 1 s to fail: so a host is marked that two looks in a row did not find.
+		 * The smaller part of a partitioned fleet, or a host that was cut off itself, must not mark the hosts that continue without it: they would
+		 * lose their leases and no longer count when hosts are asked who reaches a primary. A host that was cut off sends its requests over
+		 * connections opened during the partition, which take 1 s to fail: so a host is marked only if two checks in a row got no response.
 		 */
-		if (silent.size * 2 < mirror.state.hosts.length) {
-			await Promise.all(quiet.filter(({peerAddress}) => silent.has(peerAddress) && before.has(peerAddress)).map(async host => {
+		if (unresponsive.size * 2 < mirror.state.hosts.length) {
+			await Promise.all(silentHosts.filter(({peerAddress}) => unresponsive.has(peerAddress) && previouslyUnresponsive.has(peerAddress)).map(async host => {
 				const heardAt = mirror.getHeardAt(host.peerAddress);
 				log.info('a host is silent', {host: host.name, heardAgoMs: heardAt === undefined ? undefined : Math.round(now - heardAt)});
-				await gone.markGone(host);
+				await unresponsiveHosts.mark(host);
 			}));
 		}
 
-		await gone.sweep();
+		await unresponsiveHosts.sweep();
 	};
 
 	const run = async () => {
 		while (!stopping.aborted) {
-			await clock.sleep(LOOK_MS, stopping);
-			await look().catch((err: unknown) => {
-				log.error('a look at the hosts failed', {err});
+			await clock.sleep(POLL_INTERVAL_MS, stopping);
+			await poll().catch((err: unknown) => {
+				log.error('a check of the hosts failed', {err});
 			});
 		}
 	};
--- a/src/leadership/lead-calls.ts
+++ b/src/leadership/lead-calls.ts
@@ -1,24 +1,24 @@
-/** What a host that replaces a primary asks of the others. */
+/** Requests a host to give up its lease of a group, before its primary is replaced. */
 export type RevokeRequest = {
 	readonly group: string;
-	/** Evidence below this epoch is to be given up. */
+	/** Leases below this epoch are to be given up. */
 	readonly epoch: number;
-	/** Work that is under way may end first, in milliseconds; 0 where the primary is lost anyway. */
+	/** Time that work in progress has to finish first, in milliseconds; 0 if the primary is lost anyway. */
 	readonly settleMs: number;
 };
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		/** Answered once the evidence is given up. */
+		/** Responds once the lease is given up. */
 		'lead-revoke': {req: RevokeRequest; res: {readonly revoked: true}};
-		/** Whether the answering host reaches an endpoint. */
+		/** Returns whether the called host reaches an endpoint. */
 		'lead-opinion': {req: {readonly endpointId: string}; res: {readonly reachable: boolean}};
-		/** Asks the holder of the duty to replace a primary that hosts agreed is lost. */
+		/** Requests the failover coordinator to replace a primary that is lost, leaving or no longer registered. */
 		'lead-replace': {req: {readonly group: string; readonly epoch: number; readonly reason: string}; res: {readonly taken: boolean}};
-		/** Tells that a record was changed; whoever hears it asks the sender for it. */
+		/** Notifies a host that a record was changed; the receiver requests the change from the sender. */
 		'lead-changed': {req: {readonly group: string}; res: {readonly heard: true}};
 	}
 }
 
-/** Longest call between hosts about leadership, in milliseconds: some hundred times the way between two zones. */
+/** Timeout of a call between hosts about leadership, in milliseconds: about a hundred times the latency between two availability zones. */
 export const LEAD_CALL_TIMEOUT_MS = 400;
--- a/src/leadership/lead-evidence.ts
+++ b/src/leadership/lead-evidence.ts
@@ -4,66 +4,65 @@
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {isAffirmed, LeadPhase, type LeadershipRecord} from './leadership-record.js';
 
-/** What a proxy may rely on when it uses a primary. */
+/** The right of this host to use a primary for a limited time. */
 export type LeadEvidence = Pick<LeadershipRecord, 'group' | 'primaryId' | 'term' | 'epoch' | 'start'>;
 
-/** Knows which primaries this host may use at this moment. */
+/** The primary leases that this host holds. */
 export type LeadEvidences = {
-	/** Evidence for new work; undefined where there is none at the elapsed time `now`. */
+	/** Returns the lease under which new work may begin; undefined if none is valid at the elapsed time `now`. */
 	get(group: string, now: number): LeadEvidence | undefined;
-	/** Whether evidence that work began under still holds at the elapsed time `now`, at which its answer is here. */
-	holds(evidence: LeadEvidence, now: number): boolean;
-	/** Whether the primary of the evidence has been replaced for good, so that no later confirmation can help. */
-	isSuperseded(evidence: LeadEvidence): boolean;
-	/** Notes that no endpoint of the group that could be promoted showed a fence, as asked at the elapsed time `askedAt`. */
+	/** Whether the lease under which work began is still valid at the elapsed time `now`, at which the response has arrived. */
+	holds(lease: LeadEvidence, now: number): boolean;
+	/** Whether the lease was revoked or a later epoch is known, so that no later confirmation can make it valid again. */
+	isSuperseded(lease: LeadEvidence): boolean;
+	/** Records that no endpoint of the group that could be promoted reported a fence, in responses to requests sent at the elapsed time `askedAt`. */
 	noteUnfenced(group: string, epoch: number, askedAt: number): void;
-	/** Groups whose evidence is younger than the last confirmation, by what their endpoints showed; ages at the elapsed time `now`. */
+	/** Returns the groups whose lease was renewed by their endpoints after the last confirmation, with the age of each lease at the elapsed time `now`. */
 	getUnfenced(now: number): readonly UnfencedGroup[];
-	/** Elapsed time from which evidence of the group's steady primary counts; undefined where there is none. */
+	/** Returns the elapsed time from which the lease of the group's steady primary runs; undefined if there never was one. */
 	getAskedAt(group: string): number | undefined;
-	/** Groups whose evidence was given up for an epoch that the copy of the store does not show yet. */
+	/** Returns the groups whose lease was revoked for an epoch that the copy of the store does not contain yet. */
 	getOutdated(): readonly string[];
-	/** Gives no evidence below `epoch` for new work any more; what was begun may still end under its own. */
+	/** Refuses leases below `epoch` to new work. Work in progress may still finish under its own lease. */
 	pause(group: string, epoch: number): void;
-	/** Gives up all evidence below `epoch`, for good. */
+	/** Revokes all leases below `epoch` permanently. */
 	revoke(group: string, epoch: number): void;
-	/** Resolves after the next change of what is known, or when the signal aborts. */
+	/** Resolves after the next change of leases or of the copy of the store, or when the signal aborts. */
 	changed(signal: SleepSignal): Promise<void>;
 };
 
-/** What the evidences need. */
+/** What {@link createLeadEvidences} needs. */
 export type LeadEvidencesOptions = {
 	readonly mirror: StoreMirror;
-	/** Own address as registered: a host that is not registered is not asked before a primary is replaced. */
+	/** This host's own address, as registered. A host that is not registered is not asked to give up its leases before a primary is replaced. */
 	readonly ownPeerAddress: string;
-	/** Whether each host that goes on without the store knew this one at the elapsed time `at`. */
+	/** Whether each host that continues without the store knew this one at the elapsed time `at`. */
 	isKnownToAll(at: number): boolean;
 };
 
 /**
- * How long a confirmation that the store shows a steady primary is good for, in milliseconds of elapsed time, counted
- * from when it was asked for.
+ * Duration of a primary lease in milliseconds of elapsed time, counted from the request for the confirmation that the store has a steady primary.
  *
- * Whoever replaces a primary waits this long where a host does not acknowledge, so a failover with a dead host lasts
- * longer by as much; and an outage of the store shorter than this stops nothing. Outages of 3 to 6 s are ordinary.
+ * A host that replaces a primary waits this long if another host does not acknowledge, so a failover with a dead host takes that much longer.
+ * A store outage shorter than this interrupts nothing; outages of 3 to 6 s are common.
  */
 export const EVIDENCE_MS = 3000;
 
-/** Creates the evidences. */
+/** Creates the leases of a host that holds none yet. */
 export function createLeadEvidences({mirror, ownPeerAddress, isKnownToAll}: LeadEvidencesOptions): LeadEvidences {
 	const pausedBelow = new Map<string, number>();
 	const revokedBelow = new Map<string, number>();
-	let waiting: Array<() => void> = [];
+	let waiters: Array<() => void> = [];
 
-	const tell = () => {
-		const woken = waiting;
-		waiting = [];
+	const notifyWaiters = () => {
+		const woken = waiters;
+		waiters = [];
 		for (const resolve of woken) {
 			resolve();
 		}
 	};
 
-	/** By group, the last time at which the store was asked and showed a steady primary, and its epoch. */
+	/** By group, the start of the latest lease and its epoch: the latest time at which a request was sent that confirmed a steady primary. */
 	const lastSteady = new Map<string, {readonly epoch: number; readonly askedAt: number}>();
 
 	const noteSteady = ({group, epoch}: LeadershipRecord, askedAt: number) => {
@@ -80,21 +79,21 @@
 			}
 		}
 
-		tell();
+		notifyWaiters();
 	});
 
 	const isRegistered = () => mirror.state.hosts.some(host => host.peerAddress === ownPeerAddress && !host.gone);
 
-	const isYoung = (group: string, epoch: number, now: number) => {
+	const isUnexpired = (group: string, epoch: number, now: number) => {
 		const steady = lastSteady.get(group);
 		return steady?.epoch === epoch && now < steady.askedAt + EVIDENCE_MS;
 	};
 
 	/**
-	 * Whether endpoints may lengthen evidence asked for at `askedAt`. Guards against a host that goes on although nobody knows of it: its registration was new when the
-	 * store was lost, and the store came back without it.
+	 * Whether responses of endpoints to requests sent at `askedAt` may renew a lease. Prevents a host from continuing that no other host knows:
+	 * one whose registration was new when the store was lost, and is missing after the store was restored from a backup.
 	 */
-	const mayOutlastStore = (askedAt: number) => {
+	const mayRenewFromEndpoints = (askedAt: number) => {
 		const confirmedAt = mirror.storeConfirmedAt;
 		return confirmedAt !== undefined && askedAt - confirmedAt < LONGEST_WITHOUT_STORE_MS && isKnownToAll(confirmedAt);
 	};
@@ -102,10 +101,10 @@
 	const getSteady = (group: string, now: number) => {
 		const record = mirror.state.leadership.get(group);
 		const usable = record?.phase === LeadPhase.Steady && record.epoch >= (revokedBelow.get(group) ?? 0);
-		return usable && isYoung(group, record.epoch, now) && isRegistered() ? record : undefined;
+		return usable && isUnexpired(group, record.epoch, now) && isRegistered() ? record : undefined;
 	};
 
-	const raise = (floors: Map<string, number>, group: string, epoch: number) => {
+	const raiseFloor = (floors: Map<string, number>, group: string, epoch: number) => {
 		floors.set(group, Math.max(floors.get(group) ?? 0, epoch));
 	};
 
@@ -115,19 +114,19 @@
 			return record && record.epoch >= (pausedBelow.get(group) ?? 0) ? record : undefined;
 		},
 		holds({group, epoch}, now) {
-			// A record that says the group is changing does not end evidence yet: whoever changes it waits for this host, or for the end of its time.
+			// A record in the changing phase does not end a lease yet: the host that changes the group waits for this host, or until the lease has expired.
 			const isRevoked = epoch < (revokedBelow.get(group) ?? 0);
-			return !isRevoked && isYoung(group, epoch, now) && isRegistered();
+			return !isRevoked && isUnexpired(group, epoch, now) && isRegistered();
 		},
-		isSuperseded(evidence) {
-			const record = mirror.state.leadership.get(evidence.group);
-			return (record !== undefined && record.epoch > evidence.epoch) || evidence.epoch < (revokedBelow.get(evidence.group) ?? 0);
+		isSuperseded(lease) {
+			const record = mirror.state.leadership.get(lease.group);
+			return (record !== undefined && record.epoch > lease.epoch) || lease.epoch < (revokedBelow.get(lease.group) ?? 0);
 		},
 		noteUnfenced(group, epoch, askedAt) {
 			const steady = lastSteady.get(group);
-			if (steady?.epoch === epoch && askedAt > steady.askedAt && mayOutlastStore(askedAt)) {
+			if (steady?.epoch === epoch && askedAt > steady.askedAt && mayRenewFromEndpoints(askedAt)) {
 				lastSteady.set(group, {epoch, askedAt});
-				tell();
+				notifyWaiters();
 				mirror.tellUnfenced();
 			}
 		},
@@ -139,17 +138,18 @@
 		},
 		getAskedAt: group => lastSteady.get(group)?.askedAt,
 		/*
-		 * Guards against hosts that confirm each other's copies in an outage of the store while one of them has already given its evidence up, or even
-		 * replaced the primary, and could not read back what it wrote: a host that was not reached then would go on with the old one.
+		 * In a store outage hosts confirm each other's copies. One of them may already have given up its lease, or even replaced the primary,
+		 * without having read back what it wrote. If it did not report the group as outdated, a host that the revocation had not reached
+		 * would continue with the old primary.
 		 */
 		getOutdated: () => [...revokedBelow].filter(([group, epoch]) => (mirror.state.leadership.get(group)?.epoch ?? 0) < epoch).map(([group]) => group),
 		pause(group, epoch) {
-			raise(pausedBelow, group, epoch);
+			raiseFloor(pausedBelow, group, epoch);
 		},
 		revoke(group, epoch) {
-			raise(pausedBelow, group, epoch);
-			raise(revokedBelow, group, epoch);
-			tell();
+			raiseFloor(pausedBelow, group, epoch);
+			raiseFloor(revokedBelow, group, epoch);
+			notifyWaiters();
 		},
 		async changed(signal) {
 			if (signal.aborted) {
@@ -157,7 +157,7 @@
 			}
 
 			await new Promise<void>(resolve => {
-				waiting.push(resolve);
+				waiters.push(resolve);
 				signal.addEventListener('abort', () => {
 					resolve();
 				}, {once: true});
--- a/src/leadership/lead-watch.ts
+++ b/src/leadership/lead-watch.ts
@@ -13,30 +13,30 @@
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import type {CutOffs} from './cut-offs.js';
 import type {DutyLease} from './duty-lease.js';
-import {createFenceLook} from './fence-look.js';
+import {createFenceCheck} from './fence-check.js';
 import type {LeadEvidences} from './lead-evidence.js';
 import {createFirstRecord} from './first-record.js';
 import {isAffirmed, LeadPhase, type LeadershipRecord} from './leadership-record.js';
-import {createPrimaryReach, ReachVerdict} from './primary-reach.js';
+import {createPrimaryReachability, ReachVerdict} from './primary-reachability.js';
 import type {PrimaryWork} from './primary-work.js';
-import {createRecordReaffirmation} from './reaffirm-record.js';
+import {createRecordRewriter} from './rewrite-record.js';
 import type {Replacement} from './replace-primary.js';
 import {createReplacements} from './replacements.js';
-import {createUnsettledGroups} from './unsettled-groups.js';
+import {createUnresolvedGroups} from './unresolved-groups.js';
 
-/** Watches the primaries of all groups and has lost or leaving ones replaced. */
+/** Monitors the primaries of all groups and replaces those that are lost or leaving. */
 export type LeadWatch = {
-	/** Groups that this host is changing, or knows to be changed from what its copy of the store says. */
+	/** Returns the groups that this host is changing, or whose leadership it knows to have changed since its copy of the store. */
 	getChanging(): readonly string[];
-	/** Begins no replacement any more, since this host is stopping; others do. */
+	/** Stops beginning replacements, since this host is stopping; other hosts begin them. */
 	retire(): void;
-	/** Whether a replacement is under way here, which should be finished: another host would have to wait for the end of the duty first. */
+	/** Whether this host is replacing a primary. It should finish: another host would first have to wait until the failover lease ends. */
 	readonly replacing: boolean;
 	start(): Promise<void>;
 	stop(): Promise<void>;
 };
 
-/** What the watch needs. */
+/** What {@link createLeadWatch} needs. */
 export type LeadWatchOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
@@ -53,28 +53,28 @@
 	readonly log: Log;
 	readonly hostName: string;
 	readonly ownPeerAddress: string;
-	/** Whether this host may begin a replacement, being known to all hosts that it has to wait for. */
+	/** Whether this host may begin a replacement: all hosts that it has to wait for must know it. */
 	mayReplace(): boolean;
 	replace(replacement: Replacement): Promise<boolean>;
 };
 
-/** How often primaries are looked at, in milliseconds: a twentieth of a promotion, for some microseconds each. */
-const LOOK_MS = 50;
+/** Interval at which primaries are checked, in milliseconds: a twentieth of a promotion; each check takes some microseconds. */
+const POLL_INTERVAL_MS = 50;
 
-/** How often a host looks at a primary to which it keeps no connections, in milliseconds: only what it acts on after seconds, and old evidence. */
-const BYSTANDER_LOOK_MS = 400;
+/** Interval at which a host checks a primary to which it keeps no connections, in milliseconds: for events that it acts on only after seconds, and for old leases. */
+const UNCONNECTED_POLL_INTERVAL_MS = 400;
 
-/** A primary that was not heard for so long is asked for a sign of life, in milliseconds, so that its loss is noticed before a caller meets it. */
-const QUIET_MS = 1000;
+/** A primary that has been silent for this long is probed, in milliseconds, so that its loss is detected before a caller encounters it. */
+const HEARTBEAT_AFTER_MS = 1000;
 
-/** Hosts wait a random part of this before they act on what several of them see, in milliseconds; most of them then find it done. */
-const SPREAD_MS = 60;
+/** Hosts wait a random part of this before they act on what several of them observe, in milliseconds; most of them then find it done. */
+const JITTER_MS = 60;
 
-/** A host that keeps no connections to a primary leaves its replacement to those that do for so long, in milliseconds: a planned one and a spare second. */
-const BYSTANDER_WAIT_MS = 3000;
+/** Time for which a host that keeps no connections to a primary leaves its replacement to the hosts that do, in milliseconds: a planned replacement and one second more. */
+const UNCONNECTED_WAIT_MS = 3000;
 
-/** After a replacement that came to nothing the group is left alone for so long, in milliseconds. */
-const PAUSE_MS = 400;
+/** Pause before a group is checked again after a replacement, a failed check or a change of its record, in milliseconds. */
+const RETRY_DELAY_MS = 400;
 
 type GroupWatch = {
 	busy: boolean;
@@ -82,18 +82,18 @@
 	notBefore: number;
 };
 
-/** Creates the watch. */
+/** Creates the watch; it does nothing before it is started. */
 export function createLeadWatch(options: LeadWatchOptions): LeadWatch {
-	const {clock, directory, duty, elapsedClock, evidences, mirror, peers, random, store} = options;
+	const {clock, directory, duty: failoverLease, elapsedClock, evidences: primaryLeases, mirror, peers, random, store} = options;
 	const log = options.log.part('leads: ');
-	const reach = createPrimaryReach({
+	const reachability = createPrimaryReachability({
 		mirror, directory, lenders: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
 	});
 	const firstRecord = createFirstRecord({
 		store, mirror, directory, clock, log, hostName: options.hostName,
 	});
-	const fenceLook = createFenceLook({
-		directory, evidences, clock, elapsedClock, log, readsForAll: () => mirror.readsForAll, countHosts: () => mirror.state.hosts.length,
+	const fenceCheck = createFenceCheck({
+		directory, primaryLeases, clock, elapsedClock, log, readsForAll: () => mirror.readsForAll, countHosts: () => mirror.state.hosts.length,
 	});
 	const watches = new Map<string, GroupWatch>();
 	const stopping = createSleepAlarm();
@@ -116,34 +116,34 @@
 	};
 
 	const replacements = createReplacements({
-		duty, mirror, peers, log, ownPeerAddress: options.ownPeerAddress, mayReplace: options.mayReplace, replace: options.replace,
+		failoverLease, mirror, peers, log, ownPeerAddress: options.ownPeerAddress, mayReplace: options.mayReplace, replace: options.replace,
 	});
-	const unsettled = createUnsettledGroups({
-		duty,
-		reaffirmation: createRecordReaffirmation({
-			store, mirror, evidences, directory, clock, elapsedClock, random, log,
+	const unresolvedGroups = createUnresolvedGroups({
+		failoverLease,
+		rewriter: createRecordRewriter({
+			store, mirror, primaryLeases, directory, clock, elapsedClock, random, log,
 		}),
 		replacements,
 		clock,
 		elapsedClock,
 		random,
 		hostName: options.hostName,
-		spreadMs: SPREAD_MS,
-		pauseMs: PAUSE_MS,
+		jitterMs: JITTER_MS,
+		retryDelayMs: RETRY_DELAY_MS,
 	});
 
-	/** Replaces, or has the holder of the duty do it; then the group is left alone for a moment. */
+	/** Replaces the primary or requests the failover coordinator to do so. The group is not checked again for {@link RETRY_DELAY_MS}. */
 	const replaceOrAsk = async (replacement: Replacement, epoch: number) => {
-		getWatch(replacement.group).notBefore = clock.now() + PAUSE_MS;
+		getWatch(replacement.group).notBefore = clock.now() + RETRY_DELAY_MS;
 		await replacements.beginOrAsk(replacement, epoch);
 	};
 
-	const lookAtSteady = async (record: LeadershipRecord, watch: GroupWatch) => {
+	const checkSteadyGroup = async (record: LeadershipRecord, watch: GroupWatch) => {
 		const {group, primaryId, epoch} = record;
 		const endpoint = directory.get(primaryId);
 		if (!endpoint) {
-			// Its entry has been missing for longer than the store's own troubles explain.
-			await spreadOver(record);
+			// Its entry has been missing for longer than faults of the store explain.
+			await waitForTurn(record);
 			if (!isCurrent(record)) {
 				return;
 			}
@@ -156,7 +156,7 @@
 		const {health} = endpoint.pool;
 		if (endpoint.entry.leaving) {
 			if (hasSuccessor(group, primaryId)) {
-				await spreadOver(record);
+				await waitForTurn(record);
 				if (!isCurrent(record)) {
 					return;
 				}
@@ -168,22 +168,22 @@
 		}
 
 		if (!options.lenders.keepsOwn({id: primaryId, group})) {
-			// The hosts that keep connections to it watch it.
+			// The hosts that keep connections to it monitor it.
 			return;
 		}
 
 		if (!health.getSuspicion(now)) {
-			reach.probeEarly(primaryId);
+			reachability.probeEarly(primaryId);
 			watch.suspectedSince = undefined;
 			options.cutOffs.clear(group);
-			if (health.heardAt !== undefined && now - health.heardAt > QUIET_MS) {
-				await reach.probe(primaryId);
+			if (health.heardAt !== undefined && now - health.heardAt > HEARTBEAT_AFTER_MS) {
+				await reachability.probe(primaryId);
 			}
 
 			return;
 		}
 
-		// What is already here but not yet read must not count as silence: this host may just have been held up itself.
+		// A response that has arrived but was not read yet must not count as silence: this host itself may have been delayed.
 		await nextTurn();
 		const suspicion = health.getSuspicion(clock.now());
 		if (!suspicion) {
@@ -197,7 +197,7 @@
 			});
 		}
 
-		const [answers, verdict] = await Promise.all([reach.probe(primaryId), reach.judge(group, primaryId, clock.now() - watch.suspectedSince)]);
+		const [answers, verdict] = await Promise.all([reachability.probe(primaryId), reachability.evaluate(group, primaryId, clock.now() - watch.suspectedSince)]);
 		if (!answers && verdict === ReachVerdict.ReachedByOthers) {
 			options.cutOffs.note(group, clock.now());
 		}
@@ -206,7 +206,7 @@
 			return;
 		}
 
-		await spread();
+		await sleepJitter();
 		if (isCurrent(record)) {
 			await replaceOrAsk({group, reason: `the primary is ${suspicion}`, planned: false}, epoch);
 		}
@@ -215,26 +215,26 @@
 	const hasSuccessor = (group: string, primaryId: string) => directory.list(group).some(({entry, pool}) =>
 		entry.id !== primaryId && !entry.leaving && !pool.health.getSuspicion(clock.now()));
 
-	const spread = async () => clock.sleep(random.fraction() * SPREAD_MS);
+	const sleepJitter = async () => clock.sleep(random.fraction() * JITTER_MS);
 
-	/** Hosts that keep connections to the primary act first; all others only where those have not, since hundreds would ask the holder of the duty at once. */
-	const spreadOver = async ({group, primaryId}: LeadershipRecord) => {
-		await spread();
+	/** Hosts that keep connections to the primary act first; all others act only if those have not, since hundreds would send requests to the failover coordinator at once. */
+	const waitForTurn = async ({group, primaryId}: LeadershipRecord) => {
+		await sleepJitter();
 		if (!options.lenders.keepsOwn({id: primaryId, group})) {
-			await clock.sleep(BYSTANDER_WAIT_MS);
+			await clock.sleep(UNCONNECTED_WAIT_MS);
 		}
 	};
 
-	const isCurrent = ({group, epoch}: LeadershipRecord) => mirror.state.leadership.get(group)?.epoch === epoch && evidences.get(group, elapsedClock.elapsed()) !== undefined;
+	const isCurrent = ({group, epoch}: LeadershipRecord) => mirror.state.leadership.get(group)?.epoch === epoch && primaryLeases.get(group, elapsedClock.elapsed()) !== undefined;
 
-	const look = async (group: string, watch: GroupWatch) => {
+	const checkGroup = async (group: string, watch: GroupWatch) => {
 		const record = mirror.state.leadership.get(group);
 		if (!record) {
 			await firstRecord.create(group);
 		} else if (record.phase === LeadPhase.Steady && isAffirmed(record, mirror.state.revision)) {
-			await Promise.all([lookAtSteady(record, watch), fenceLook.look(record)]);
+			await Promise.all([checkSteadyGroup(record, watch), fenceCheck.check(record)]);
 		} else {
-			await unsettled.look(record);
+			await unresolvedGroups.check(record);
 		}
 	};
 
@@ -243,37 +243,37 @@
 		return !watch.busy && clock.now() >= watch.notBefore && !replacements.changing.has(group);
 	};
 
-	const lookSafely = async (group: string) => {
+	const checkGroupSafely = async (group: string) => {
 		const watch = getWatch(group);
 		const primaryId = mirror.state.leadership.get(group)?.primaryId;
 		if (primaryId !== undefined && !options.lenders.keepsOwn({id: primaryId, group})) {
-			watch.notBefore = clock.now() + BYSTANDER_LOOK_MS;
+			watch.notBefore = clock.now() + UNCONNECTED_POLL_INTERVAL_MS;
 		}
 
 		watch.busy = true;
 		const epoch = mirror.state.leadership.get(group)?.epoch;
 		try {
-			await look(group, watch);
+			await checkGroup(group, watch);
 		} catch (err) {
 			if (!(err instanceof PlatformError || err instanceof PlatformConflictError || err instanceof LinkError)) {
 				throw err;
 			}
 
-			log.info('a look at a group was cut short', {group, reason: err.message});
-			watch.notBefore = clock.now() + PAUSE_MS;
+			log.info('a check of a group was interrupted', {group, reason: err.message});
+			watch.notBefore = clock.now() + RETRY_DELAY_MS;
 		} finally {
 			watch.busy = false;
 			if (mirror.state.leadership.get(group)?.epoch !== epoch) {
-				watch.notBefore = clock.now() + PAUSE_MS;
+				watch.notBefore = clock.now() + RETRY_DELAY_MS;
 			}
 		}
 	};
 
 	peers.handle('lead-revoke', async ({group, epoch, settleMs}) => {
-		evidences.pause(group, epoch);
-		await options.primaryWork.settle(group, settleMs);
-		evidences.revoke(group, epoch);
-		log.info('evidence was given up', {group, epoch, settleMs});
+		primaryLeases.pause(group, epoch);
+		await options.primaryWork.drain(group, settleMs);
+		primaryLeases.revoke(group, epoch);
+		log.info('the lease of a group was given up', {group, epoch, settleMs});
 		return {revoked: true as const};
 	});
 	peers.handle('lead-changed', async (_req, from) => {
@@ -287,15 +287,15 @@
 		}
 
 		(async () => {
-			// Most hosts cannot reach it. Where this one can, its log is taken over whole.
-			const planned = await reach.isReachable(record.primaryId);
+			// Most hosts cannot reach the primary. If this one can, the successor takes over its whole log.
+			const planned = await reachability.isReachable(record.primaryId);
 			await replacements.begin({group, reason, planned});
 		})().catch(noteBug);
 		return {taken: true};
 	});
 
-	/** Whether this host is one of those that notice first what becomes of the group's primary. */
-	const isNear = (group: string) => {
+	/** Whether this host checks the group at the short interval: it keeps connections to the primary, or the group has no steady one. */
+	const isWatchedClosely = (group: string) => {
 		const record = mirror.state.leadership.get(group);
 		return record?.phase !== LeadPhase.Steady || options.lenders.keepsOwn({id: record.primaryId, group});
 	};
@@ -306,11 +306,11 @@
 			const groups = [...mirror.state.routing?.groups.keys() ?? []];
 			for (const group of groups) {
 				if (isDue(group)) {
-					lookSafely(group).catch(noteBug);
+					checkGroupSafely(group).catch(noteBug);
 				}
 			}
 
-			await clock.sleep(groups.length === 0 || groups.some(group => isNear(group)) ? LOOK_MS : BYSTANDER_LOOK_MS, stopping);
+			await clock.sleep(groups.length === 0 || groups.some(group => isWatchedClosely(group)) ? POLL_INTERVAL_MS : UNCONNECTED_POLL_INTERVAL_MS, stopping);
 		}
 	};
 
@@ -319,7 +319,7 @@
 		get replacing() {
 			return replacements.changing.size > 0;
 		},
-		getChanging: () => [...replacements.changing, ...evidences.getOutdated()],
+		getChanging: () => [...replacements.changing, ...primaryLeases.getOutdated()],
 		async start() {
 			void run();
 		},
--- a/src/leadership/leadership-record.ts
+++ b/src/leadership/leadership-record.ts
@@ -2,7 +2,7 @@
 import {getGeneration} from '../mirror/store-generation.js';
 import type {LogPosition} from '../terms/log-position.js';
 
-/** Whether a group has a primary that may be used, or is between two. */
+/** Whether a group has a primary that may be used, or its primary is being replaced. */
 export const LeadPhase = {
 	Steady: 'steady',
 	Changing: 'changing',
@@ -11,61 +11,61 @@
 /** One of the phases in {@link LeadPhase}. */
 export type LeadPhase = typeof LeadPhase[keyof typeof LeadPhase];
 
-/** Who leads a group, as the store has it; changed only by conditional update. */
+/** The stored leadership of a group; it is changed by conditional updates only. */
 export type LeadershipRecord = {
 	readonly group: string;
 	readonly primaryId: string;
 	/** The primary's term. */
 	readonly term: number;
-	/** Grows by one with each change, also with one that leads back to the same primary. */
+	/** Increases with each change, including one after which the same primary leads again. */
 	readonly epoch: number;
 	readonly phase: LeadPhase;
-	/** End of the primary's log when it was first seen to lead: what a promotion kept of older terms lies at or below. */
+	/** End of the primary's log when it was first observed as primary. Entries of older terms that the promotion kept are at or below this position. */
 	readonly start: LogPosition;
-	/** Host that wrote it. */
+	/** Host that wrote the record. */
 	readonly changedBy: string;
-	/** Generation of the store that it was written in, or written again in; without it 0. */
+	/** Store generation in which the record was last written; absent means 0. */
 	readonly generation?: number;
 };
 
-/** Who may have primaries replaced. */
+/** The stored failover lease: its holder may replace primaries. */
 export type DutyRecord = {
 	readonly holder: string;
-	/** Marks one life of the holder: one that was restarted is another holder, whose last orders may still be under way. */
+	/** Identifies one process of the holder. A restarted process is another holder, since orders of the earlier process may still be in progress. */
 	readonly incarnation: string;
-	/** Fencing token: grows with each taking of the duty. */
+	/** Fencing token; increases each time the lease is newly acquired. */
 	readonly token: number;
-	/** Grows with each renewal, so that a renewal changes the record. */
+	/** Number of renewals, so that a renewal changes the record. */
 	readonly renewals: number;
 };
 
-/** A proxy as it registered itself. */
+/** The stored registration of a proxy. */
 export type HostRecord = {
 	readonly name: string;
-	/** `ip:port` for other proxies. */
+	/** `ip:port` at which other proxies reach it. */
 	readonly peerAddress: string;
 	readonly availabilityZone: string;
-	/** It did not answer when a primary was replaced. It may live and hold evidence; it gets none any more before it registers anew. */
+	/** Set once the host did not respond. It may still be running and hold primary leases; it gets no further lease until it registers again. */
 	readonly gone?: boolean;
-	/** Generation of the store that it was registered in, or registered again in; without it 0. */
+	/** Store generation in which the host last registered; absent means 0. */
 	readonly generation?: number;
 };
 
 /**
- * Whether a host has written a record in the generation of the store that `revision` is of.
+ * Returns whether a record was written in the store generation to which `revision` belongs.
  *
- * Guards against a record of before that came back with the store, or that a host still holds: a later one may have been lost.
+ * A record of an earlier generation was restored from a backup, or is a copy that a host still holds: a later version of it may have been lost.
  */
 export function isAffirmed({generation = 0}: {readonly generation?: number}, revision: number): boolean {
 	return generation === getGeneration(revision);
 }
 
-/** Name of the record of the duty; the groups' records have their group's name behind a prefix. */
+/** Name of the record of the failover lease. The record of a group is named by a prefix and the group's name. */
 export const DUTY_NAME = 'duty';
 
 const GROUP_PREFIX = 'group.';
 
-/** Names the record of a group. */
+/** Returns the name under which the record of a group is stored. */
 export function getLeadershipName(group: string): string {
 	return GROUP_PREFIX + group;
 }
@@ -83,7 +83,7 @@
 	generation: z.int().optional(),
 });
 
-const dutySchema: z.ZodType<DutyRecord> = z.object({
+const failoverLeaseSchema: z.ZodType<DutyRecord> = z.object({
 	holder: z.string(), incarnation: z.string(), token: z.int(), renewals: z.int(),
 });
 
@@ -91,28 +91,29 @@
 	name: z.string(), peerAddress: z.string(), availabilityZone: z.string(), gone: z.boolean().optional(), generation: z.int().optional(),
 });
 
-/** Reads the record stored under a name; undefined where it is no record of that group. */
+/** Parses the record stored under a name; returns undefined if it is not a valid record of that group. */
 export function parseLeadership(name: string, value: unknown): LeadershipRecord | undefined {
 	const {data} = leadershipSchema.safeParse(value);
 	return data && getLeadershipName(data.group) === name ? data : undefined;
 }
 
-/** Reads the record of the duty; undefined where it is none. */
+/** Parses the record of the failover lease; returns undefined if it is invalid. */
 export function parseDuty(value: unknown): DutyRecord | undefined {
-	return dutySchema.safeParse(value).data;
+	return failoverLeaseSchema.safeParse(value).data;
 }
 
-/** Reads a host's record; undefined where it is none. */
+/** Parses the record of a host; returns undefined if it is invalid. */
 export function parseHost(value: unknown): HostRecord | undefined {
 	return hostSchema.safeParse(value).data;
 }
 
 /**
- * What stands for a group's record that cannot be read; undefined for a name that is no group's.
+ * Returns the substitute for a group's record that cannot be parsed; undefined if the name is not that of a group's record.
  *
- * Guards against a record that another program wrote over. Taken as absent, a first record would be written beside evidence that hosts may still
- * hold; taken as an error, the group would never have a primary again. As a change that nobody finishes it is gone on with like that of a
- * host that died: every host gives its evidence up first. The store's revision grows with each change, so it is above all earlier epochs.
+ * Another program may have overwritten the record. If it were treated as absent, a first record would be written while hosts may still hold
+ * leases; if it were treated as an error, the group would never have a primary again. The substitute is an unfinished change, which another host
+ * completes like that of a host that died: every host gives up its lease first. The store's revision increases with each change, so as an epoch it is
+ * above all earlier ones.
  */
 export function getUnreadableLeadership(name: string, version: number): LeadershipRecord | undefined {
 	return name.startsWith(GROUP_PREFIX)
@@ -129,19 +130,25 @@
 		: undefined;
 }
 
-/** What stands for a record of the duty that cannot be read: held by nobody known, under a token above all earlier ones, each of which took a revision. */
+/**
+ * Returns the substitute for a failover lease that cannot be parsed: it has no known holder, and its token is above all earlier ones, since each
+ * of those took a revision.
+ */
 export function getUnreadableDuty(version: number): DutyRecord {
 	return {
 		holder: UNREADABLE, incarnation: UNREADABLE, token: version, renewals: 0,
 	};
 }
 
-/** What stands for a host's record that cannot be read: nobody asks it, and each replacement waits out its evidence until it has registered anew. */
+/**
+ * Returns the substitute for a host's record that cannot be parsed: no request is sent to the host, and each replacement waits until its leases
+ * have expired, until the host has registered again.
+ */
 export function getUnreadableHost(name: string): HostRecord {
 	return {
 		name, peerAddress: '', availabilityZone: '', gone: true,
 	};
 }
 
-/** Stands for the host behind a record that cannot be read. */
+/** The host name in substitutes for records that cannot be parsed. */
 const UNREADABLE = 'unreadable';
--- /dev/null
+++ b/src/leadership/lease-revocation.ts
@@ -0,0 +1,103 @@
+import {withinMs} from '../time/deadline.js';
+import type {Versioned} from '../mirror/mirror-state.js';
+import {isPeerError} from '../peers/peer-errors.js';
+import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import type {HostRecord, LeadershipRecord} from './leadership-record.js';
+import {RETRY_MS, type ReplacePrimaryParts} from './replace-parts.js';
+
+/** The revocation of all leases below a record's epoch, on every host. */
+export type LeaseRevocation = {
+	/** Hosts that have not responded yet. */
+	readonly silent: ReadonlyArray<Versioned<HostRecord>>;
+	/** Requests the hosts that have not responded yet, including this one, to give up their leases. */
+	request(): Promise<void>;
+	/**
+	 * Repeats the requests until all hosts have responded, at most until the elapsed time `endsAt`. Resolves to true if a lease may have ended only by
+	 * expiring.
+	 */
+	wait(endsAt: number): Promise<boolean>;
+};
+
+/**
+ * Makes every host give up its leases below the record's epoch. A host that does not respond may be dead, or partitioned and still serving:
+ * the request to it is repeated until its lease has expired. Expiry also ends the lease of a host that this one never knew because a restored store
+ * has lost its registration.
+ */
+export function createLeaseRevocation(parts: ReplacePrimaryParts, changing: Versioned<LeadershipRecord>, settleMs: number): LeaseRevocation {
+	const {clock, elapsedClock, evidences: primaryLeases, primaryWork, log} = parts;
+	const {group, epoch} = changing;
+	let hosts: ReadonlyArray<Versioned<HostRecord>> | undefined;
+	let silent: ReadonlyArray<Versioned<HostRecord>> = [];
+	let isOwnRevoked = false;
+	const mayLackHosts = parts.returns.mayLackHosts(elapsedClock.elapsed());
+
+	const revokeOwn = async () => {
+		primaryLeases.pause(group, epoch);
+		await primaryWork.drain(group, settleMs);
+		primaryLeases.revoke(group, epoch);
+		isOwnRevoked = true;
+	};
+
+	const requestOne = async (host: Versioned<HostRecord>) => {
+		try {
+			await parts.peers.call(host.peerAddress, 'lead-revoke', {group, epoch, settleMs}, settleMs + LEAD_CALL_TIMEOUT_MS);
+			return undefined;
+		} catch (err) {
+			if (!isPeerError(err)) {
+				throw err;
+			}
+
+			return host;
+		}
+	};
+
+	const requestOthers = async () => {
+		if (!hosts) {
+			hosts = await listOtherHosts(parts);
+			silent = hosts?.filter(host => !host.gone) ?? [];
+		}
+
+		const answers = await Promise.all(silent.map(async host => requestOne(host)));
+		silent = answers.filter(host => host !== undefined);
+	};
+
+	const ask = async () => {
+		await Promise.all([requestOthers(), isOwnRevoked ? undefined : revokeOwn()]);
+	};
+
+	return {
+		get silent() {
+			return silent;
+		},
+		request: ask,
+		async wait(endsAt) {
+			while ((!hosts || silent.length > 0) && elapsedClock.elapsed() < endsAt) {
+				await clock.sleep(RETRY_MS);
+				// A host that does not respond delays a round by the call timeout, which must not outlast the wait.
+				await withinMs(clock, Math.max(0, endsAt - elapsedClock.elapsed()), ask());
+			}
+
+			// No request is sent to a host that is marked as unresponsive; it may still be running and hold a lease.
+			const hasUnresponsiveHosts = hosts?.some(host => host.gone) ?? true;
+			const byTime = silent.length > 0 || hasUnresponsiveHosts || mayLackHosts;
+			while (byTime && elapsedClock.elapsed() < endsAt) {
+				await clock.sleep(Math.min(RETRY_MS, endsAt - elapsedClock.elapsed()));
+			}
+
+			log.info('the leases of every host have ended', {
+				group, epoch, hosts: hosts?.length, silent: silent.map(({name}) => name), byTime,
+			});
+			return byTime;
+		},
+	};
+}
+
+/** Returns the other hosts as registered after the record was updated, and those that a restored store has lost; undefined if the store does not respond. */
+async function listOtherHosts({mirror, returns, elapsedClock, ownPeerAddress}: ReplacePrimaryParts) {
+	if (!await mirror.confirm()) {
+		return undefined;
+	}
+
+	const hosts = [...mirror.state.hosts, ...returns.getLostHosts(elapsedClock.elapsed())];
+	return hosts.filter(host => host.peerAddress !== ownPeerAddress);
+}
--- a/src/leadership/primary-reach.ts
+++ b/src/leadership/primary-reachability.ts
@@ -10,33 +10,33 @@
 import type {Clock} from '../time/clock.js';
 import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
 
-/** Whether primaries answer, as seen from here and from the other hosts. */
-export type PrimaryReach = {
-	/** Whether the endpoint answers this host, asked anew or as a probe found that has just ended. */
+/** Whether this host and the other hosts reach the primaries. */
+export type PrimaryReachability = {
+	/** Resolves to whether the endpoint responds to this host, from a new probe, one in progress or one that has just failed. */
 	probe(endpointId: string): Promise<boolean>;
-	/** Begins a probe where the endpoint has owed an answer for long, so that it has ended by the time that its silence counts. */
+	/** Starts a probe if the endpoint has owed a response for long, so that the probe has ended by the time that the endpoint counts as silent. */
 	probeEarly(endpointId: string): void;
-	/** The same, by what was heard lately where that tells. */
+	/** Resolves to whether the endpoint responds to this host, without a probe if recent responses or their absence suffice. */
 	isReachable(endpointId: string): Promise<boolean>;
-	/** What the hosts together say of a primary that this one has not reached for `suspectedMs`. */
-	judge(group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict>;
+	/** Asks other hosts about a primary that this host has not reached for `suspectedMs` and resolves to the verdict. */
+	evaluate(group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict>;
 };
 
-/** What hosts together say of a primary that one of them cannot reach. */
+/** The verdict on a primary that one host cannot reach. */
 export const ReachVerdict = {
-	/** Most do not reach it. */
+	/** At least half of the hosts that responded do not reach it. */
 	Lost: 'lost',
-	/** Most answered, and most of those reach it. */
+	/** Enough hosts responded, and most of those reach it. */
 	ReachedByOthers: 'reached-by-others',
-	/** Too few answered. */
-	Open: 'open',
+	/** Too few hosts responded. */
+	Undecided: 'open',
 } as const;
 
 /** One of the verdicts in {@link ReachVerdict}. */
 export type ReachVerdict = typeof ReachVerdict[keyof typeof ReachVerdict];
 
-/** What this needs. */
-export type PrimaryReachOptions = {
+/** What {@link createPrimaryReachability} needs. */
+export type PrimaryReachabilityOptions = {
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
 	readonly lenders: Lenders;
@@ -46,26 +46,26 @@
 	readonly ownPeerAddress: string;
 };
 
-/** Longest probe of a primary that seems lost, in milliseconds. */
+/** Timeout of a probe, in milliseconds. */
 const PROBE_TIMEOUT_MS = 250;
 
 /**
- * An endpoint that owes an answer for so long is probed, in milliseconds, so that the probe has failed by the time that its silence
- * counts. Probed only then, a dark primary would be replaced later by the whole probe.
+ * An endpoint that has owed a response for this long is probed, in milliseconds, so that the probe has failed by the time that the endpoint counts as
+ * silent. If it were probed only then, an unreachable primary would be replaced later by the duration of the probe.
  */
-const PROBE_AFTER_MS = SILENT_AFTER_MS - PROBE_TIMEOUT_MS;
+const EARLY_PROBE_AFTER_MS = SILENT_AFTER_MS - PROBE_TIMEOUT_MS;
 
-/** What came within so long needs no probe, in milliseconds. */
-const HEARD_LATELY_MS = 50;
+/** An endpoint that responded within this time needs no probe, in milliseconds. */
+const RECENT_RESPONSE_MS = 50;
 
-/** Without the opinion of most hosts a primary counts as lost only after so long, in milliseconds: longer than hosts take to be back, or a cut usually lasts. */
-const ALONE_AFTER_MS = 8000;
+/** Without responses from most hosts a primary counts as lost only after this time, in milliseconds: longer than hosts take to restart, or than a network partition usually lasts. */
+const MAJORITY_NOT_REQUIRED_AFTER_MS = 8000;
 
-/** Creates the knowledge of who reaches whom, and answers the other hosts' questions for it. */
-export function createPrimaryReach({mirror, directory, lenders, peers, clock, log, ownPeerAddress}: PrimaryReachOptions): PrimaryReach {
-	/** Probes under way, by endpoint. */
+/** Creates the reachability checks and responds to those of other hosts. */
+export function createPrimaryReachability({mirror, directory, lenders, peers, clock, log, ownPeerAddress}: PrimaryReachabilityOptions): PrimaryReachability {
+	/** Probes in progress, by endpoint. */
 	const probes = new Map<string, Promise<boolean>>();
-	/** When a probe last failed, by endpoint. */
+	/** Time at which a probe last failed, by endpoint. */
 	const failedAt = new Map<string, number>();
 
 	const probeAnew = async (endpointId: string): Promise<boolean> => {
@@ -83,7 +83,7 @@
 				throw err;
 			}
 
-			// Refused for want of a free connection is a sign of life as well.
+			// A refusal because no connection is free proves that the endpoint is alive as well.
 			return endpoint.pool.health.getSuspicion(clock.now()) === undefined;
 		}
 	};
@@ -116,55 +116,56 @@
 	const isReachable = async (endpointId: string) => {
 		const health = directory.get(endpointId)?.pool.health;
 		if (health?.getSuspicion(clock.now()) === Suspicion.Silent) {
-			// It owes this host an answer for long already; a probe would only add to the gap.
+			// The endpoint has owed this host a response for long already; a probe would only lengthen the time without a primary.
 			return false;
 		}
 
-		const heardLately = health?.heardAt !== undefined && clock.now() - health.heardAt < HEARD_LATELY_MS;
-		return heardLately || probe(endpointId);
+		const respondedRecently = health?.heardAt !== undefined && clock.now() - health.heardAt < RECENT_RESPONSE_MS;
+		return respondedRecently || probe(endpointId);
 	};
 
 	/**
-	 * Guards against deposing a healthy primary for the sake of one host that is cut off from it: of the hosts that
-	 * answer, at least half must not reach it either, and most hosts must answer: a part of the hosts that is cut off
-	 * from the rest would else take the primary from those who use it.
+	 * A healthy primary must not be replaced because one host is cut off from it, so at least half of the hosts that respond must not reach it.
+	 * Most hosts must respond, since otherwise the smaller part of a partitioned fleet would take the primary from the hosts that use it.
 	 */
-	const judge = async (group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict> => {
-		const {keepers, count: all} = getKeepers(group, endpointId);
+	const evaluate = async (group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict> => {
+		const {keepers, count: all} = getPoolHosts(group, endpointId);
 		const others = keepers.filter(host => host.peerAddress !== ownPeerAddress);
-		const known = await gatherOpinions(others.map(({peerAddress}) => peerAddress), endpointId);
-		const against = 1 + known.filter(opinion => !opinion).length;
+		const known = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
+		const against = 1 + known.filter(reachable => !reachable).length;
 		const asked = known.length + 1;
-		const enough = asked * 2 > all || suspectedMs > ALONE_AFTER_MS;
+		const enough = asked * 2 > all || suspectedMs > MAJORITY_NOT_REQUIRED_AFTER_MS;
 		log.info('hosts were asked about a primary', {
 			group, endpoint: endpointId, against, answered: asked, hosts: all, suspectedMs: Math.round(suspectedMs),
 		});
 		if (!enough) {
-			return ReachVerdict.Open;
+			return ReachVerdict.Undecided;
 		}
 
 		return against * 2 >= asked ? ReachVerdict.Lost : ReachVerdict.ReachedByOthers;
 	};
 
 	/**
-	 * Who has connections to the endpoint and so can tell, and how many count. Where each host has some, those that are marked count as well:
-	 * the smaller part of a split may have marked the larger.
+	 * Returns the hosts that have connections to the endpoint and so can tell, and the number of which a majority is needed. If every host has
+	 * connections, hosts that are marked as unresponsive count as well: the smaller part of a partitioned fleet may have marked the larger.
 	 */
-	const getKeepers = (group: string, id: string) => {
+	const getPoolHosts = (group: string, id: string) => {
 		const keepers = lenders.getKeepers({id, group});
 		return {keepers, count: lenders.isShared({id, group}) ? keepers.length : mirror.state.hosts.length};
 	};
 
-	/** Asks hosts until those that have not answered cannot change the verdict any more: one that is dead would hold it up for its timeout of 400 ms. */
-	const gatherOpinions = async (addresses: readonly string[], endpointId: string): Promise<readonly boolean[]> => {
+	/**
+	 * Asks hosts until those that have not responded can no longer change the verdict: a dead one would otherwise delay it by its timeout of 400 ms.
+	 */
+	const gatherReports = async (addresses: readonly string[], endpointId: string): Promise<readonly boolean[]> => {
 		const all = addresses.length + 1;
 		const known: boolean[] = [];
 		await new Promise<void>((resolve, reject) => {
 			let open = addresses.length;
-			const note = (opinion: boolean | undefined) => {
+			const note = (reachable: boolean | undefined) => {
 				open--;
-				if (opinion !== undefined) {
-					known.push(opinion);
+				if (reachable !== undefined) {
+					known.push(reachable);
 				}
 
 				const reaching = known.filter(Boolean).length;
@@ -180,13 +181,13 @@
 			}
 
 			for (const address of addresses) {
-				askOpinion(address, endpointId).then(note).catch(reject);
+				requestReport(address, endpointId).then(note).catch(reject);
 			}
 		});
 		return [...known];
 	};
 
-	const askOpinion = async (address: string, endpointId: string) => {
+	const requestReport = async (address: string, endpointId: string) => {
 		try {
 			const {reachable} = await peers.call(address, 'lead-opinion', {endpointId}, LEAD_CALL_TIMEOUT_MS);
 			return reachable;
@@ -201,7 +202,7 @@
 
 	const probeEarly = (endpointId: string) => {
 		const owesSince = directory.get(endpointId)?.pool.health.owesSince;
-		if (owesSince !== undefined && clock.now() - owesSince > PROBE_AFTER_MS) {
+		if (owesSince !== undefined && clock.now() - owesSince > EARLY_PROBE_AFTER_MS) {
 			probe(endpointId).catch((err: unknown) => {
 				log.error('a probe failed', {err});
 			});
@@ -211,6 +212,6 @@
 	peers.handle('lead-opinion', async ({endpointId}) => ({reachable: await isReachable(endpointId)}));
 
 	return {
-		probe, isReachable, judge, probeEarly,
+		probe, isReachable, evaluate, probeEarly,
 	};
 }
--- a/src/leadership/primary-work.ts
+++ b/src/leadership/primary-work.ts
@@ -1,17 +1,17 @@
 import type {Clock} from '../time/clock.js';
 
-/** Work of this host that is under way at primaries, so that a planned change can let it end. */
+/** Counts this host's work in progress at primaries, so that a planned change can let it finish. */
 export type PrimaryWork = {
-	/** Notes work that begins at a group's primary; the function returned notes its end. */
+	/** Counts work that begins at a group's primary; the returned function is to be called when it ends. */
 	begin(group: string): () => void;
-	/** Resolves once nothing is under way there, at the latest after `ms`; true where nothing was left. */
-	settle(group: string, ms: number): Promise<boolean>;
+	/** Resolves once no work is in progress there, at the latest after `ms` milliseconds; to true if none is left. */
+	drain(group: string, ms: number): Promise<boolean>;
 };
 
-/** How often a wait for the end of work looks again, in milliseconds. */
-const RECHECK_MS = 10;
+/** Interval at which a wait for the end of work checks again, in milliseconds. */
+const POLL_INTERVAL_MS = 10;
 
-/** Creates a count of the work under way. */
+/** Creates an empty count. */
 export function createPrimaryWork(clock: Clock): PrimaryWork {
 	const underWay = new Map<string, number>();
 
@@ -26,10 +26,10 @@
 				}
 			};
 		},
-		async settle(group, ms) {
+		async drain(group, ms) {
 			const until = clock.now() + ms;
 			while ((underWay.get(group) ?? 0) > 0 && clock.now() < until) {
-				await clock.sleep(RECHECK_MS);
+				await clock.sleep(POLL_INTERVAL_MS);
 			}
 
 			return (underWay.get(group) ?? 0) === 0;
--- a/src/leadership/promote-best.ts
+++ b/src/leadership/promote-best.ts
@@ -2,34 +2,34 @@
 import type {EndpointStatus} from '../links/endpoint-link.js';
 import {askStatus} from './ask-endpoints.js';
 import {
-	getLeastTerm, isNeverReplaced, rankSuccessors, type SuccessorCandidate,
+	getMinTerm, isNeverReplaced, rankSuccessors, type SuccessorCandidate,
 } from './choose-successor.js';
 import {LeadPhase, type LeadershipRecord} from './leadership-record.js';
 import {ORDER_EFFECT_MS, OrderOutcome} from './promotion-orders.js';
 import {RETRY_MS, type ReplacePrimaryParts} from './replace-parts.js';
 
-/** Longest order to promote, in milliseconds; usually answered after 13. */
+/** Timeout of a promotion order, in milliseconds; the response usually takes 13. */
 const ORDER_TIMEOUT_MS = 600;
 
-/** How often a promoted endpoint is asked whether it leads by now, in milliseconds; it takes 600 to 1,000. */
-const PROMOTED_POLL_MS = 40;
+/** Interval at which a promoted endpoint is asked whether it is primary, in milliseconds; a promotion takes 600 to 1,000. */
+const PROMOTION_POLL_INTERVAL_MS = 40;
 
-/** A promotion that shows no effect for so long is ordered anew, in milliseconds: three times the longest seen. */
-const PROMOTED_WITHIN_MS = 3000;
+/** A promotion that has had no visible effect for this long is ordered again, in milliseconds: three times the longest promotion. */
+const PROMOTION_TIMEOUT_MS = 3000;
 
-/** Who may lead next. */
+/** The endpoints that may become primary. */
 export type Successors = {
 	readonly candidates: readonly SuccessorCandidate[];
-	/** A primary that still serves, which goes on where nothing else can lead. */
+	/** The primary that still serves; it remains primary if no candidate can be promoted. */
 	readonly former: readonly SuccessorCandidate[];
 };
 
-/** Promotes the best candidate that runs, and waits until it leads. */
-export async function promoteBest(parts: ReplacePrimaryParts, {candidates, former}: Successors, before: LeadershipRecord, until: number): Promise<SuccessorCandidate | undefined> {
+/** Promotes the best candidate that is running and waits until it is primary; resolves to undefined if none could be promoted before `until`. */
+export async function promoteBestCandidate(parts: ReplacePrimaryParts, {candidates, former}: Successors, before: LeadershipRecord, until: number): Promise<SuccessorCandidate | undefined> {
 	const {log} = parts;
 	const ranked = [...rankSuccessors(candidates, before)];
 	const lastResort = [...former];
-	// Only then can nobody else have been ordered to lead since the candidates were asked.
+	// Only if the group was steady is it certain that no other endpoint was ordered to be promoted since the candidates were asked.
 	let isFirst = before.phase === LeadPhase.Steady;
 	while (parts.clock.now() < until) {
 		if (ranked.length === 0) {
@@ -41,15 +41,15 @@
 			return undefined;
 		}
 
-		// The first order follows the question for candidates by milliseconds, or comes after their fences were seen again.
+		// The first order follows the candidates' responses by milliseconds, or comes after their fences were checked again.
 		const now = isFirst ? best.status : await askAgain(parts, best);
-		if (!isSameLife(parts, best, now)) {
-			log.info('a candidate has started again without what it held', {group: before.group, endpoint: best.endpointId, held: best.status.received});
+		if (!isSameIncarnation(parts, best, now)) {
+			log.info('a candidate has restarted and lost its log', {group: before.group, endpoint: best.endpointId, held: best.status.received});
 			ranked.shift();
 			continue;
 		}
 
-		const proof = isFirst ? getFirstProof(best, before) : getLaterProof(now);
+		const proof = isFirst ? getFirstOrderProof(best, before) : getLaterOrderProof(now);
 		const outcome = await orderPromotion(parts, before.group, best.endpointId);
 		if (outcome === OrderOutcome.NotRunning) {
 			ranked.shift();
@@ -57,7 +57,7 @@
 		}
 
 		if (outcome === undefined) {
-			log.info('the duty was lost', {group: before.group});
+			log.info('the failover lease was lost', {group: before.group});
 			return undefined;
 		}
 
@@ -67,12 +67,12 @@
 		}
 
 		isFirst = false;
-		const status = await waitUntilLeads(parts, best, outcome === OrderOutcome.Accepted ? proof : {...proof, showsBy: Number.POSITIVE_INFINITY});
+		const status = await waitUntilPromoted(parts, best, outcome === OrderOutcome.Accepted ? proof : {...proof, sameTermAfterMs: Number.POSITIVE_INFINITY});
 		if (status) {
 			return {...best, status};
 		}
 
-		// It may have stopped after the order: the next one is tried before it is tried again.
+		// The endpoint may have stopped after the order, so the next candidate is tried before it is tried again.
 		ranked.push(ranked.shift()!);
 	}
 
@@ -80,12 +80,13 @@
 }
 
 /**
- * Whether a candidate is still the one that was asked, as far as can be seen.
+ * Whether a candidate is still the incarnation that was asked, as far as can be observed.
  *
- * Guards against an order to a server that has started again meanwhile and lost its log: the order names the server alone, and every replica would follow it
- * into an empty log. It shows as a life that is no longer registered, or as an empty log; a shorter one may have been rolled back by an earlier order.
+ * A server that has restarted meanwhile and lost its log must not be promoted: the order names only the server, and every replica would roll back to
+ * its empty log. A restart is visible as an incarnation that is no longer registered, or as an empty log. A shorter log may have been rolled back by an
+ * earlier order.
  */
-function isSameLife({directory}: ReplacePrimaryParts, {endpointId, status}: SuccessorCandidate, now: EndpointStatus | undefined): boolean {
+function isSameIncarnation({directory}: ReplacePrimaryParts, {endpointId, status}: SuccessorCandidate, now: EndpointStatus | undefined): boolean {
 	const isEmptied = now?.received.position === 0 && status.received.position > 0;
 	return directory.get(endpointId) !== undefined && !isEmptied;
 }
@@ -96,17 +97,17 @@
 }
 
 /**
- * Gives the order while the duty outlasts it; undefined where the duty could not be kept.
+ * Gives the promotion order if the failover lease lasts longer than the order may take; resolves to undefined if the lease could not be kept.
  *
- * Guards against an order of a former holder that arrives after its successor's: the order is given up, and its
- * connection with it, before the duty can be another's.
+ * Prevents an order of a former holder from arriving after one of its successor: the order and its connection are abandoned before another host can
+ * hold the lease.
  */
-async function orderPromotion({duty, orders, log, hostName}: ReplacePrimaryParts, group: string, endpointId: string): Promise<OrderOutcome | undefined> {
-	if (duty.getToken(ORDER_TIMEOUT_MS) === undefined && !await duty.take()) {
+async function orderPromotion({duty: failoverLease, orders, log, hostName}: ReplacePrimaryParts, group: string, endpointId: string): Promise<OrderOutcome | undefined> {
+	if (failoverLease.getToken(ORDER_TIMEOUT_MS) === undefined && !await failoverLease.take()) {
 		return undefined;
 	}
 
-	const token = duty.getToken(ORDER_TIMEOUT_MS);
+	const token = failoverLease.getToken(ORDER_TIMEOUT_MS);
 	if (token === undefined) {
 		return undefined;
 	}
@@ -120,47 +121,47 @@
 	return outcome;
 }
 
-/** What shows that an order took effect, or that its endpoint led already and leads on. */
-type EffectProof = {
-	/** The endpoint leads in this term at least. */
-	readonly leastTerm: number;
-	/** It leads in a term that `leadsOn` admits so long after an order that was accepted, in milliseconds. */
-	readonly showsBy: number;
-	leadsOn(status: EndpointStatus): boolean;
+/** The conditions under which an endpoint's status proves that an order took effect, or that the endpoint was primary before and remains so. */
+type PromotionProof = {
+	/** A primary in this term or a later one proves it. */
+	readonly minTerm: number;
+	/** A primary whose status `acceptsSameTerm` accepts proves it this long after the order, in milliseconds; never if the order was not accepted. */
+	readonly sameTermAfterMs: number;
+	acceptsSameTerm(status: EndpointStatus): boolean;
 };
 
-/** The first order since the group was steady: nobody but the recorded primary has led since, unless somebody outside had it so. */
-function getFirstProof(candidate: SuccessorCandidate, before: LeadershipRecord): EffectProof {
+/** The proof for the first order since the group was steady: no endpoint other than the recorded primary has led since, unless an order came from outside this system. */
+function getFirstOrderProof(candidate: SuccessorCandidate, before: LeadershipRecord): PromotionProof {
 	return {
-		leastTerm: getLeastTerm(candidate, before),
-		showsBy: PROMOTED_WITHIN_MS,
-		leadsOn: status => isNeverReplaced(candidate.endpointId, status, before),
+		minTerm: getMinTerm(candidate, before),
+		sameTermAfterMs: PROMOTION_TIMEOUT_MS,
+		acceptsSameTerm: status => isNeverReplaced(candidate.endpointId, status, before),
 	};
 }
 
 /**
- * An order after which others may have been given, here or by a host that died.
+ * The proof for an order that may follow other orders, of this host or of a host that died.
  *
- * Guards against an endpoint that shows the effect of an earlier order while another has been ordered to lead since and is not heard: what is
- * committed there is lost. So its term must be later than what it showed just before the order, when all earlier orders had
- * taken effect; or the order was accepted and left it as it was, as the platform does with the present primary alone.
+ * An endpoint may show the effect of an earlier order while another endpoint has been ordered to be promoted since and does not respond: commits at
+ * the first would be lost. So its term must be later than the one it reported just before this order, when all earlier orders had taken effect; or
+ * the order was accepted and changed nothing, which the platform does only for the present primary.
  */
-function getLaterProof(now: EndpointStatus | undefined): EffectProof {
-	return {leastTerm: now ? now.term + 1 : Number.POSITIVE_INFINITY, showsBy: ORDER_EFFECT_MS, leadsOn: () => true};
+function getLaterOrderProof(now: EndpointStatus | undefined): PromotionProof {
+	return {minTerm: now ? now.term + 1 : Number.POSITIVE_INFINITY, sameTermAfterMs: ORDER_EFFECT_MS, acceptsSameTerm: () => true};
 }
 
-/** Waits until the endpoint says that it leads, as the proof asks for. */
-async function waitUntilLeads(parts: ReplacePrimaryParts, candidate: SuccessorCandidate, {leastTerm, showsBy, leadsOn}: EffectProof): Promise<EndpointStatus | undefined> {
+/** Waits until the endpoint reports a status that satisfies the proof; resolves to undefined if it does not within the promotion timeout. */
+async function waitUntilPromoted(parts: ReplacePrimaryParts, candidate: SuccessorCandidate, {minTerm, sameTermAfterMs, acceptsSameTerm}: PromotionProof): Promise<EndpointStatus | undefined> {
 	const orderedAt = parts.clock.now();
-	for (let askedAt = orderedAt; askedAt < orderedAt + PROMOTED_WITHIN_MS + PROMOTED_POLL_MS; askedAt = parts.clock.now()) {
+	for (let askedAt = orderedAt; askedAt < orderedAt + PROMOTION_TIMEOUT_MS + PROMOTION_POLL_INTERVAL_MS; askedAt = parts.clock.now()) {
 		const endpoint = parts.directory.get(candidate.endpointId);
 		const status = endpoint && await askStatus(parts, endpoint, {kind: 'status'});
-		const shows = status?.role === EndpointRole.Primary && (status.term >= leastTerm || (askedAt >= orderedAt + showsBy && leadsOn(status)));
-		if (shows) {
+		const isPromoted = status?.role === EndpointRole.Primary && (status.term >= minTerm || (askedAt >= orderedAt + sameTermAfterMs && acceptsSameTerm(status)));
+		if (isPromoted) {
 			return status;
 		}
 
-		await parts.clock.sleep(PROMOTED_POLL_MS);
+		await parts.clock.sleep(PROMOTION_POLL_INTERVAL_MS);
 	}
 
 	return undefined;
--- a/src/leadership/promotion-orders.ts
+++ b/src/leadership/promotion-orders.ts
@@ -1,12 +1,12 @@
-/** What became of an order to promote. */
+/** The outcome of a promotion order. */
 export const OrderOutcome = {
-	/** The endpoint will lead the next term, some hundred milliseconds later; or it leads already. */
+	/** The endpoint will be primary in the next term, some hundred milliseconds later; or it is primary already. */
 	Accepted: 'accepted',
 	/** The endpoint is not running. */
 	NotRunning: 'not-running',
-	/** The platform takes no orders at this moment; nothing was done. */
+	/** The platform accepts no orders at the moment; nothing was done. */
 	Refused: 'refused',
-	/** No answer came: the order may have been taken. */
+	/** No response arrived: the order may have been accepted. */
 	Unknown: 'unknown',
 } as const;
 
@@ -14,8 +14,8 @@
 export type OrderOutcome = typeof OrderOutcome[keyof typeof OrderOutcome];
 
 /**
- * An order that was accepted has taken effect within this time, in milliseconds; promotions take 600 to 1,000. Before that, a former primary
- * may say that it leads while another is about to.
+ * An accepted order has taken effect within this time, in milliseconds; promotions take 600 to 1,000. Before that, a former primary
+ * may report itself as primary while another endpoint is being promoted.
  */
 export const ORDER_EFFECT_MS = 1500;
 
@@ -23,13 +23,13 @@
 export type PromotionOrder = {
 	readonly group: string;
 	readonly endpointId: string;
-	/** Host that holds the duty. */
+	/** Host that holds the failover lease. */
 	readonly holder: string;
-	/** Fencing token of the duty: it never falls, and no two holders share one. */
+	/** Fencing token of the failover lease: it never decreases, and no two holders share one. */
 	readonly token: number;
 };
 
-/** Gives orders to the platform. */
+/** Sends promotion orders to the platform. */
 export type PromotionOrders = {
 	promote(order: PromotionOrder, timeoutMs: number): Promise<OrderOutcome>;
 };
--- a/src/leadership/replace-parts.ts
+++ b/src/leadership/replace-parts.ts
@@ -29,11 +29,11 @@
 	readonly log: Log;
 	readonly hostName: string;
 	readonly ownPeerAddress: string;
-	/** Told how long each part took, in milliseconds. */
+	/** Called after a replacement with the duration of each part. */
 	onReplaced(group: string, parts: ReplacementTimes): void;
 };
 
-/** Parts of a replacement, in milliseconds. */
+/** Durations of the parts of a replacement, in milliseconds. */
 export type ReplacementTimes = {
 	readonly markMs: number;
 	readonly revokeMs: number;
@@ -42,5 +42,5 @@
 	readonly settleMs: number;
 };
 
-/** Pause before something that brought no answer is tried again, in milliseconds. */
+/** Pause before a request that was refused or got no response is repeated, in milliseconds. */
 export const RETRY_MS = 100;
--- a/src/leadership/replace-primary.ts
+++ b/src/leadership/replace-primary.ts
@@ -3,10 +3,10 @@
 import {EVIDENCE_MS} from './lead-evidence.js';
 import {isAffirmed, LeadPhase} from './leadership-record.js';
 import {
-	cleanUp, gatherCandidates, keepFenced, liftFences, waitForCatchUp,
+	restoreReplicas, gatherCandidates, keepFenced, liftFences, waitForCatchUp,
 } from './ask-endpoints.js';
-import {createEvidenceEnd} from './evidence-end.js';
-import {promoteBest} from './promote-best.js';
+import {createLeaseRevocation} from './lease-revocation.js';
+import {promoteBestCandidate} from './promote-best.js';
 import {ORDER_EFFECT_MS} from './promotion-orders.js';
 import type {ReplacePrimaryParts} from './replace-parts.js';
 import {isStillStored, updateRecord} from './update-record.js';
@@ -15,28 +15,27 @@
 export type Replacement = {
 	readonly group: string;
 	readonly reason: string;
-	/** The primary still serves: work under way may end, and its log must be whole at the successor. */
+	/** The primary still serves: work in progress may finish, and the successor must hold the primary's whole log. */
 	readonly planned: boolean;
 };
 
-/** Beyond the time that evidence lasts, in milliseconds: the clocks differ in rate. */
-const EVIDENCE_MARGIN_MS = 150;
+/** Time waited beyond the duration of a primary lease, in milliseconds, since clocks differ in rate. */
+const LEASE_MARGIN_MS = 150;
 
-/** In a planned change transactions under way get this long to end, in milliseconds, while new work waits. */
-const PLANNED_SETTLE_MS = 600;
+/** Time that open transactions have to finish in a planned change, in milliseconds, while new work waits. */
+const PLANNED_DRAIN_MS = 600;
 
-/** How often the duty is renewed while a primary is replaced, in milliseconds: three tries within the lease. */
-const RENEW_MS = 1000;
+/** Interval at which the failover lease is renewed while a primary is replaced, in milliseconds: three attempts within the lease. */
+const RENEWAL_INTERVAL_MS = 1000;
 
-/** The whole is given up after so long, in milliseconds; the record then says that the group is changing, and the next host goes on. */
-const GIVE_UP_MS = 12_000;
+/** A replacement is abandoned after this time, in milliseconds; the record then still says that the group is changing, and the next host continues. */
+const REPLACEMENT_TIMEOUT_MS = 12_000;
 
 /**
- * Replaces the primary of a group; true once the store shows a steady primary again.
+ * Replaces the primary of a group; resolves to true once the store has a steady primary again.
  *
- * The order of steps is what keeps acknowledged commits and fresh reads safe: first the record says that the group is
- * changing, so that no host can get evidence of the old primary any more; then every host gives its evidence up, or
- * the time that evidence lasts passes; only then is anything promoted.
+ * The order of the steps protects acknowledged commits and fresh reads. First the record says that the group is changing, so that no host can get
+ * a new lease of the old primary. Then every host gives up its lease, or the leases expire. Only then is an endpoint promoted.
  */
 export async function replacePrimary(outerParts: ReplacePrimaryParts, replacement: Replacement): Promise<boolean> {
 	const parts = {...outerParts, log: outerParts.log.part('replace: ')};
@@ -45,28 +44,28 @@
 	}
 
 	const ended = new AbortController();
-	void keepDuty(parts, ended.signal);
+	void renewFailoverLease(parts, ended.signal);
 	try {
-		return await replaceUnderDuty(parts, replacement);
+		return await replaceUnderLease(parts, replacement);
 	} finally {
 		ended.abort();
 	}
 }
 
-/** Renews the duty: the wait for the end of evidence is as long as the duty lasts. */
-async function keepDuty({duty, clock}: ReplacePrimaryParts, ended: AbortSignal) {
+/** Renews the failover lease, since the wait for primary leases to expire is as long as the failover lease lasts. */
+async function renewFailoverLease({duty: failoverLease, clock}: ReplacePrimaryParts, ended: AbortSignal) {
 	for (;;) {
-		await clock.sleep(RENEW_MS, ended);
-		if (ended.aborted || !await duty.take()) {
+		await clock.sleep(RENEWAL_INTERVAL_MS, ended);
+		if (ended.aborted || !await failoverLease.take()) {
 			return;
 		}
 	}
 }
 
-async function replaceUnderDuty(parts: ReplacePrimaryParts, replacement: Replacement): Promise<boolean> {
+async function replaceUnderLease(parts: ReplacePrimaryParts, replacement: Replacement): Promise<boolean> {
 	const {clock, elapsedClock, log, mirror} = parts;
 	const {group, planned, reason} = replacement;
-	const giveUpAt = clock.now() + GIVE_UP_MS;
+	const giveUpAt = clock.now() + REPLACEMENT_TIMEOUT_MS;
 	const marks: number[] = [clock.now()];
 	const mark = () => {
 		marks.push(clock.now());
@@ -79,7 +78,7 @@
 
 	const {revision} = mirror.state;
 	const generation = getGeneration(revision);
-	// One of an earlier generation may be out of date: another primary may have been promoted since, as in a change that nobody finished.
+	// A record of an earlier store generation may be out of date: another primary may have been promoted since, as in an unfinished change.
 	const before = isAffirmed(held, revision) ? held : {...held, phase: LeadPhase.Changing};
 
 	log.info('a primary is replaced', {
@@ -93,12 +92,12 @@
 		return false;
 	}
 
-	// Evidence read before the record was updated is at most as old as the answer to the update.
+	// A lease read before the record was updated started at the latest when the response to the update arrived.
 	const markedAt = elapsedClock.elapsed();
 	mark();
-	const evidence = createEvidenceEnd(parts, changing, planned ? PLANNED_SETTLE_MS : 0);
+	const revocation = createLeaseRevocation(parts, changing, planned ? PLANNED_DRAIN_MS : 0);
 	if (planned) {
-		await evidence.ask();
+		await revocation.request();
 		await waitForCatchUp(parts, before);
 	}
 
@@ -107,28 +106,28 @@
 		return {all: found, fencedAt: elapsedClock.elapsed()};
 	};
 
-	// Counted from the fences and not from the answers of the hosts: one that does not answer would lengthen the gap by 800 ms, its timeout in each round.
-	const [{all, fencedAt}] = await Promise.all([fence(), evidence.ask()]);
-	const byTime = await evidence.wait(Math.max(markedAt, fencedAt) + EVIDENCE_MS + EVIDENCE_MARGIN_MS);
+	// Counted from the fences and not from the hosts' responses: a host that does not respond would lengthen the time without a primary by 800 ms, its timeout in each round.
+	const [{all, fencedAt}] = await Promise.all([fence(), revocation.request()]);
+	const byTime = await revocation.wait(Math.max(markedAt, fencedAt) + EVIDENCE_MS + LEASE_MARGIN_MS);
 	mark();
 	if (before.phase === LeadPhase.Changing) {
-		// Another host may have given an order before it died.
+		// Another host may have given a promotion order before it died.
 		await clock.sleep(markedAt + ORDER_EFFECT_MS - elapsedClock.elapsed());
 	}
 
 	log.info('endpoints were asked for a successor', {group, byTime, candidates: all.map(({endpointId, leaving, status}) => ({endpointId, leaving, ...status}))});
 	const former = planned ? all.filter(({endpointId}) => endpointId === before.primaryId) : [];
 	const others = all.filter(candidate => !former.includes(candidate));
-	// After the fences: a host that vouches for the primary in a store that came back later would find them.
+	// Checked after the fences are set: a host that rewrites the record for the primary in a store that is restored later finds them.
 	if (!await isStillStored(parts, changing, giveUpAt)) {
 		log.warn('the record of a change is no longer stored', {group, epoch: changing.epoch});
-		leaveToOthers(parts, group);
+		abandonChange(parts, group);
 		return false;
 	}
 
 	const candidates = byTime ? await keepFenced(parts, others, before) : others;
 	mark();
-	const leading = await promoteBest(parts, {candidates, former}, before, giveUpAt);
+	const leading = await promoteBestCandidate(parts, {candidates, former}, before, giveUpAt);
 	mark();
 	if (!leading) {
 		log.warn('no endpoint could be promoted', {group, epoch: changing.epoch, candidates: candidates.map(({endpointId, status}) => ({endpointId, ...status}))});
@@ -143,13 +142,13 @@
 		start: leading.endpointId === before.primaryId && leading.status.term === before.term ? before.start : leading.status.received,
 	}, changing.version, giveUpAt);
 	mark();
-	cleanUp(parts, leading, before);
+	restoreReplicas(parts, leading, before);
 	if (!steady) {
 		return false;
 	}
 
-	await tellEverywhere(parts, group);
-	await Promise.all(evidence.silent.map(async host => parts.gone.markGone(host)));
+	await notifyOtherHosts(parts, group);
+	await Promise.all(revocation.silent.map(async host => parts.gone.mark(host)));
 	const [markMs, revokeMs, chooseMs, promoteMs, settleMs] = marks.slice(1).map((at, i) => Math.round(at - marks[i]!)) as [number, number, number, number, number];
 	const times = {
 		markMs, revokeMs, chooseMs, promoteMs, settleMs,
@@ -161,23 +160,23 @@
 	return true;
 }
 
-/** Gives a change up whose record is lost; another host that changes the group by now lifts the fences itself. */
-function leaveToOthers(parts: ReplacePrimaryParts, group: string) {
+/** Abandons a change whose record is lost. If another host is changing the group by now, that host lifts the fences. */
+function abandonChange(parts: ReplacePrimaryParts, group: string) {
 	const record = parts.mirror.state.leadership.get(group);
 	if (record?.phase === LeadPhase.Steady) {
 		liftFences(parts, group, record.primaryId);
 	}
 }
 
-/** Tells the other hosts that there is something new to ask for. */
-async function tellEverywhere({mirror, peers, ownPeerAddress}: ReplacePrimaryParts, group: string) {
+/** Notifies the other hosts that a record was changed, so that they request it. */
+async function notifyOtherHosts({mirror, peers, ownPeerAddress}: ReplacePrimaryParts, group: string) {
 	for (const host of mirror.state.hosts) {
 		if (host.peerAddress !== ownPeerAddress) {
-			peers.call(host.peerAddress, 'lead-changed', {group}, LEAD_CALL_TIMEOUT_MS).catch(ignoreUnheard);
+			peers.call(host.peerAddress, 'lead-changed', {group}, LEAD_CALL_TIMEOUT_MS).catch(ignoreUndelivered);
 		}
 	}
 }
 
-/** A host that does not hear of a change finds it with its next confirmation. */
-function ignoreUnheard(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
+/** Ignores a notification that was not delivered: the host finds the change with its next confirmation. */
+function ignoreUndelivered(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 
--- a/src/leadership/replacements.ts
+++ b/src/leadership/replacements.ts
@@ -6,34 +6,34 @@
 import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
 import type {Replacement} from './replace-primary.js';
 
-/** The replacements of primaries that this host has under way, and the ways to begin one. */
+/** The primary replacements that this host is performing, and the functions that begin one. */
 export type Replacements = {
 	/** Groups whose primary is being replaced here. */
 	readonly changing: ReadonlySet<string>;
-	/** Whether none begins any more as long as another host could do it. */
+	/** Whether this host begins no replacement while there is another host that could. */
 	readonly retired: boolean;
 	retire(): void;
-	/** Replaces a primary here; true where that is under way already, or came to its end. */
+	/** Replaces a primary on this host; resolves to true if that is in progress already, or was completed. */
 	begin(replacement: Replacement): Promise<boolean>;
-	/** Replaces a primary, or asks the holder of the duty to do it, where another host holds it; `epoch` is that of the record that the wish is about. */
+	/** Replaces a primary, or requests the failover coordinator to do it if that is another host; `epoch` is that of the group's record on which the decision is based. */
 	beginOrAsk(replacement: Replacement, epoch: number): Promise<void>;
 };
 
-/** What the replacements need. */
+/** What {@link createReplacements} needs. */
 export type ReplacementsOptions = {
-	readonly duty: DutyLease;
+	readonly failoverLease: DutyLease;
 	readonly mirror: StoreMirror;
 	readonly peers: Peers;
 	readonly log: Log;
 	readonly ownPeerAddress: string;
-	/** Whether this host may begin a replacement, being known to all hosts that it has to wait for. */
+	/** Whether this host may begin a replacement: all hosts that it has to wait for must know it. */
 	mayReplace(): boolean;
 	replace(replacement: Replacement): Promise<boolean>;
 };
 
-/** Creates the replacements of a host that has none under way. */
+/** Creates the replacements of a host that is performing none. */
 export function createReplacements(options: ReplacementsOptions): Replacements {
-	const {duty, mirror, peers, log} = options;
+	const {failoverLease, mirror, peers, log} = options;
 	const changing = new Set<string>();
 	let retired = false;
 
@@ -60,13 +60,13 @@
 	const ask = async (holder: string, address: string, {group, reason}: Replacement, epoch: number) => {
 		try {
 			const {taken} = await peers.call(address, 'lead-replace', {group, epoch, reason}, LEAD_CALL_TIMEOUT_MS);
-			log.info('the holder of the duty was asked to replace a primary', {group, holder, taken});
+			log.info('the failover coordinator was asked to replace a primary', {group, holder, taken});
 		} catch (err) {
 			if (!isPeerError(err)) {
 				throw err;
 			}
 
-			log.info('the holder of the duty does not answer', {group, holder, reason: err.message});
+			log.info('the failover coordinator does not respond', {group, holder, reason: err.message});
 		}
 	};
 
@@ -80,7 +80,7 @@
 		},
 		begin,
 		async beginOrAsk(replacement, epoch) {
-			const holder = duty.getOtherHolder();
+			const holder = failoverLease.getOtherHolder();
 			const host = holder === undefined ? undefined : mirror.state.hosts.find(({name}) => name === holder);
 			await (host && host.peerAddress !== options.ownPeerAddress ? ask(host.name, host.peerAddress, replacement, epoch) : begin(replacement));
 		},
--- a/src/leadership/store-returns.ts
+++ b/src/leadership/store-returns.ts
@@ -6,31 +6,31 @@
 import {EVIDENCE_MS} from './lead-evidence.js';
 import type {HostRecord} from './leadership-record.js';
 
-/** Knows whether the store has come back from a copy lately, and which hosts its list may lack since. */
+/** Tracks store restores, and which hosts may be missing from the list of hosts since then. */
 export type StoreReturns = {
-	/** Hosts that were listed before a return and have not registered again, at the elapsed time `now`. */
+	/** Returns the hosts that were listed before a restore and have not registered again, at the elapsed time `now`. */
 	getLostHosts(now: number): ReadonlyArray<Versioned<HostRecord>>;
-	/** Whether a host that this one never knew may hold evidence, at the elapsed time `now`. */
+	/** Whether a host that this one never knew may hold a lease, at the elapsed time `now`. */
 	mayLackHosts(now: number): boolean;
 };
 
-/** What this needs. */
+/** What {@link createStoreReturns} needs. */
 export type StoreReturnsOptions = {
 	readonly mirror: StoreMirror;
 	readonly elapsedClock: ElapsedClock;
 };
 
-/** A host whose registration was lost has no evidence any more so long after the return, in milliseconds: it went on without the store for as long as a host may. */
-const LOST_HOST_MS = LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS;
+/** Time after a restore by which a host whose registration was lost holds no lease any more, in milliseconds: the longest time that a host may continue without the store, and a lease. */
+const LOST_HOST_LEASE_MS = LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS;
 
-/** The same for a host that registered shortly before the store was lost, in milliseconds: endpoints do not lengthen its evidence. */
-const NEW_HOST_MS = EVIDENCE_MS + 150;
+/** The same for a host that registered shortly before the store was lost, in milliseconds: endpoints do not renew its lease. */
+const NEW_HOST_LEASE_MS = EVIDENCE_MS + 150;
 
 /**
- * Creates the knowledge of a host that has not read the store yet.
+ * Creates the tracking for a host that has not read the store yet.
  *
- * A host that was confirmed by the store shortly before the return knows all that had registered by then. Those that registered later were new when the store
- * was lost. A host that was without the store for longer, or starts after the return, cannot tell.
+ * A host whose copy the store confirmed shortly before the restore knows all hosts that had registered by then. Hosts that registered later were new when
+ * the store was lost. A host that was without the store for longer, or starts after the restore, cannot tell which hosts are missing.
  */
 export function createStoreReturns({mirror, elapsedClock}: StoreReturnsOptions): StoreReturns {
 	let generation: number | undefined;
@@ -39,18 +39,18 @@
 	let lost: ReadonlyArray<{readonly host: Versioned<HostRecord>; readonly until: number}> = [];
 	let mayLackUntil = Number.NEGATIVE_INFINITY;
 
-	const noteReturn = (now: number) => {
+	const noteRestore = (now: number) => {
 		const isCurrent = confirmedAt !== undefined && now - confirmedAt < LONGEST_WITHOUT_STORE_MS;
-		mayLackUntil = Math.max(mayLackUntil, now + (isCurrent ? NEW_HOST_MS : LOST_HOST_MS));
-		lost = [...lost, ...listed.map(host => ({host, until: now + LOST_HOST_MS}))];
+		mayLackUntil = Math.max(mayLackUntil, now + (isCurrent ? NEW_HOST_LEASE_MS : LOST_HOST_LEASE_MS));
+		lost = [...lost, ...listed.map(host => ({host, until: now + LOST_HOST_LEASE_MS}))];
 	};
 
 	mirror.onChange(() => {
 		const now = elapsedClock.elapsed();
 		const current = getGeneration(mirror.state.revision);
-		// A process that starts after a return finds records of before.
+		// A process that starts after a restore finds records of an earlier generation.
 		if (generation === undefined ? holdsRecordsOfBefore(mirror.state) : current !== generation) {
-			noteReturn(now);
+			noteRestore(now);
 		}
 
 		generation = current;
--- a/src/leadership/update-record.ts
+++ b/src/leadership/update-record.ts
@@ -7,7 +7,10 @@
 
 const STORE_TIMEOUT_MS = 900;
 
-/** Writes a group's record under its condition, again and again until it is known whether that took effect; undefined where it did not. */
+/**
+ * Writes a group's record conditionally and repeats that until it is known whether the update took effect; resolves to undefined if it did not, or if
+ * that is not known by `until`.
+ */
 export async function updateRecord({store, mirror, clock, log}: ReplacePrimaryParts, record: LeadershipRecord, version: number, until: number): Promise<Versioned<LeadershipRecord> | undefined> {
 	const {version: _, ...value} = record as Versioned<LeadershipRecord>;
 	while (clock.now() < until) {
@@ -24,7 +27,7 @@
 				throw err;
 			}
 
-			log.info('an update of a record brought no answer and is repeated', {group: record.group, epoch: record.epoch, reason: err.message});
+			log.info('an update of a record got no response and is repeated', {group: record.group, epoch: record.epoch, reason: err.message});
 			await clock.sleep(RETRY_MS);
 		}
 	}
@@ -33,9 +36,11 @@
 }
 
 /**
- * Whether the store still shows a record as this host wrote it, asked until it answers; false after `until`.
+ * Resolves to whether the store still contains a record as this host wrote it. Repeats the request until the store responds; resolves to false after
+ * `until`.
  *
- * Guards against a store that came back from a copy and lost the record: hosts may have had evidence of what stood there before since, and were not asked to give that up.
+ * A store restored from a backup may have lost the record: since then hosts may have obtained leases from the record that was there before, and were not
+ * requested to give those up.
  */
 export async function isStillStored({mirror, clock}: ReplacePrimaryParts, written: Versioned<LeadershipRecord>, until: number): Promise<boolean> {
 	while (clock.now() < until) {
@@ -50,7 +55,7 @@
 	return false;
 }
 
-/** A conflict may be with this host's own update, the answer to which was lost. */
+/** Returns the stored record if a conflict is with this host's own update, the response to which was lost. */
 async function findOwnUpdate(mirror: StoreMirror, record: LeadershipRecord) {
 	await mirror.confirm();
 	const found = mirror.state.leadership.get(record.group);
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -34,14 +34,14 @@
 		name: 'wait-for-silent',
 		without: 'the wait for hosts that do not acknowledge',
 		changes: [
-			inLeadership('evidence-end.ts', 'while ((!hosts || silent.length > 0) && elapsedClock', 'while (!hosts && elapsedClock'),
-			inLeadership('evidence-end.ts', 'while (byTime && elapsedClock', 'while (!hosts && elapsedClock'),
+			inLeadership('lease-revocation.ts', 'while ((!hosts || silent.length > 0) && elapsedClock', 'while (!hosts && elapsedClock'),
+			inLeadership('lease-revocation.ts', 'while (byTime && elapsedClock', 'while (!hosts && elapsedClock'),
 		],
 	},
 	{
 		name: 'wait-for-marked',
 		without: 'the wait for hosts that are marked as gone',
-		changes: [inLeadership('evidence-end.ts', 'const hasGone = hosts?.some(host => host.gone) ?? true;', 'const hasGone = !hosts;')],
+		changes: [inLeadership('lease-revocation.ts', 'const hasUnresponsiveHosts = hosts?.some(host => host.gone) ?? true;', 'const hasUnresponsiveHosts = !hosts;')],
 	},
 	{
 		name: 'from-asking',
@@ -70,7 +70,7 @@
 	{
 		name: 'shown-term',
 		without: 'the term that an order must show',
-		changes: [inLeadership('promote-best.ts', '(status.term >= leastTerm || ', '(leastTerm > 0 || ')],
+		changes: [inLeadership('promote-best.ts', '(status.term >= minTerm || ', '(minTerm > 0 || ')],
 	},
 	{
 		name: 'later-order',
@@ -105,7 +105,7 @@
 	{
 		name: 'seen-fence',
 		without: 'the look at fences: endpoints that answer suffice',
-		changes: [inLeadership('fence-look.ts', 'bounded.value.fencedTerm <= term && ', '')],
+		changes: [inLeadership('fence-check.ts', 'bounded.value.fencedTerm <= term && ', '')],
 	},
 	{
 		name: 'kept-fence',
@@ -116,8 +116,8 @@
 		name: 'registered',
 		without: 'registration as a condition of evidence',
 		changes: [
-			inLeadership('lead-evidence.ts', 'isYoung(group, record.epoch, now) && isRegistered() ?', 'isYoung(group, record.epoch, now) ?'),
-			inLeadership('lead-evidence.ts', '!isRevoked && isYoung(group, epoch, now) && isRegistered()', '!isRevoked && isYoung(group, epoch, now)'),
+			inLeadership('lead-evidence.ts', 'isUnexpired(group, record.epoch, now) && isRegistered() ?', 'isUnexpired(group, record.epoch, now) ?'),
+			inLeadership('lead-evidence.ts', '!isRevoked && isUnexpired(group, epoch, now) && isRegistered()', '!isRevoked && isUnexpired(group, epoch, now)'),
 		],
 	},
 	{
@@ -132,16 +132,16 @@
 		name: 'give-up',
 		without: 'the giving up of evidence when asked',
 		changes: [
-			inLeadership('lead-watch.ts', 'evidences.pause(group, epoch);', ''),
-			inLeadership('lead-watch.ts', 'evidences.revoke(group, epoch);', ''),
+			inLeadership('lead-watch.ts', 'primaryLeases.pause(group, epoch);', ''),
+			inLeadership('lead-watch.ts', 'primaryLeases.revoke(group, epoch);', ''),
 		],
 	},
 	{
 		name: 'own-give-up',
 		without: 'the giving up of its own evidence by the host that replaces',
 		changes: [
-			inLeadership('evidence-end.ts', 'evidences.pause(group, epoch);', ''),
-			inLeadership('evidence-end.ts', 'evidences.revoke(group, epoch);', ''),
+			inLeadership('lease-revocation.ts', 'primaryLeases.pause(group, epoch);', ''),
+			inLeadership('lease-revocation.ts', 'primaryLeases.revoke(group, epoch);', ''),
 		],
 	},
 	{
@@ -183,8 +183,8 @@
 		name: 'vouched-by-evidence',
 		without: 'evidence as a condition of writing a record again',
 		changes: [
-			inLeadership('reaffirm-record.ts', 'if (!holdsEvidence(record)) {', 'if (!isOpen(record)) {'),
-			inLeadership('reaffirm-record.ts', 'if (!isOpen(record) || !holdsEvidence(record) || underWay', 'if (!isOpen(record) || underWay'),
+			inLeadership('rewrite-record.ts', 'if (!holdsLease(record)) {', 'if (!isPending(record)) {'),
+			inLeadership('rewrite-record.ts', 'if (!isPending(record) || !holdsLease(record) || underWay', 'if (!isPending(record) || underWay'),
 		],
 	},
 	{
@@ -195,17 +195,17 @@
 	{
 		name: 'lost-hosts',
 		without: 'the wait for hosts that a restored store may have lost',
-		changes: [inLeadership('evidence-end.ts', 'silent.length > 0 || hasGone || mayLackHosts;', 'silent.length > 0 || hasGone;')],
+		changes: [inLeadership('lease-revocation.ts', 'silent.length > 0 || hasUnresponsiveHosts || mayLackHosts;', 'silent.length > 0 || hasUnresponsiveHosts;')],
 	},
 	{
 		name: 'duty-after-return',
 		without: 'the wait for a duty that a restored store may have lost',
-		changes: [inLeadership('duty-lease.ts', 'if (isJustBack(now)) {', 'if (isJustBack(now) && now < 0) {')],
+		changes: [inLeadership('duty-lease.ts', 'if (isRecentlyRestored(now)) {', 'if (isRecentlyRestored(now) && now < 0) {')],
 	},
 	{
 		name: 'token-of-generation',
 		without: 'tokens above all of earlier generations',
-		changes: [inLeadership('duty-lease.ts', 'getNextInGeneration(generation, duty?.token ?? 0)', '(duty?.token ?? 0) + 1')],
+		changes: [inLeadership('duty-lease.ts', 'getNextInGeneration(generation, record?.token ?? 0)', '(record?.token ?? 0) + 1')],
 	},
 	{
 		name: 'versions-of-before',
--- a/tests/leadership/ask-endpoints-tests.ts
+++ b/tests/leadership/ask-endpoints-tests.ts
@@ -41,8 +41,8 @@
 		directory: {list: () => endpoints, get: (id: string) => endpoints.find(({entry}) => entry.id === id)},
 		duty: {take: async () => true, getToken: () => 1, getOtherHolder: () => undefined},
 		evidences: {pause: () => undefined, revoke: () => undefined},
-		primaryWork: {settle: async () => undefined},
-		gone: {markGone: async () => undefined, sweep: async () => undefined},
+		primaryWork: {drain: async () => undefined},
+		gone: {mark: async () => undefined, sweep: async () => undefined},
 		returns: {mayLackHosts: () => false, getLostHosts: () => []},
 		mirror: {
 			confirm: async () => true,
--- a/tests/leadership/choose-successor-tests.ts
+++ b/tests/leadership/choose-successor-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {getLeastTerm, isNeverReplaced, rankSuccessors} from '../../src/leadership/choose-successor.js';
+import {getMinTerm, isNeverReplaced, rankSuccessors} from '../../src/leadership/choose-successor.js';
 
 function make(endpointId: string, role: 'primary' | 'replica', term: number, position: number, leaving = false) {
 	return {
@@ -35,7 +35,7 @@
 
 	function doTest(name: string, candidate: ReturnType<typeof make>, expected: number) {
 		it(name, () => {
-			expect(getLeastTerm(candidate, before)).to.equal(expected);
+			expect(getMinTerm(candidate, before)).to.equal(expected);
 		});
 	}
 
@@ -45,7 +45,7 @@
 	doTest('a superseded primary leads the next', make('old', 'primary', 2, 9), 4);
 	doTest('another that claims the same term leads the next', make('other', 'primary', 3, 9), 4);
 	it('the primary of a record that says changing leads the next: an earlier replacement may have promoted another', () => {
-		expect(getLeastTerm(make('p', 'primary', 3, 9), {...before, phase: 'changing'})).to.equal(4);
+		expect(getMinTerm(make('p', 'primary', 3, 9), {...before, phase: 'changing'})).to.equal(4);
 		expect(rankSuccessors([make('p', 'primary', 3, 9), make('r', 'replica', 3, 9)], {...before, phase: 'changing'})[0]?.endpointId).to.equal('r');
 	});
 
--- a/tests/leadership/evidence-end-tests.ts
+++ b/tests/leadership/lease-revocation-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createEvidenceEnd} from '../../src/leadership/evidence-end.js';
+import {createLeaseRevocation} from '../../src/leadership/lease-revocation.js';
 import type {ReplacePrimaryParts} from '../../src/leadership/replace-parts.js';
 import {throwPeerSilent} from '../../src/peers/peer-errors.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
@@ -30,7 +30,7 @@
 			},
 		},
 		returns: {mayLackHosts: () => mayLackHosts, getLostHosts: () => lost.map(({name}) => ({name, peerAddress: `${name}:7000`}))},
-		primaryWork: {settle: async () => undefined},
+		primaryWork: {drain: async () => undefined},
 		mirror: {
 			confirm: async () => confirms,
 			state: {
@@ -49,8 +49,8 @@
 			},
 		},
 	} as unknown as ReplacePrimaryParts;
-	const evidence = createEvidenceEnd(parts, CHANGING, 0);
-	await clock.runUntil(evidence.ask());
+	const evidence = createLeaseRevocation(parts, CHANGING, 0);
+	await clock.runUntil(evidence.request());
 	const byTime = await clock.runUntil(evidence.wait(ENDS_AT));
 	return {byTime, waited: clock.now() >= ENDS_AT, revoked: revoked.toSorted()};
 }
--- a/tests/leadership/promote-best-tests.ts
+++ b/tests/leadership/promote-best-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {promoteBest} from '../../src/leadership/promote-best.js';
+import {promoteBestCandidate} from '../../src/leadership/promote-best.js';
 import {OrderOutcome} from '../../src/leadership/promotion-orders.js';
 import type {ReplacePrimaryParts} from '../../src/leadership/replace-parts.js';
 import type {EndpointStatus} from '../../src/links/endpoint-link.js';
@@ -62,7 +62,7 @@
 	const before = {
 		group: 'nights', primaryId: 'p', term: 1, epoch: 1, phase, start: {term: 1, position: 0}, changedBy: 'entry-1',
 	};
-	const leading = await clock.runUntil(promoteBest(parts, {
+	const leading = await clock.runUntil(promoteBestCandidate(parts, {
 		candidates: candidates.map(id => makeCandidate(id)), former: former === undefined ? [] : [makeCandidate(former)],
 	}, before, 12_000));
 	return {leads: leading ? `${leading.endpointId} ${leading.status.term}` : 'nobody', orders, tookMs: clock.now()};
