--- a/src/groups/confirmed-samples.ts
+++ b/src/groups/confirmed-samples.ts
@@ -1,26 +1,26 @@
 import type {LogPosition} from '../terms/log-position.js';
 
-/** Most samples kept; thinned so that the gaps between them grow with their age. */
+/** Maximum number of samples kept; they are thinned so that the gaps between them grow with their age. */
 export const MAX_SAMPLES = 128;
 
-/** When the primary's confirmed position was no further than `log`. */
+/** A time at which the primary's confirmed position was not beyond `log`. */
 type Sample = {
 	readonly at: number;
 	readonly log: LogPosition;
 };
 
-/** Samples of the primary's confirmed position over time, from which the age of a replica's data follows. */
+/** Samples of the primary's confirmed position over time, from which the age of a replica's data is computed. */
 export type ConfirmedSamples = {
-	/** Notes that at `at` nothing beyond `log` had been acknowledged; samples may come in any order of time. */
+	/** Adds a sample: at the time `at` nothing beyond `log` had been acknowledged. Samples may be added in any order of time. */
 	add(log: LogPosition, at: number): void;
-	/** The newest time at which everything acknowledged was within a log that ends at `log`, undefined where unknown. */
+	/** Returns the latest time at which a log that ends at `log` contained everything acknowledged; undefined if unknown. */
 	getHeldAt(log: LogPosition): number | undefined;
-	/** How many samples are kept. */
+	/** Number of samples kept. */
 	readonly size: number;
 };
 
-/** Finds the sample between two others whose loss blurs an age least, relative to that age. */
-function findDispensable(samples: readonly Sample[], now: number): number {
+/** Returns the index of the sample, other than the first and last, whose removal adds the smallest relative error to an age. */
+function findLeastUsefulSample(samples: readonly Sample[], now: number): number {
 	let dispensable = 1;
 	let least = Infinity;
 
@@ -36,16 +36,16 @@
 	return dispensable;
 }
 
-/** Creates an empty set of samples. Dropping a sample only ever makes an age larger. */
+/** Creates an empty set of samples. Removing a sample can only make a computed age larger. */
 export function createConfirmedSamples(): ConfirmedSamples {
 	// Oldest first; time, term and, within a term, position all rise.
 	const samples: Sample[] = [];
 
-	/** Where a sample of that time belongs, so that times stay in order. */
+	/** Returns the index at which a sample of that time is inserted, so that samples stay in order of time. */
 	const findPlace = (at: number) => samples.findLastIndex(sample => sample.at <= at) + 1;
 
 	const dropDominated = (log: LogPosition, place: number) => {
-		// A later sample at the same or a lower position of the same term says more than the earlier one.
+		// A later sample at the same or a lower position of the same term makes the earlier one redundant.
 		let first = place;
 		while (first > 0 && samples[first - 1]!.log.term === log.term && samples[first - 1]!.log.position >= log.position) {
 			first--;
@@ -62,8 +62,8 @@
 		(place > 0 && log.term < samples[place - 1]!.log.term) || (place < samples.length && log.term > samples[place]!.log.term);
 
 	return {
-		// A write is confirmed a replica's lag after it was sent, and a barrier within one round. Were a sample older than
-		// the newest refused, each barrier would cost the samples of all writes under way, and ages would look that much larger.
+		// A write is confirmed one replica lag after it was sent, and a barrier within one round trip. If samples older than the
+		// newest were rejected, each barrier would discard the samples of all writes in progress, and ages would be overestimated by that much.
 		add(log, at) {
 			const place = findPlace(at);
 			if (isContradicted(log, place) || isDominated(log, samples[place])) {
@@ -72,12 +72,12 @@
 
 			samples.splice(dropDominated(log, place), 0, {at, log});
 			if (samples.length > MAX_SAMPLES) {
-				samples.splice(findDispensable(samples, samples.at(-1)!.at), 1);
+				samples.splice(findLeastUsefulSample(samples, samples.at(-1)!.at), 1);
 			}
 		},
 		getHeldAt(log) {
-			// A sample of an older term says nothing of a log of a newer one: with durability `primary` a promotion
-			// may have dropped what the sample counted, and the position alone would hide it.
+			// A sample of an older term is not valid for a log of a newer one: with durability `primary` a promotion may have
+			// dropped entries that the sample counted, which the position alone does not show.
 			return samples.findLast(sample => sample.log.term === log.term && sample.log.position <= log.position)?.at;
 		},
 		get size() {
--- a/src/groups/create-group-knowledge.ts
+++ b/src/groups/create-group-knowledge.ts
@@ -11,15 +11,15 @@
 	getGroup(): VersionedGroup;
 };
 
-/** An endpoint's knowledge and the address it was gained at: a name given to another server starts afresh. */
+/** What is known of an endpoint, and the address at which it was observed: a name that is given to another server starts without knowledge. */
 type Entry = {
 	readonly address: string;
 	knowledge: EndpointKnowledge;
 };
 
 /**
- * Tells whether an answer was overtaken: answers of exchanges that ran side by side may arrive in any order, and
- * one that shows a lower promise, or the same one seen earlier, would bring a superseded primary back.
+ * Returns whether a status is outdated. Responses to concurrent requests may arrive in any order, and one with a lower promised term, or with the same
+ * term observed earlier, would make a superseded primary count as primary again.
  */
 function isOvertaken(status: EndpointStatus, now: number, known: EndpointKnowledge | undefined): boolean {
 	if (!known?.status || status.term > known.status.term) {
@@ -29,7 +29,7 @@
 	return status.term < known.status.term || now < known.seenAt;
 }
 
-/** Creates the knowledge of one group, empty. */
+/** Creates the knowledge of one group, of which nothing was observed yet. */
 export function createGroupKnowledge(options: GroupKnowledgeOptions): GroupKnowledge {
 	const entries = new Map<string, Entry>();
 	const samples = createConfirmedSamples();
--- a/src/groups/group-knowledge.ts
+++ b/src/groups/group-knowledge.ts
@@ -3,38 +3,38 @@
 import type {EndpointConfig} from './group-config.js';
 
 /**
- * What an owner has seen of a group's endpoints. It may be stale or wrong at any moment; nothing that must hold
- * rests on it, since each answer is checked against what the server shows in the same exchange.
+ * The status of a group's endpoints as an owner last observed them. It may be stale or wrong at any moment. No guarantee depends on it, since each
+ * response is checked against the status that the server reports in the same exchange.
  */
 export type GroupKnowledge = {
-	/** Notes a server's own word, seen at `now`. */
+	/** Records the status that a server reported, observed at `now`. */
 	observe(endpoint: string, status: EndpointStatus, now: number): void;
-	/** Notes that an exchange with the server brought no answer. */
+	/** Records that the server did not respond in an exchange. */
 	observeFailure(endpoint: string, now: number): void;
-	/** What was last seen of an endpoint. */
+	/** Returns what was last observed of an endpoint; undefined if nothing was. */
 	get(endpoint: string): EndpointKnowledge | undefined;
-	/** The endpoint that showed itself primary at the highest term seen, undefined where a higher promise was seen without one. */
+	/** Returns the endpoint that reported itself as primary in the highest term observed; undefined if that term was promised but no primary of it was observed. */
 	getPrimary(): EndpointConfig | undefined;
-	/** The highest term that any server has shown to have promised. */
+	/** The highest term that any server has reported as promised. */
 	readonly highestTerm: number;
-	/** Notes a position of the primary that a majority confirmed under its term. */
+	/** Records a position of the primary that a majority confirmed in its term. */
 	observeConfirmed(position: number, term: number, now: number): void;
-	/** Upper bound of the age of what an endpoint holds, in milliseconds; Infinity where unknown. */
+	/** Returns an upper bound of the age of an endpoint's data, in milliseconds; Infinity if unknown. */
 	getAgeMs(endpoint: string, now: number): number;
-	/** Upper bound of the age of what a log that ends at `log` holds, in milliseconds; Infinity where unknown. */
+	/** Returns an upper bound of the age of the data in a log that ends at `log`, in milliseconds; Infinity if unknown. */
 	getLogAgeMs(log: LogPosition, now: number): number;
-	/** About when the primary's log reached that end, for predictions; undefined where it was not seen to, or is too long ago. */
+	/** Returns the estimated time at which the primary's log reached that end, for predictions; undefined if that was not observed or is too long ago. */
 	getReachedAt(log: LogPosition): number | undefined;
 };
 
-/** What was last seen of one endpoint. */
+/** What was last observed of one endpoint. */
 export type EndpointKnowledge = {
-	/** The last status shown. */
+	/** The last status that the endpoint reported. */
 	readonly status?: EndpointStatus;
-	/** When the status was seen. */
+	/** Time at which the status was observed. */
 	readonly seenAt: number;
-	/** Exchanges without an answer since the last answer. */
+	/** Number of exchanges without a response since the last response. */
 	readonly failures: number;
-	/** When the present run of failures began. */
+	/** Time at which the present run of failures began. */
 	readonly failingSince?: number;
 };
--- a/src/groups/primary-history.ts
+++ b/src/groups/primary-history.ts
@@ -1,24 +1,24 @@
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What the primary's log held over time as its own answers showed it; for predictions alone, since nothing confirms it. */
+/** The end of the primary's log over time, as the primary itself reported it. It is used for predictions only, since no majority confirms it. */
 export type PrimaryHistory = {
-	/** Notes that the primary showed a log that ends at `log`. */
+	/** Records that the primary reported a log that ends at `log`. */
 	note(log: LogPosition, now: number): void;
-	/** About when the primary's log reached that end; undefined where it was not seen to, or is too long ago. */
+	/** Returns the estimated time at which the primary's log reached that end; undefined if that was not observed or is too long ago. */
 	getReachedAt(log: LogPosition): number | undefined;
 };
 
-/** A position and when it was seen first and last. */
+/** A position and the first and last time at which it was observed. */
 type Point = {
 	readonly position: number;
 	readonly firstAt: number;
 	lastAt: number;
 };
 
-/** Points kept at most; half of them are dropped when they are reached. */
+/** Maximum number of points; the older half is dropped once there are more. */
 const MAX_POINTS = 1024;
 
-/** Creates an empty history; a higher term begins it anew. */
+/** Creates an empty history; a higher term clears it. */
 export function createPrimaryHistory(): PrimaryHistory {
 	let points: Point[] = [];
 	let term = 0;
--- a/src/leadership/host-census.ts
+++ b/src/leadership/host-census.ts
@@ -5,7 +5,7 @@
 import type {Clock} from '../time/clock.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import type {GoneHosts} from './gone-hosts.js';
-import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 
 /**
  * Marks hosts that have ended without notice, while no primary is being replaced.
@@ -55,7 +55,7 @@
 		const previouslyUnresponsive = lastUnresponsive;
 		const unresponsive = new Set<string>();
 		await Promise.all(silentHosts.map(async host => {
-			if (!await isHostAlive(peers, host.peerAddress, LEAD_CALL_TIMEOUT_MS)) {
+			if (!await isHostAlive(peers, host.peerAddress, LEADERSHIP_CALL_TIMEOUT_MS)) {
 				unresponsive.add(host.peerAddress);
 			}
 		}));
--- a/src/leadership/lead-calls.ts
+++ b/src/leadership/leadership-calls.ts
@@ -21,4 +21,4 @@
 }
 
 /** Timeout of a call between hosts about leadership, in milliseconds: about a hundred times the latency between two availability zones. */
-export const LEAD_CALL_TIMEOUT_MS = 400;
+export const LEADERSHIP_CALL_TIMEOUT_MS = 400;
--- a/src/leadership/lease-revocation.ts
+++ b/src/leadership/lease-revocation.ts
@@ -1,7 +1,7 @@
 import {withinMs} from '../time/deadline.js';
 import type {Versioned} from '../mirror/mirror-state.js';
 import {isPeerError} from '../peers/peer-errors.js';
-import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 import type {HostRecord, LeadershipRecord} from './leadership-record.js';
 import {RETRY_MS, type ReplacePrimaryParts} from './replace-parts.js';
 
@@ -40,7 +40,7 @@
 
 	const requestOne = async (host: Versioned<HostRecord>) => {
 		try {
-			await parts.peers.call(host.peerAddress, 'lead-revoke', {group, epoch, settleMs}, settleMs + LEAD_CALL_TIMEOUT_MS);
+			await parts.peers.call(host.peerAddress, 'lead-revoke', {group, epoch, settleMs}, settleMs + LEADERSHIP_CALL_TIMEOUT_MS);
 			return undefined;
 		} catch (err) {
 			if (!isPeerError(err)) {
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -8,7 +8,7 @@
 import type {Peers} from '../peers/peers.js';
 import {withinMs} from '../time/deadline.js';
 import type {Clock} from '../time/clock.js';
-import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 
 /** Whether this host and the other hosts reach the primaries. */
 export type PrimaryReachability = {
@@ -189,7 +189,7 @@
 
 	const requestReport = async (address: string, endpointId: string) => {
 		try {
-			const {reachable} = await peers.call(address, 'lead-opinion', {endpointId}, LEAD_CALL_TIMEOUT_MS);
+			const {reachable} = await peers.call(address, 'lead-opinion', {endpointId}, LEADERSHIP_CALL_TIMEOUT_MS);
 			return reachable;
 		} catch (err) {
 			if (!isPeerError(err)) {
--- a/src/leadership/replace-primary.ts
+++ b/src/leadership/replace-primary.ts
@@ -1,5 +1,5 @@
 import {getGeneration, getNextInGeneration} from '../mirror/store-generation.js';
-import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 import {EVIDENCE_MS} from './lead-evidence.js';
 import {isAffirmed, LeadPhase} from './leadership-record.js';
 import {
@@ -172,7 +172,7 @@
 async function notifyOtherHosts({mirror, peers, ownPeerAddress}: ReplacePrimaryParts, group: string) {
 	for (const host of mirror.state.hosts) {
 		if (host.peerAddress !== ownPeerAddress) {
-			peers.call(host.peerAddress, 'lead-changed', {group}, LEAD_CALL_TIMEOUT_MS).catch(ignoreUndelivered);
+			peers.call(host.peerAddress, 'lead-changed', {group}, LEADERSHIP_CALL_TIMEOUT_MS).catch(ignoreUndelivered);
 		}
 	}
 }
--- a/src/leadership/replacements.ts
+++ b/src/leadership/replacements.ts
@@ -3,7 +3,7 @@
 import {isPeerError} from '../peers/peer-errors.js';
 import type {Peers} from '../peers/peers.js';
 import type {DutyLease} from './duty-lease.js';
-import {LEAD_CALL_TIMEOUT_MS} from './lead-calls.js';
+import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 import type {Replacement} from './replace-primary.js';
 
 /** The primary replacements that this host is performing, and the functions that begin one. */
@@ -59,7 +59,7 @@
 
 	const ask = async (holder: string, address: string, {group, reason}: Replacement, epoch: number) => {
 		try {
-			const {taken} = await peers.call(address, 'lead-replace', {group, epoch, reason}, LEAD_CALL_TIMEOUT_MS);
+			const {taken} = await peers.call(address, 'lead-replace', {group, epoch, reason}, LEADERSHIP_CALL_TIMEOUT_MS);
 			log.info('the failover coordinator was asked to replace a primary', {group, holder, taken});
 		} catch (err) {
 			if (!isPeerError(err)) {
--- a/src/routes/routing.ts
+++ b/src/routes/routing.ts
@@ -1,77 +1,80 @@
 import type {Workspace} from '../workspaces/workspace.js';
 
-/** How fresh the data must be that a route's reads see. */
+/** The policies for how fresh the data of a route's reads must be. */
 export const ReadPolicy = {
-	/** Every commit acknowledged before the read. */
+	/** Reads see every commit acknowledged before the read. */
 	Primary: 'primary',
-	/** Every commit acknowledged longer ago than the route's staleness. */
+	/** Reads see every commit acknowledged longer ago than the route's maximum staleness. */
 	Bounded: 'bounded',
-	/** The same, and every commit of the session itself. */
+	/** As `Bounded`; in addition reads see every commit of their own session. */
 	OwnWrites: 'own-writes',
 } as const;
 
 /** One of the policies in {@link ReadPolicy}. */
 export type ReadPolicy = typeof ReadPolicy[keyof typeof ReadPolicy];
 
-/** Where the statements of one database name go, and how they are treated. */
+/** The group to which the statements for one database name are sent, and the rules that apply to them. */
 export type Route = {
 	readonly name: string;
-	/** The database that callers name. */
+	/** Name of the database to which callers connect. */
 	readonly database: string;
 	readonly group: string;
 	readonly policy: ReadPolicy;
-	/** Age that data may have which a read sees, in milliseconds; 0 for the primary policy. */
+	/** Maximum age of the data that a read sees, in milliseconds; 0 for the primary policy. */
 	readonly maxReadAgeMs: number;
-	/** Bound for a single statement, in milliseconds. */
+	/** Timeout of a single statement, in milliseconds. */
 	readonly statementTimeoutMs: number;
-	/** Time in which a whole operation is wanted, in milliseconds. */
+	/** Latency target of a whole operation, in milliseconds. */
 	readonly targetLatencyMs: number;
-	/** 0 goes first. */
+	/** Priority of the route's statements; 0 is the highest. */
 	readonly priority: number;
-	/** Callers have to show the key of a workspace. */
+	/** Whether callers must present the key of a workspace. */
 	readonly needsKey?: boolean;
 };
 
 /** A database group as it is configured. */
 export type RoutedGroup = {
 	readonly name: string;
-	/** Connections that each of its endpoints takes, from all hosts together. */
+	/** Maximum number of connections that each of the group's endpoints accepts from all hosts together. */
 	readonly maxConnections: number;
 };
 
-/** One version of the configuration in full. */
+/** One complete version of the configuration. */
 export type Routing = {
 	readonly version: number;
-	/** By database. */
+	/** Routes by database name. */
 	readonly routes: ReadonlyMap<string, Route>;
-	/** By name. */
+	/** Groups by name. */
 	readonly groups: ReadonlyMap<string, RoutedGroup>;
-	/** By name; empty where the deployment has none. */
+	/** Workspaces by name; empty if the deployment has none. */
 	readonly workspaces: ReadonlyMap<string, Workspace>;
-	/** A transaction idle for so long may be ended, in milliseconds. */
+	/** Idle time after which a transaction may be ended, in milliseconds. */
 	readonly idleTransactionMs: number;
 };
 
-/** How long a transaction may rest with its connection before its host ends it, in milliseconds: a statement and a pause; without a configuration, none begins. */
+/**
+ * Returns how long a transaction may keep its connection without progress before its host ends it, in milliseconds: the longest statement and the
+ * idle time. Without a configuration no transaction begins.
+ */
 export function getLongestRestMs(routing: Routing | undefined): number {
 	const longestStatementMs = Math.max(0, ...[...routing?.routes.values() ?? []].map(({statementTimeoutMs}) => statementTimeoutMs));
 	return longestStatementMs + (routing?.idleTransactionMs ?? 0);
 }
 
-/** An endpoint as it registered itself. */
+/** The registration of an endpoint, written by the endpoint itself. */
 export type RegisteredEndpoint = {
-	/** Names one life of it: started again it knows nothing of before, and has another id. */
+	/** Identifies one incarnation of the server: a restarted server has lost its earlier state and has another id. */
 	readonly id: string;
-	/** Names the server, the same in each of its lives; two lives never overlap. */
+	/** Identifies the server across incarnations; two incarnations of one server never overlap. */
 	readonly server: string;
 	readonly group: string;
-	/** `ip:port`; used again by others once the endpoint is gone. */
+	/** `ip:port`; other endpoints may reuse it once this one has ended. */
 	readonly address: string;
 	readonly availabilityZone: string;
-	/** Statements that it runs at once. */
+	/** Maximum number of statements that it runs at the same time. */
 	readonly slots: number;
-	/** It is about to end and must get no new work. */
+	/** Whether the endpoint is about to end and must get no new work. */
 	readonly leaving: boolean;
-	/** It says of itself that it leads its group; a superseded primary says so too. */
+	/** Whether the endpoint reports itself as primary of its group; a superseded primary does so too. */
 	readonly claimsLead: boolean;
 };
