--- a/src/routes/routing.ts
+++ b/src/routes/routing.ts
@@ -53,8 +53,8 @@
 };
 
 /**
- * Returns how long a transaction may keep its connection without progress before its host ends it, in milliseconds: the longest statement and the
- * idle time. Without a configuration no transaction begins.
+ * Returns the longest time between two requests of a transaction on its connection, in milliseconds, after which its host ends it: the longest statement
+ * and the idle time. Without a configuration no transaction begins.
  */
 export function getLongestRestMs(routing: Routing | undefined): number {
 	const longestStatementMs = Math.max(0, ...[...routing?.routes.values() ?? []].map(({statementTimeoutMs}) => statementTimeoutMs));
--- a/tests/groups/create-group-knowledge-tests.ts
+++ b/tests/groups/create-group-knowledge-tests.ts
@@ -35,15 +35,15 @@
 		});
 	};
 
-	doPrimaryTest('knows no primary at first', [], undefined, 0);
-	doPrimaryTest('takes the one that shows itself primary', [[1, 'a', createStatus(1, 5, Primary)]], 'a', 1);
-	doPrimaryTest('knows none once a higher promise was seen', [[1, 'a', createStatus(1, 5, Primary)], [2, 'b', createStatus(2, 5, Replica, 1)]], undefined, 2);
-	doPrimaryTest('takes the primary of the highest term', [[1, 'b', createStatus(2, 6, Primary)], [2, 'a', createStatus(1, 9, Primary)]], 'b', 2);
-	doPrimaryTest('passes over an answer of a lower term that came late', [[1, 'a', createStatus(2, 5, Replica, 1)], [2, 'a', createStatus(1, 5, Primary)]], undefined, 2);
-	doPrimaryTest('passes over an answer of the same term seen earlier', [[5, 'a', createStatus(1, 5)], [4, 'a', createStatus(1, 5, Primary)]], undefined, 1);
-	doPrimaryTest('passes over an endpoint that is not of the group', [[1, 'z', createStatus(7, 5, Primary)]], undefined, 0);
-
-	it('counts a run of failures and ends it at the next answer', () => {
+	doPrimaryTest('has no primary at first', [], undefined, 0);
+	doPrimaryTest('returns the endpoint that reports itself as primary', [[1, 'a', createStatus(1, 5, Primary)]], 'a', 1);
+	doPrimaryTest('has no primary once a higher promised term was observed', [[1, 'a', createStatus(1, 5, Primary)], [2, 'b', createStatus(2, 5, Replica, 1)]], undefined, 2);
+	doPrimaryTest('returns the primary of the highest term', [[1, 'b', createStatus(2, 6, Primary)], [2, 'a', createStatus(1, 9, Primary)]], 'b', 2);
+	doPrimaryTest('ignores a late response of a lower term', [[1, 'a', createStatus(2, 5, Replica, 1)], [2, 'a', createStatus(1, 5, Primary)]], undefined, 2);
+	doPrimaryTest('ignores a response of the same term observed earlier', [[5, 'a', createStatus(1, 5)], [4, 'a', createStatus(1, 5, Primary)]], undefined, 1);
+	doPrimaryTest('ignores an endpoint that is not in the group', [[1, 'z', createStatus(7, 5, Primary)]], undefined, 0);
+
+	it('counts consecutive failures until the next response', () => {
 		const knowledge = createGroupKnowledge({getGroup: () => createGroup()});
 		knowledge.observe('a', createStatus(1, 5), 10);
 		knowledge.observeFailure('a', 9);
@@ -55,7 +55,7 @@
 		expect(knowledge.get('a')).to.include({failures: 0, seenAt: 40}).and.not.to.have.property('failingSince');
 	});
 
-	it('forgets a server whose name was given to another address', () => {
+	it('discards the knowledge of a server whose name was given to another address', () => {
 		let group = createGroup();
 		const knowledge = createGroupKnowledge({getGroup: () => group});
 		knowledge.observe('a', createStatus(3, 5, Primary), 10);
@@ -83,22 +83,22 @@
 
 	doAgeTest('is unknown without a sample', [], [1, 5], Infinity);
 	doAgeTest('is the time since the replica held all that was confirmed', [[100, 1, 5], [200, 1, 6], [300, 1, 7]], [1, 6], 800);
-	doAgeTest('counts from the newest sample of a quiet primary', [[100, 1, 5], [900, 1, 5]], [1, 5], 100);
-	doAgeTest('is unknown behind every sample', [[100, 1, 5]], [1, 4], Infinity);
-	doAgeTest('takes no sample of an older term for a log of a newer one', [[100, 1, 5]], [2, 5], Infinity);
-	doAgeTest('takes no sample of a newer term for a log of an older one', [[100, 1, 5], [200, 2, 6]], [1, 900], 900);
-	doAgeTest('lets a later, lower sample of the same term stand', [[100, 1, 9], [200, 1, 4]], [1, 4], 800);
-	doAgeTest('takes a sample that arrives after a newer one for its own time', [[200, 1, 9], [100, 1, 4]], [1, 4], 900);
+	doAgeTest('counts from the newest sample of an idle primary', [[100, 1, 5], [900, 1, 5]], [1, 5], 100);
+	doAgeTest('is unknown if the log ends before every sample', [[100, 1, 5]], [1, 4], Infinity);
+	doAgeTest('uses no sample of an older term for a log of a newer one', [[100, 1, 5]], [2, 5], Infinity);
+	doAgeTest('uses no sample of a newer term for a log of an older one', [[100, 1, 5], [200, 2, 6]], [1, 900], 900);
+	doAgeTest('uses a later, lower sample of the same term', [[100, 1, 9], [200, 1, 4]], [1, 4], 800);
+	doAgeTest('uses a sample that arrives after a newer one, at its own time', [[200, 1, 9], [100, 1, 4]], [1, 4], 900);
 	doAgeTest('keeps the newer sample where an older one arrives late', [[200, 1, 9], [100, 1, 4]], [1, 9], 800);
-	doAgeTest('makes no age smaller by a late sample that lies further', [[200, 1, 4], [100, 1, 9]], [1, 9], 800);
-	doAgeTest('passes over a late sample of a term that was over by then', [[100, 2, 6], [300, 2, 8], [200, 1, 7]], [1, 7], Infinity);
-	doAgeTest('passes over a late sample of a term that had not begun by then', [[100, 1, 4], [300, 1, 6], [200, 2, 5]], [2, 5], Infinity);
+	doAgeTest('does not become smaller by a late sample at a further position', [[200, 1, 4], [100, 1, 9]], [1, 9], 800);
+	doAgeTest('ignores a late sample of a term that had ended by then', [[100, 2, 6], [300, 2, 8], [200, 1, 7]], [1, 7], Infinity);
+	doAgeTest('ignores a late sample of a term that had not begun by then', [[100, 1, 4], [300, 1, 6], [200, 2, 5]], [2, 5], Infinity);
 
-	it('is unknown for an endpoint never seen', () => {
+	it('is unknown for an endpoint never observed', () => {
 		expect(createGroupKnowledge({getGroup: () => createGroup()}).getAgeMs('b', 1)).to.equal(Infinity);
 	});
 
-	it('finds the same ages in whatever order the samples arrive', () => {
+	it('is the same in whatever order the samples arrive', () => {
 		const random = createSeededRandom(1);
 		let position = 0;
 		const inOrder = Array.from({length: MAX_SAMPLES}, (_, i) => {
@@ -122,7 +122,7 @@
 		}
 	});
 
-	it('stays within a sixth of the truth over an hour of samples that are bounded in number', () => {
+	it('is overestimated by at most a sixth over an hour of samples that are limited in number', () => {
 		const samples = createConfirmedSamples();
 		const end = 3_600_000;
 		for (let at = 0; at <= end; at += 5) {
--- a/tests/groups/primary-history-tests.ts
+++ b/tests/groups/primary-history-tests.ts
@@ -15,13 +15,13 @@
 		});
 	};
 
-	doTest('knows nothing at first', [], [1, 5], undefined);
-	doTest('tells when a position was seen', [[100, 1, 5], [200, 1, 6]], [1, 6], 200);
-	doTest('takes positions between two sights as evenly written', [[100, 1, 10], [200, 1, 20]], [1, 15], 150);
-	doTest('counts from the last sight of a quiet primary', [[100, 1, 5], [900, 1, 5], [1000, 1, 7]], [1, 6], 950);
-	doTest('knows nothing of what came before the first sight', [[100, 1, 5], [200, 1, 6]], [1, 4], undefined);
-	doTest('knows nothing of what was not yet seen', [[100, 1, 5], [200, 1, 6]], [1, 7], undefined);
-	doTest('begins anew with a higher term', [[100, 1, 5], [200, 1, 6], [300, 2, 8], [400, 2, 9]], [1, 6], undefined);
-	doTest('passes over an answer of a lower term', [[100, 2, 5], [200, 1, 9], [300, 2, 6]], [2, 6], 300);
-	doTest('passes over an answer that was overtaken', [[100, 1, 5], [200, 1, 9], [210, 1, 7]], [1, 9], 200);
+	doTest('returns no time at first', [], [1, 5], undefined);
+	doTest('returns the time at which a position was observed', [[100, 1, 5], [200, 1, 6]], [1, 6], 200);
+	doTest('interpolates between two observations', [[100, 1, 10], [200, 1, 20]], [1, 15], 150);
+	doTest('interpolates from the last observation of an idle primary', [[100, 1, 5], [900, 1, 5], [1000, 1, 7]], [1, 6], 950);
+	doTest('returns no time for a position before the first observation', [[100, 1, 5], [200, 1, 6]], [1, 4], undefined);
+	doTest('returns no time for a position not observed yet', [[100, 1, 5], [200, 1, 6]], [1, 7], undefined);
+	doTest('is cleared by a higher term', [[100, 1, 5], [200, 1, 6], [300, 2, 8], [400, 2, 9]], [1, 6], undefined);
+	doTest('ignores a response of a lower term', [[100, 2, 5], [200, 1, 9], [300, 2, 6]], [2, 6], 300);
+	doTest('ignores an outdated response', [[100, 1, 5], [200, 1, 9], [210, 1, 7]], [1, 9], 200);
 });
--- a/tests/leadership/ask-endpoints-tests.ts
+++ b/tests/leadership/ask-endpoints-tests.ts
@@ -10,8 +10,8 @@
 	group: 'nights', primaryId: 'p', term: 1, epoch: 1, phase: 'steady', start: {term: 1, position: 0}, changedBy: 'entry-1', version: 3,
 } as const;
 
-/** Two replicas, `x` the further one, and a host list with one host that never answers; `x` forgets its fence after `forgetsAtMs`. */
-function createStage(forgetsAtMs: number) {
+/** Creates two replicas, of which `x` has the further log, and a host list with one unresponsive host; `x` loses its fence at `losesFenceAtMs`. */
+function createParts(losesFenceAtMs: number) {
 	const clock = createVirtualClock(0);
 	const fenced = new Map<string, number>();
 	const orders: string[] = [];
@@ -20,7 +20,7 @@
 			fenced.set(id, (command as {readonly term: number}).term);
 		}
 
-		if (id === 'x' && clock.now() >= forgetsAtMs) {
+		if (id === 'x' && clock.now() >= losesFenceAtMs) {
 			fenced.delete(id);
 		}
 
@@ -71,23 +71,23 @@
 }
 
 /**
- * A host that was not reached may use the primary for as long as no endpoint shows it a fence. An endpoint that restarts has forgotten
- * its own, so what that host saw there is younger than the time that was waited for: promoted, it would have two primaries used at once.
+ * A host that was not reached may use the primary for as long as no endpoint reports a fence to it. An endpoint that restarts has lost its fence, so
+ * that host may have renewed its lease after the wait began: if such an endpoint were promoted, two primaries would be in use at once.
  */
-describe('candidates whose fence is gone', () => {
-	function doTest(name: string, forgetsAtMs: number, expected: string) {
+describe('candidates that have lost their fence', () => {
+	function doTest(name: string, losesFenceAtMs: number, expected: string) {
 		it(name, async () => {
-			const {clock, parts, orders} = createStage(forgetsAtMs);
+			const {clock, parts, orders} = createParts(losesFenceAtMs);
 			expect(await clock.runUntil(replacePrimary(parts, {group: 'nights', reason: 'a test', planned: false}))).to.equal(true);
 			expect(orders).to.deep.equal([expected]);
 		});
 	}
 
-	doTest('the further endpoint is promoted where it kept its fence through the wait', Number.POSITIVE_INFINITY, 'x');
-	doTest('it is left out where it restarted in the wait', 1000, 'y');
+	doTest('the endpoint with the further log is promoted if it kept its fence during the wait', Number.POSITIVE_INFINITY, 'x');
+	doTest('it is left out if it restarted during the wait', 1000, 'y');
 
-	it('an endpoint that leads already needs none', async () => {
-		const {clock, parts} = createStage(0);
+	it('an endpoint that is primary already needs no fence', async () => {
+		const {clock, parts} = createParts(0);
 		const [x, y] = await clock.runUntil(gatherCandidates(parts, 'nights', {kind: 'fence', term: 2}));
 		const leading = {...x!, status: {...x!.status, role: 'primary' as const}};
 		const kept = await clock.runUntil(keepFenced(parts, [leading, y!], BEFORE));
--- a/tests/leadership/choose-successor-tests.ts
+++ b/tests/leadership/choose-successor-tests.ts
@@ -16,21 +16,20 @@
 		});
 	}
 
-	doTest('the furthest log first', [make('a', 'replica', 1, 5), make('b', 'replica', 1, 9)], ['b', 'a']);
-	doTest('a later term before a longer log', [make('a', 'replica', 1, 9), make('b', 'replica', 2, 5)], ['b', 'a']);
-	doTest('one that leads its term before a replica of it', [make('a', 'replica', 2, 9), make('b', 'primary', 2, 9)], ['b', 'a']);
-	doTest('a superseded primary behind a replica of the later term', [make('old', 'primary', 1, 20), make('b', 'replica', 2, 9)], ['b', 'old']);
-	doTest('one that leaves last among equals', [make('a', 'replica', 1, 9, true), make('b', 'replica', 1, 9)], ['b', 'a']);
-	// A server cut off for long holds the divergent end of an early term, and rolling back to it would lose far more.
-	doTest('one that leaves before one that holds less', [make('a', 'replica', 2, 9, true), make('b', 'primary', 1, 30)], ['a', 'b']);
+	doTest('the furthest log comes first', [make('a', 'replica', 1, 5), make('b', 'replica', 1, 9)], ['b', 'a']);
+	doTest('a later term comes before a longer log', [make('a', 'replica', 1, 9), make('b', 'replica', 2, 5)], ['b', 'a']);
+	doTest('a primary comes before a replica of the same term', [make('a', 'replica', 2, 9), make('b', 'primary', 2, 9)], ['b', 'a']);
+	doTest('a superseded primary comes after a replica of the later term', [make('old', 'primary', 1, 20), make('b', 'replica', 2, 9)], ['b', 'old']);
+	doTest('a leaving endpoint comes last among equals', [make('a', 'replica', 1, 9, true), make('b', 'replica', 1, 9)], ['b', 'a']);
+	// A server that was cut off for long holds the divergent end of an early term; rolling back to it would lose far more.
+	doTest('a leaving endpoint comes before one that holds less', [make('a', 'replica', 2, 9, true), make('b', 'primary', 1, 30)], ['a', 'b']);
 });
 
 /**
- * The primary of term 3 crashes a second after it was promoted. Its predecessor, cut off from the group, still calls itself
- * primary of term 2. Ordered to lead again it seems to do so at once, and what callers write in the second until the order
- * takes effect is lost, though it was acknowledged.
+ * The primary of term 3 crashes a second after its promotion. Its predecessor, cut off from the group, still reports itself as primary of term 2.
+ * When it is ordered to be promoted, it seems to be primary at once, and acknowledged writes of the second until the order takes effect are lost.
  */
-describe('the term in which a promoted endpoint has to lead', () => {
+describe('the lowest term in which a promoted endpoint has to be primary', () => {
 	const before = {primaryId: 'p', term: 3, phase: 'steady'} as const;
 
 	function doTest(name: string, candidate: ReturnType<typeof make>, expected: number) {
@@ -39,20 +38,20 @@
 		});
 	}
 
-	doTest('a replica leads the next', make('r', 'replica', 3, 9), 4);
-	doTest('a replica that knows a later one leads the next after that', make('r', 'replica', 5, 9), 6);
-	doTest('the primary itself leads on', make('p', 'primary', 3, 9), 3);
-	doTest('a superseded primary leads the next', make('old', 'primary', 2, 9), 4);
-	doTest('another that claims the same term leads the next', make('other', 'primary', 3, 9), 4);
-	it('the primary of a record that says changing leads the next: an earlier replacement may have promoted another', () => {
+	doTest('is the next for a replica', make('r', 'replica', 3, 9), 4);
+	doTest('is the one after that which the replica knows', make('r', 'replica', 5, 9), 6);
+	doTest('is unchanged for the recorded primary', make('p', 'primary', 3, 9), 3);
+	doTest('is the next for a superseded primary', make('old', 'primary', 2, 9), 4);
+	doTest('is the next for another endpoint that claims the same term', make('other', 'primary', 3, 9), 4);
+	it('is the next for the primary of a record in the changing phase: an earlier replacement may have promoted another endpoint', () => {
 		expect(getMinTerm(make('p', 'primary', 3, 9), {...before, phase: 'changing'})).to.equal(4);
 		expect(rankSuccessors([make('p', 'primary', 3, 9), make('r', 'replica', 3, 9)], {...before, phase: 'changing'})[0]?.endpointId).to.equal('r');
 	});
 
-	it('the primary of a record that says changing was never replaced where its term stays after an order', () => {
+	it('stays for the primary of a record in the changing phase if an order did not change it, since the primary was never replaced', () => {
 		const {status} = make('p', 'primary', 3, 9);
 		expect([isNeverReplaced('p', status, before), isNeverReplaced('q', status, before), isNeverReplaced('p', {...status, term: 4}, before)]).to.deep.equal([true, false, false]);
 	});
 
-	doTest('one that was promoted already leads on', make('r', 'primary', 4, 9), 4);
+	doTest('is unchanged for an endpoint that was promoted already', make('r', 'primary', 4, 9), 4);
 });
--- a/tests/leadership/lead-evidence-tests.ts
+++ b/tests/leadership/lead-evidence-tests.ts
@@ -9,8 +9,8 @@
 
 const SELF = 'entry-1:7000';
 
-/** A mirror that a test sets by hand. */
-function createSetMirror() {
+/** Creates a mirror whose state a test sets. */
+function createSettableMirror() {
 	const listeners: Array<() => void> = [];
 	const held: {state: MirrorState; confirmedAt: number | undefined} = {state: EMPTY_STATE, confirmedAt: undefined};
 	const mirror = {
@@ -51,99 +51,99 @@
 }
 
 function create(isKnownToAll = true) {
-	const set = createSetMirror();
-	const evidences = createLeadEvidences({mirror: set.mirror, ownPeerAddress: SELF, isKnownToAll: () => isKnownToAll});
-	return {...set, evidences};
+	const set = createSettableMirror();
+	const primaryLeases = createLeadEvidences({mirror: set.mirror, ownPeerAddress: SELF, isKnownToAll: () => isKnownToAll});
+	return {...set, primaryLeases};
 }
 
-function getOrThrow(evidence: LeadEvidence | undefined): LeadEvidence {
-	expect(evidence).to.not.equal(undefined);
-	return evidence!;
+function getOrThrow(lease: LeadEvidence | undefined): LeadEvidence {
+	expect(lease).to.not.equal(undefined);
+	return lease!;
 }
 
-describe('evidence of a primary', () => {
-	it('lasts from the asking, not from the answer', () => {
-		const {set, evidences} = create();
+describe('a primary lease', () => {
+	it('runs from the request, not from the response', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		expect(evidences.get('g', 1000 + EVIDENCE_MS - 1)?.primaryId).to.equal('p');
-		expect(evidences.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
+		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS - 1)?.primaryId).to.equal('p');
+		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
 	});
 
-	it('is given by each confirmation anew', () => {
-		const {set, evidences} = create();
+	it('is renewed by each confirmation', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
 		set('steady', 1, 2000);
-		expect(evidences.get('g', 2000 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
+		expect(primaryLeases.get('g', 2000 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
 	});
 
-	it('is not given while the group is changing, and what was begun may still end', () => {
-		const {set, evidences} = create();
+	it('is not given while the group is changing, and work in progress may still finish', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		const begun = getOrThrow(evidences.get('g', 1100));
+		const begun = getOrThrow(primaryLeases.get('g', 1100));
 		set('changing', 2, 1500);
-		expect(evidences.get('g', 1600)).to.equal(undefined);
-		expect(evidences.holds(begun, 1600)).to.equal(true);
-		expect(evidences.holds(begun, 1000 + EVIDENCE_MS)).to.equal(false);
+		expect(primaryLeases.get('g', 1600)).to.equal(undefined);
+		expect(primaryLeases.holds(begun, 1600)).to.equal(true);
+		expect(primaryLeases.holds(begun, 1000 + EVIDENCE_MS)).to.equal(false);
 	});
 
-	it('ends for good once it is revoked', () => {
-		const {set, evidences} = create();
+	it('ends permanently once it is revoked', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		const begun = getOrThrow(evidences.get('g', 1100));
-		evidences.revoke('g', 2);
+		const begun = getOrThrow(primaryLeases.get('g', 1100));
+		primaryLeases.revoke('g', 2);
 		set('steady', 1, 1200);
-		expect([evidences.get('g', 1300), evidences.holds(begun, 1300), evidences.isSuperseded(begun)]).to.deep.equal([undefined, false, true]);
+		expect([primaryLeases.get('g', 1300), primaryLeases.holds(begun, 1300), primaryLeases.isSuperseded(begun)]).to.deep.equal([undefined, false, true]);
 		set('steady', 2, 1400);
-		expect(evidences.get('g', 1500)?.epoch).to.equal(2);
+		expect(primaryLeases.get('g', 1500)?.epoch).to.equal(2);
 	});
 
-	it('is paused for new work alone', () => {
-		const {set, evidences} = create();
+	it('is paused for new work only', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		const begun = getOrThrow(evidences.get('g', 1100));
-		evidences.pause('g', 2);
-		expect([evidences.get('g', 1200), evidences.holds(begun, 1200)]).to.deep.equal([undefined, true]);
+		const begun = getOrThrow(primaryLeases.get('g', 1100));
+		primaryLeases.pause('g', 2);
+		expect([primaryLeases.get('g', 1200), primaryLeases.holds(begun, 1200)]).to.deep.equal([undefined, true]);
 	});
 
-	/** A host that did not answer was marked as gone; it lives. Nobody waits for it any more, so it must not go on as if asked. */
-	it('is not given to a host that is marked as gone', () => {
-		const {set, evidences} = create();
+	/** A running host was marked as unresponsive. No host sends it a request before a replacement any more, so it must not use a primary. */
+	it('is not given to a host that is marked as unresponsive', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000, true);
-		expect(evidences.get('g', 1100)).to.equal(undefined);
+		expect(primaryLeases.get('g', 1100)).to.equal(undefined);
 	});
 
-	it('is lengthened by endpoints without a fence, for as long as the host can count on being asked', () => {
-		const {set, evidences} = create();
+	it('is renewed by endpoints without a fence, for as long as other hosts are certain to know this one', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		evidences.noteUnfenced('g', 1, 3500);
-		expect(evidences.get('g', 3500 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
-		evidences.noteUnfenced('g', 1, 1000 + LONGEST_WITHOUT_STORE_MS);
-		expect(evidences.get('g', 1000 + LONGEST_WITHOUT_STORE_MS)).to.equal(undefined);
+		primaryLeases.noteUnfenced('g', 1, 3500);
+		expect(primaryLeases.get('g', 3500 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
+		primaryLeases.noteUnfenced('g', 1, 1000 + LONGEST_WITHOUT_STORE_MS);
+		expect(primaryLeases.get('g', 1000 + LONGEST_WITHOUT_STORE_MS)).to.equal(undefined);
 	});
 
-	/** A host gave its evidence up for a change that its copy of the store does not show. Told that nothing changes, others would confirm each other. */
-	it('that was given up for a change which the copy does not show yet is told of', () => {
-		const {set, evidences} = create();
+	/** A host gave up its lease for a change that its copy of the store does not contain. If it did not report that, the others would confirm each other's copies. */
+	it('is reported as outdated if it was revoked for a change that the copy does not contain yet', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		expect(evidences.getOutdated()).to.deep.equal([]);
-		evidences.revoke('g', 2);
-		expect(evidences.getOutdated()).to.deep.equal(['g']);
+		expect(primaryLeases.getOutdated()).to.deep.equal([]);
+		primaryLeases.revoke('g', 2);
+		expect(primaryLeases.getOutdated()).to.deep.equal(['g']);
 		set('changing', 2, 1200);
-		expect(evidences.getOutdated()).to.deep.equal([]);
+		expect(primaryLeases.getOutdated()).to.deep.equal([]);
 	});
 
-	/** Guards against a host that registered just before the store lost that: nobody asks it, and endpoints show it no fence before its evidence is waited out. */
-	it('is not lengthened where the host was new when the store was last read', () => {
-		const {set, evidences} = create(false);
+	/** A host registered just before the store lost that. No host sends it a request, and the wait for its lease may end before an endpoint reports a fence to it. */
+	it('is not renewed by endpoints if the host was new when the store was last read', () => {
+		const {set, primaryLeases} = create(false);
 		set('steady', 1, 1000);
-		evidences.noteUnfenced('g', 1, 3500);
-		expect(evidences.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
+		primaryLeases.noteUnfenced('g', 1, 3500);
+		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
 	});
 
-	it('is not lengthened for another epoch', () => {
-		const {set, evidences} = create();
+	it('is not renewed for another epoch', () => {
+		const {set, primaryLeases} = create();
 		set('steady', 2, 1000);
-		evidences.noteUnfenced('g', 1, 3500);
-		expect(evidences.get('g', 3500 + 1000)).to.equal(undefined);
+		primaryLeases.noteUnfenced('g', 1, 3500);
+		expect(primaryLeases.get('g', 3500 + 1000)).to.equal(undefined);
 	});
 });
--- a/tests/leadership/lease-revocation-tests.ts
+++ b/tests/leadership/lease-revocation-tests.ts
@@ -12,10 +12,10 @@
 	group: 'nights', primaryId: 'p', term: 1, epoch: 2, phase: 'changing', start: {term: 1, position: 0}, changedBy: 'entry-1', version: 9,
 } as const;
 
-type Host = {readonly name: string; readonly gone?: true; readonly answers: boolean};
+type Host = {readonly name: string; readonly gone?: true; readonly responds: boolean};
 
-/** Ends evidence among those hosts; tells how long it took and whether time alone had to end it. */
-async function end(hosts: readonly Host[], confirms = true, {mayLackHosts = false, lost = []}: {readonly mayLackHosts?: boolean; readonly lost?: readonly Host[]} = {}) {
+/** Revokes the leases of those hosts; returns who gave up its lease, whether the full wait was needed and whether a lease may have ended only by expiring. */
+async function revoke(hosts: readonly Host[], confirms = true, {mayLackHosts = false, lost = []}: {readonly mayLackHosts?: boolean; readonly lost?: readonly Host[]} = {}) {
 	const clock = createVirtualClock(0);
 	const revoked: string[] = [];
 	const parts = {
@@ -41,7 +41,7 @@
 			async call(address: string, kind: string) {
 				await clock.sleep(5);
 				const host = [...hosts, ...lost].find(({name}) => address === `${name}:7000`)!;
-				if (!host.answers) {
+				if (!host.responds) {
 					throwPeerSilent(address, kind);
 				}
 
@@ -49,35 +49,35 @@
 			},
 		},
 	} as unknown as ReplacePrimaryParts;
-	const evidence = createLeaseRevocation(parts, CHANGING, 0);
-	await clock.runUntil(evidence.request());
-	const byTime = await clock.runUntil(evidence.wait(ENDS_AT));
+	const revocation = createLeaseRevocation(parts, CHANGING, 0);
+	await clock.runUntil(revocation.request());
+	const byTime = await clock.runUntil(revocation.wait(ENDS_AT));
 	return {byTime, waited: clock.now() >= ENDS_AT, revoked: revoked.toSorted()};
 }
 
 /**
- * A primary is replaced. Whoever may still use it must have given that up, or its right to must have run out, before anybody is
- * ordered to lead: else a night that it acknowledges is lost.
+ * A primary is replaced. Each host that may still use it must have given up its lease, or the lease must have expired, before a promotion is
+ * ordered: otherwise a write that the old primary acknowledges is lost.
  */
-describe('the end of all evidence', () => {
-	function doTest(name: string, hosts: readonly Host[], expected: Awaited<ReturnType<typeof end>>, confirms?: boolean, returned?: Parameters<typeof end>[2]) {
+describe('the revocation of all leases', () => {
+	function doTest(name: string, hosts: readonly Host[], expected: Awaited<ReturnType<typeof revoke>>, confirms?: boolean, restored?: Parameters<typeof revoke>[2]) {
 		it(name, async () => {
-			expect(await end(hosts, confirms, returned)).to.deep.equal(expected);
+			expect(await revoke(hosts, confirms, restored)).to.deep.equal(expected);
 		});
 	}
 
-	const living: Host = {name: 'entry-2', answers: true};
-	doTest('comes at once where every host gives its own up, this one included', [living], {byTime: false, waited: false, revoked: ['entry-1', 'entry-2']});
-	doTest('comes by time where a host does not answer', [living, {name: 'entry-3', answers: false}], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']});
-	doTest('comes by time where a host is marked as gone: it may live, and is not asked', [living, {name: 'entry-3', gone: true, answers: true}], {
+	const running: Host = {name: 'entry-2', responds: true};
+	doTest('is complete at once if every host gives up its lease, this one included', [running], {byTime: false, waited: false, revoked: ['entry-1', 'entry-2']});
+	doTest('waits for expiry if a host does not respond', [running, {name: 'entry-3', responds: false}], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']});
+	doTest('waits for expiry if a host is marked as unresponsive: it may be running, and is sent no request', [running, {name: 'entry-3', gone: true, responds: true}], {
 		byTime: true, waited: true, revoked: ['entry-1', 'entry-2'],
 	});
-	doTest('comes by time where the store does not say who the hosts are', [living], {byTime: true, waited: true, revoked: ['entry-1']}, false);
-	doTest('comes by time where the store came back lately and may have lost a registration', [living], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']}, true, {mayLackHosts: true});
-	doTest('is asked for at a host whose registration was lost', [living], {byTime: false, waited: false, revoked: ['entry-1', 'entry-2', 'entry-3']}, true, {
-		lost: [{name: 'entry-3', answers: true}],
+	doTest('waits for expiry if the store does not confirm the list of hosts', [running], {byTime: true, waited: true, revoked: ['entry-1']}, false);
+	doTest('waits for expiry if the store was restored recently and may lack a registration', [running], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']}, true, {mayLackHosts: true});
+	doTest('is requested from a host whose registration was lost', [running], {byTime: false, waited: false, revoked: ['entry-1', 'entry-2', 'entry-3']}, true, {
+		lost: [{name: 'entry-3', responds: true}],
 	});
-	doTest('comes by time where a host whose registration was lost does not answer', [living], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']}, true, {
-		lost: [{name: 'entry-3', answers: false}],
+	doTest('waits for expiry if a host whose registration was lost does not respond', [running], {byTime: true, waited: true, revoked: ['entry-1', 'entry-2']}, true, {
+		lost: [{name: 'entry-3', responds: false}],
 	});
 });
--- a/tests/leadership/promote-best-tests.ts
+++ b/tests/leadership/promote-best-tests.ts
@@ -10,35 +10,35 @@
 /** An accepted order takes effect after that time, in milliseconds. */
 const PROMOTE_MS = 800;
 
-/** What an endpoint shows in answer to a status, or nothing while it stands still. */
-type Shown = {role: 'primary' | 'replica'; term: number; silentUntil: number};
+/** What an endpoint reports to a status request; it does not respond before `silentUntil`. */
+type Reported = {role: 'primary' | 'replica'; term: number; silentUntil: number};
 
-type Stage = {
-	readonly endpoints: Record<string, Shown>;
-	/** The present primary, which leads on where nobody else can. */
+type Setup = {
+	readonly endpoints: Record<string, Reported>;
+	/** The present primary, which remains primary if no other endpoint can be promoted. */
 	readonly former?: string;
-	/** Endpoints that are candidates, the furthest first. */
+	/** Endpoints that are candidates, furthest log first. */
 	readonly candidates?: readonly string[];
-	/** What becomes of the order with that number, from 0; `later` is the time of a promotion. */
+	/** Returns the outcome of the order with that number, from 0; `later` runs an action after the duration of a promotion. */
 	order(number: number, endpointId: string, later: (action: () => void) => void): OrderOutcome;
 	readonly phase?: 'steady' | 'changing';
 };
 
-/** Promotes the best of `x` and `y`, of which `x` is further; tells which was taken to lead, in which term, and the orders. */
-async function promote({endpoints, order, phase = 'steady', former, candidates = ['x', 'y']}: Stage): Promise<{readonly leads: string; readonly orders: readonly string[]; readonly tookMs: number}> {
+/** Promotes the best of `x` and `y`, of which `x` has the further log; returns the endpoint accepted as primary with its term, the orders and the duration. */
+async function promote({endpoints, order, phase = 'steady', former, candidates = ['x', 'y']}: Setup): Promise<{readonly leads: string; readonly orders: readonly string[]; readonly tookMs: number}> {
 	const clock = createVirtualClock(0);
 	const orders: string[] = [];
-	const makeStatus = ({role, term}: Shown, position: number): EndpointStatus => ({
+	const makeStatus = ({role, term}: Reported, position: number): EndpointStatus => ({
 		role, term, received: {term: 1, position}, fencedTerm: 0, lagMs: 0, busy: 0, connections: 0,
 	});
 	const getPosition = (endpointId: string) => 9 - Math.max(0, candidates.indexOf(endpointId));
 	const ask = async (endpointId: string) => {
-		const shown = endpoints[endpointId]!;
-		if (clock.now() < shown.silentUntil) {
-			throw createLinkLost(endpointId, 'it stands still');
+		const reported = endpoints[endpointId]!;
+		if (clock.now() < reported.silentUntil) {
+			throw createLinkLost(endpointId, 'it does not respond');
 		}
 
-		return makeStatus(shown, getPosition(endpointId));
+		return makeStatus(reported, getPosition(endpointId));
 	};
 
 	const parts = {
@@ -68,15 +68,15 @@
 	return {leads: leading ? `${leading.endpointId} ${leading.status.term}` : 'nobody', orders, tookMs: clock.now()};
 }
 
-const lead = (shown: Shown, term: number) => {
-	shown.role = 'primary';
-	shown.term = term;
+const lead = (reported: Reported, term: number) => {
+	reported.role = 'primary';
+	reported.term = term;
 };
 
 describe('promoting the best candidate', () => {
-	const make = (role: 'primary' | 'replica', term: number, silentUntil = 0): Shown => ({role, term, silentUntil});
+	const make = (role: 'primary' | 'replica', term: number, silentUntil = 0): Reported => ({role, term, silentUntil});
 
-	it('takes it to lead as soon as it shows the next term', async () => {
+	it('accepts the endpoint as primary as soon as it reports the next term', async () => {
 		const x = make('replica', 1);
 		const {leads, orders, tookMs} = await promote({
 			endpoints: {x, y: make('replica', 1)},
@@ -89,10 +89,10 @@
 	});
 
 	/**
-	 * A replica is ordered to lead and stands still, unseen; so does the second, which leads the term after. The first goes on, still
-	 * calls itself primary, and the order that was to make it so again is lost. A member's night written there would be lost.
+	 * A replica is ordered to be promoted and does not respond. The second, ordered next, does not either, and is primary of the following term.
+	 * The first responds again and still reports itself as primary, while the third order, which should promote it again, is lost. A write there would be lost.
 	 */
-	it('does not take the effect of an order before another\'s for that of its own', async () => {
+	it('does not accept the effect of an earlier order after another endpoint was ordered', async () => {
 		const x = make('replica', 1, 4000);
 		const y = make('replica', 1, 9000);
 		const {leads, orders} = await promote({
@@ -115,8 +115,8 @@
 		expect([leads, orders.slice(0, 3)]).to.deep.equal(['y 3', ['x accepted', 'y accepted', 'x unknown']]);
 	});
 
-	/** The same, but the third order was taken: the first replica shows a term that it did not show just before. */
-	it('takes a term that rose after the order for its effect', async () => {
+	/** The same, but the third order was accepted: the first replica reports a later term than just before it. */
+	it('accepts a term that increased after the order as its effect', async () => {
 		const x = make('replica', 1, 4000);
 		const y = make('replica', 1, 60_000);
 		const {leads, orders} = await promote({
@@ -130,10 +130,10 @@
 	});
 
 	/**
-	 * A primary is to leave. Its successor was ordered to lead, and crashes once it does, unseen. The former primary, asked to lead on, still
-	 * calls itself primary of its old term, in which nothing that it commits will last.
+	 * A primary is leaving. Its successor was ordered to be promoted and crashes right afterwards, before it has responded. The former primary, ordered to remain
+	 * primary, still reports its old term, in which all that it commits will be lost.
 	 */
-	it('does not take the former primary to lead on in its term once another was ordered', async () => {
+	it('does not accept the former primary in its old term once another endpoint was ordered', async () => {
 		const p = make('primary', 1);
 		const x = make('replica', 1, 60_000);
 		const {leads, orders} = await promote({
@@ -157,22 +157,22 @@
 		expect([leads, orders]).to.deep.equal(['p 3', ['x accepted', 'x not-running', 'p accepted']]);
 	});
 
-	it('lets the former primary lead on at once where nobody else was ordered', async () => {
+	it('accepts the former primary in its term at once if no other endpoint was ordered', async () => {
 		const {leads, tookMs} = await promote({
 			endpoints: {p: make('primary', 1)}, candidates: [], former: 'p', order: () => OrderOutcome.Accepted,
 		});
 		expect([leads, tookMs < 200]).to.deep.equal(['p 1', true]);
 	});
 
-	/** A host died after it had ordered a replica to lead. The next host orders the same, which changes nothing. */
-	it('takes one that led before to lead on once an order has left it in its term', async () => {
+	/** A host died after it had ordered the promotion of a replica. The next host gives the same order, which changes nothing. */
+	it('accepts an endpoint that was primary before once an order has left its term unchanged', async () => {
 		const x = make('primary', 2);
 		const {leads, orders, tookMs} = await promote({endpoints: {x, y: make('replica', 1)}, phase: 'changing', order: () => OrderOutcome.Accepted});
 		expect([leads, orders, tookMs >= PROMOTE_MS && tookMs < 2000]).to.deep.equal(['x 2', ['x accepted'], true]);
 	});
 
-	/** The same, without an answer to the order: whether another leads a later term is not known. */
-	it('does not take one that led before to lead on where the order brought no answer', async () => {
+	/** The same without a response to the order: another endpoint may be primary of a later term. */
+	it('does not accept an endpoint that was primary before if the order got no response', async () => {
 		const x = make('primary', 2);
 		const {leads} = await promote({endpoints: {x, y: make('replica', 1)}, phase: 'changing', order: () => OrderOutcome.Unknown});
 		expect(leads).to.equal('nobody');
--- a/tests/leadership/store-returns-tests.ts
+++ b/tests/leadership/store-returns-tests.ts
@@ -10,16 +10,16 @@
 	name, peerAddress: `${name}:7000`, availabilityZone: 'z', version: 3,
 })) as [MirrorState['hosts'][number], MirrorState['hosts'][number]];
 
-const BACK = placeInGeneration(1, 3);
+const RESTORED = placeInGeneration(1, 3);
 
-/** A state that was read at a time, which the store confirmed. */
+/** A state that was read, and confirmed by the store, at a time. */
 type Reading = Partial<MirrorState> & {readonly at: number};
 
-/** What a host knows that read these states. */
-function createReturns(...readings: readonly Reading[]) {
+/** Creates the tracking of a host that read these states. */
+function createRestores(...readings: readonly Reading[]) {
 	let state = EMPTY_STATE;
 	let now = 0;
-	let tell!: () => void;
+	let notify!: () => void;
 	const mirror = {
 		get state() {
 			return state;
@@ -28,44 +28,44 @@
 			return now;
 		},
 		onChange(listener: () => void) {
-			tell = listener;
+			notify = listener;
 		},
 	} as unknown as StoreMirror;
-	const returns = createStoreReturns({mirror, elapsedClock: {elapsed: () => now}});
+	const restores = createStoreReturns({mirror, elapsedClock: {elapsed: () => now}});
 	for (const {at, ...next} of readings) {
 		state = {...EMPTY_STATE, ...next};
 		now = at;
-		tell();
+		notify();
 	}
 
-	return returns;
+	return restores;
 }
 
-describe('a list of hosts that may lack some', () => {
-	/** Until when it may, in milliseconds from the last reading, within the longest time. */
+describe('a list of hosts that may lack some after a store restore', () => {
+	/** Checks until when hosts may be missing, in milliseconds from the last reading. */
 	function doTest(name: string, readings: readonly Reading[], expectedMs: number) {
-		it(`is told for ${expectedMs} ms ${name}`, () => {
-			const returns = createReturns(...readings);
+		it(`may lack hosts for ${expectedMs} ms ${name}`, () => {
+			const restores = createRestores(...readings);
 			const lastAt = readings.at(-1)!.at;
-			const isTold = (ms: number) => returns.mayLackHosts(lastAt + ms);
-			expect([expectedMs === 0 || isTold(expectedMs - 1), isTold(expectedMs)]).to.deep.equal([true, false]);
+			const mayLack = (ms: number) => restores.mayLackHosts(lastAt + ms);
+			expect([expectedMs === 0 || mayLack(expectedMs - 1), mayLack(expectedMs)]).to.deep.equal([true, false]);
 		});
 	}
 
-	doTest('of a store that never came back', [{at: 100, revision: 5, hosts: [ONE]}, {at: 800, revision: 6, hosts: [ONE]}], 0);
-	doTest('after a return that this host saw', [{at: 100, revision: 5}, {at: 3000, revision: BACK}], EVIDENCE_MS + 150);
-	doTest('after one that it saw late', [{at: 100, revision: 5}, {at: 100 + LONGEST_WITHOUT_STORE_MS, revision: BACK}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
-	doTest('by a host that starts where others have not registered again yet', [{at: 100, revision: BACK, hosts: [ONE]}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
-	doTest('by a host that starts where all have', [{at: 100, revision: BACK, hosts: [{...ONE, generation: 1}]}], 0);
+	doTest('if the store was never restored', [{at: 100, revision: 5, hosts: [ONE]}, {at: 800, revision: 6, hosts: [ONE]}], 0);
+	doTest('after a restore that this host observed', [{at: 100, revision: 5}, {at: 3000, revision: RESTORED}], EVIDENCE_MS + 150);
+	doTest('after a restore that it observed late', [{at: 100, revision: 5}, {at: 100 + LONGEST_WITHOUT_STORE_MS, revision: RESTORED}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
+	doTest('on a host that starts while others have not registered again yet', [{at: 100, revision: RESTORED, hosts: [ONE]}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
+	doTest('on a host that starts after all have registered again', [{at: 100, revision: RESTORED, hosts: [{...ONE, generation: 1}]}], 0);
 
-	it('names those that were listed before and are not any more', () => {
-		const returns = createReturns({at: 100, revision: 5, hosts: [ONE, TWO]}, {at: 900, revision: BACK, hosts: [ONE]});
-		expect(returns.getLostHosts(900)).to.deep.equal([TWO]);
-		expect(returns.getLostHosts(900 + LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS)).to.deep.equal([]);
+	it('returns the hosts that were listed before and are missing now', () => {
+		const restores = createRestores({at: 100, revision: 5, hosts: [ONE, TWO]}, {at: 900, revision: RESTORED, hosts: [ONE]});
+		expect(restores.getLostHosts(900)).to.deep.equal([TWO]);
+		expect(restores.getLostHosts(900 + LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS)).to.deep.equal([]);
 	});
 
-	it('names none that has registered again', () => {
-		const returns = createReturns({at: 100, revision: 5, hosts: [ONE, TWO]}, {at: 900, revision: BACK, hosts: [ONE]}, {at: 1600, revision: BACK + 1, hosts: [ONE, TWO]});
-		expect(returns.getLostHosts(1600)).to.deep.equal([]);
+	it('returns no host that has registered again', () => {
+		const restores = createRestores({at: 100, revision: 5, hosts: [ONE, TWO]}, {at: 900, revision: RESTORED, hosts: [ONE]}, {at: 1600, revision: RESTORED + 1, hosts: [ONE, TWO]});
+		expect(restores.getLostHosts(1600)).to.deep.equal([]);
 	});
 });
