--- a/src/leadership/lead-watch.ts
+++ b/src/leadership/lead-watch.ts
@@ -98,7 +98,7 @@
 	const watches = new Map<string, GroupWatch>();
 	const stopping = createSleepAlarm();
 
-	const noteBug = (err: unknown) => {
+	const logUnexpectedError = (err: unknown) => {
 		log.error('a task failed', {err});
 	};
 
@@ -290,7 +290,7 @@
 			// Most hosts cannot reach the primary. If this one can, the successor takes over its whole log.
 			const planned = await reachability.isReachable(record.primaryId);
 			await replacements.begin({group, reason, planned});
-		})().catch(noteBug);
+		})().catch(logUnexpectedError);
 		return {taken: true};
 	});
 
@@ -306,7 +306,7 @@
 			const groups = [...mirror.state.routing?.groups.keys() ?? []];
 			for (const group of groups) {
 				if (isDue(group)) {
-					checkGroupSafely(group).catch(noteBug);
+					checkGroupSafely(group).catch(logUnexpectedError);
 				}
 			}
 
--- a/src/leadership/lease-revocation.ts
+++ b/src/leadership/lease-revocation.ts
@@ -61,7 +61,7 @@
 		silent = answers.filter(host => host !== undefined);
 	};
 
-	const ask = async () => {
+	const request = async () => {
 		await Promise.all([requestOthers(), isOwnRevoked ? undefined : revokeOwn()]);
 	};
 
@@ -69,12 +69,12 @@
 		get silent() {
 			return silent;
 		},
-		request: ask,
+		request,
 		async wait(endsAt) {
 			while ((!hosts || silent.length > 0) && elapsedClock.elapsed() < endsAt) {
 				await clock.sleep(RETRY_MS);
 				// A host that does not respond delays a round by the call timeout, which must not outlast the wait.
-				await withinMs(clock, Math.max(0, endsAt - elapsedClock.elapsed()), ask());
+				await withinMs(clock, Math.max(0, endsAt - elapsedClock.elapsed()), request());
 			}
 
 			// No request is sent to a host that is marked as unresponsive; it may still be running and hold a lease.
--- a/src/leadership/register-host.ts
+++ b/src/leadership/register-host.ts
@@ -69,8 +69,8 @@
 	/*
 	 * A host may register while others are without the store: those confirm each other's copies and do not know that they have to send
 	 * requests to it. A host that finds itself registered was known before. A host that was marked as unresponsive and registers again was known all
-	 * the time: a host without the store holds either its earlier record, and sends it requests, or the marked one, and then accepts no
-	 * confirmation from peers. Without this case a group has no primary for 9 s after hosts were marked by mistake.
+	 * the time: a host without the store holds either its earlier record, and sends it requests, or the marked one, and then peers
+	 * that are without the store as well cannot confirm its copy. Without this case a group has no primary for 9 s after hosts were marked by mistake.
 	 */
 	const isKnownToAll = (now: number) => registeredAt === undefined ? wasListed : now - registeredAt > LONGEST_WITHOUT_STORE_MS;
 
