--- /dev/null
+++ b/src/leadership/leadership-calls.ts
@@ -0,0 +1,24 @@
+/** Requests a host to give up its lease of a group, before its primary is replaced. */
+export type RevokeRequest = {
+	readonly group: string;
+	/** Leases below this epoch are to be given up. */
+	readonly epoch: number;
+	/** Time that work in progress has to finish first, in milliseconds; 0 if the primary is lost anyway. */
+	readonly settleMs: number;
+};
+
+declare module '../peers/peer-calls.js' {
+	interface PeerCalls {
+		/** Responds once the lease is given up. */
+		'lead-revoke': {req: RevokeRequest; res: {readonly revoked: true}};
+		/** Returns whether the called host reaches an endpoint. */
+		'lead-opinion': {req: {readonly endpointId: string}; res: {readonly reachable: boolean}};
+		/** Requests the failover coordinator to replace a primary that is lost, leaving or no longer registered. */
+		'lead-replace': {req: {readonly group: string; readonly epoch: number; readonly reason: string}; res: {readonly taken: boolean}};
+		/** Notifies a host that a record was changed; the receiver requests the change from the sender. */
+		'lead-changed': {req: {readonly group: string}; res: {readonly heard: true}};
+	}
+}
+
+/** Timeout of a call between hosts about leadership, in milliseconds: about a hundred times the latency between two availability zones. */
+export const LEADERSHIP_CALL_TIMEOUT_MS = 400;
