--- a/src/lending/read-through.ts
+++ b/src/lending/read-through.ts
@@ -1,6 +1,6 @@
 import type {EndpointLink, EndpointRequest} from '../links/endpoint-link.js';
 import {createLinkLost, throwUnexpectedAnswer} from '../links/link-errors.js';
-import type {LinkWish} from '../links/endpoint-pool.js';
+import type {AcquireRequest} from '../links/endpoint-pool.js';
 import {getPreparedName, type SessionLink} from '../links/link-session.js';
 import {isHostAlive} from '../membership/is-host-alive.js';
 import type {UnreachableHosts} from '../membership/unreachable-hosts.js';
@@ -19,7 +19,7 @@
 /** A read that runs on a connection of whichever lender has one. */
 export type ReadThroughOptions = {
 	readonly endpointId: string;
-	readonly wish: LinkWish;
+	readonly wish: AcquireRequest;
 	readonly peers: Peers;
 	readonly unreachable: UnreachableHosts;
 	readonly clock: Clock;
--- a/src/lending/shared-pool.ts
+++ b/src/lending/shared-pool.ts
@@ -1,6 +1,6 @@
 import {createEndpointHealth, Suspicion, type EndpointHealth} from '../links/endpoint-health.js';
 import type {EndpointCommand, EndpointRequest, EndpointStatus} from '../links/endpoint-link.js';
-import type {EndpointPool, LinkWish} from '../links/endpoint-pool.js';
+import type {EndpointPool, AcquireRequest} from '../links/endpoint-pool.js';
 import type {SessionLink} from '../links/link-session.js';
 import {getWeight, hashName, type NameHash} from '../membership/rendezvous.js';
 import type {UnreachableHosts} from '../membership/unreachable-hosts.js';
@@ -67,7 +67,7 @@
 
 	const noteHeard = () => {
 		unreachableUntil = Number.NEGATIVE_INFINITY;
-		heard.noteHeard(clock.now());
+		heard.noteReceived(clock.now());
 	};
 
 	/**
@@ -93,7 +93,7 @@
 		return [...rotate(near, turns), ...rotate(far, turns).slice(0, 1)];
 	};
 
-	const askLender = async (lender: string, wish: LinkWish): Promise<Asked> => {
+	const askLender = async (lender: string, wish: AcquireRequest): Promise<Asked> => {
 		const waitMs = Math.min(LENDER_WAIT_MS, wish.until - clock.now());
 		try {
 			const answer = await peers.call(lender, 'loan-open', {
@@ -139,7 +139,7 @@
 	};
 
 	/** Asks each lender once; the reason of the last one that answered where none lends. */
-	const askAll = async (wish: LinkWish): Promise<Asked> => {
+	const askAll = async (wish: AcquireRequest): Promise<Asked> => {
 		let last: LoanRefusal | undefined;
 		for (const lender of getOrder(wish.workspace)) {
 			if (clock.now() >= wish.until) {
@@ -167,7 +167,7 @@
 	};
 
 	/** Runs a read on an own connection; undefined where none came free. */
-	const runOnOwn = async (wish: LinkWish, needed: LoanExchange['needed'], request: EndpointRequest) => {
+	const runOnOwn = async (wish: AcquireRequest, needed: LoanExchange['needed'], request: EndpointRequest) => {
 		const own = await ownPool.acquire({...wish, until: Math.min(wish.until, clock.now() + OWN_WAIT_MS)});
 		if (!own) {
 			return undefined;
@@ -181,7 +181,7 @@
 		}
 	};
 
-	const readThrough = (wish: LinkWish): SessionLink => {
+	const readThrough = (wish: AcquireRequest): SessionLink => {
 		const sessionLink = createReadThrough({
 			endpointId: entry.id, wish, peers, unreachable, clock, getOrder: () => getOrder(wish.workspace), onHeard: noteHeard, onUnreachable: noteUnreachable,
 			runOnOwn: async (needed, request) => runOnOwn(wish, needed, request),
@@ -190,7 +190,7 @@
 		return sessionLink;
 	};
 
-	const borrow = async (wish: LinkWish): Promise<SessionLink | undefined> => {
+	const borrow = async (wish: AcquireRequest): Promise<SessionLink | undefined> => {
 		while (clock.now() < wish.until) {
 			const asked = await askAll(wish);
 			if (typeof asked === 'object') {
--- a/src/links/choose-waiter.ts
+++ b/src/links/choose-waiter.ts
@@ -1,32 +1,33 @@
-import type {LinkWish} from './endpoint-pool.js';
+import type {AcquireRequest} from './endpoint-pool.js';
 import type {SessionLink} from './link-session.js';
 
-/** Whoever waits for a connection. */
-export type Waiter = LinkWish & {
+/** An acquire request that waits for a connection. */
+export type Waiter = AcquireRequest & {
 	readonly order: number;
-	/** Steady time since which it waits. */
+	/** Steady time at which it began to wait. */
 	readonly since: number;
-	give(sessionLink: SessionLink | undefined): void;
+	/** Ends the wait with a connection, or with undefined where there is none. */
+	resolve(sessionLink: SessionLink | undefined): void;
 };
 
-/** How many connections a workspace uses at the moment, those that are being opened for it included. */
+/** Returns how many connections a workspace uses at the moment, including those that are being opened for it. */
 export type ConnectionsInUse = (workspace: string | undefined) => number;
 
 /**
- * A waiter is passed over by others of the connection's own workspace for so long, in milliseconds: some statements' time. Opening a connection for it takes a slot of the endpoint as
- * a statement does, which a busy one can spare least.
+ * For how long waiters of a connection's own workspace may be served before a waiter whose turn it is, in milliseconds: the time of a few statements. Opening a connection for that
+ * waiter takes a slot of the endpoint as a statement does, and a busy endpoint has none to spare.
  */
-const PASSED_OVER_MS = 60;
+const MAX_BYPASS_MS = 60;
 
 /**
- * Whose turn it is: by priority, then that of the workspace with the fewest connections in use, then in order of arrival.
+ * Returns the waiter whose turn it is: by priority, then by workspace, the one with the fewest connections in use first, then in order of arrival.
  *
- * For one workspace that asks for many times its usual while others ask as always: in order of arrival alone these would wait behind all of its statements.
+ * The count by workspace matters where one workspace sends many times its usual load: in order of arrival alone, all others would wait behind its statements.
  */
 export function getNextWaiter(waiters: readonly Waiter[], getInUse: ConnectionsInUse): Waiter | undefined {
 	let next: Waiter | undefined;
 	for (const waiter of waiters) {
-		if (!next || compareTurns(waiter, next, getInUse) < 0) {
+		if (!next || compareWaiters(waiter, next, getInUse) < 0) {
 			next = waiter;
 		}
 	}
@@ -35,9 +36,9 @@
 }
 
 /**
- * Chooses who gets a connection that came free, of those who may take it; undefined where it cannot serve the one whose turn it is.
+ * Returns the waiter that gets a released connection, out of those that may acquire it; undefined where the connection cannot serve the waiter whose turn it is.
  *
- * For an endpoint whose connections are all in use, with fewer of them than workspaces.
+ * It matters for an endpoint that has fewer connections than workspaces, all of them in use.
  */
 export function chooseWaiter(waiters: readonly Waiter[], workspace: string | undefined, getInUse: ConnectionsInUse, now: number): Waiter | undefined {
 	const next = getNextWaiter(waiters, getInUse);
@@ -45,25 +46,25 @@
 		return next;
 	}
 
-	return now - next.since < PASSED_OVER_MS
+	return now - next.since < MAX_BYPASS_MS
 		? waiters.find(waiter => waiter.workspace === workspace && waiter.priority === next.priority)
 		: undefined;
 }
 
-/** Those for whom no connection is being opened, where each opening serves the first who waits for its workspace. */
+/** Returns the waiters for which no connection is being opened; each connection that is being opened counts for the first waiter of its workspace. */
 export function getUnservedWaiters(waiters: readonly Waiter[], openingFor: ReadonlyArray<string | undefined>): readonly Waiter[] {
-	const underWay = [...openingFor];
+	const unassigned = [...openingFor];
 	return waiters.filter(({workspace}) => {
-		const at = underWay.indexOf(workspace);
+		const at = unassigned.indexOf(workspace);
 		if (at !== -1) {
-			underWay.splice(at, 1);
+			unassigned.splice(at, 1);
 		}
 
 		return at === -1;
 	});
 }
 
-function compareTurns(left: Waiter, right: Waiter, getInUse: ConnectionsInUse): number {
+function compareWaiters(left: Waiter, right: Waiter, getInUse: ConnectionsInUse): number {
 	return left.priority - right.priority
 		|| (left.workspace === right.workspace ? 0 : getInUse(left.workspace) - getInUse(right.workspace))
 		|| left.order - right.order;
--- a/src/links/congestion-window.ts
+++ b/src/links/congestion-window.ts
@@ -1,31 +1,31 @@
-/** How many statements a host has under way at an endpoint at once. */
+/** Bounds how many statements this host has in flight at an endpoint at once. */
 export type CongestionWindow = {
-	/** From 1; Infinity while the endpoint has turned nothing away. */
+	/** At least 1; Infinity while the endpoint has rejected nothing. */
 	readonly size: number;
-	/** The endpoint ran a statement. */
+	/** Notes that the endpoint ran a statement. */
 	noteServed(): void;
-	/** The endpoint turned one away at the steady time `now`, with so many of this host's under way. */
-	noteTurnedAway(underWay: number, now: number): void;
+	/** Notes that the endpoint rejected a statement at the steady time `now`, while `inFlight` statements of this host were in flight. */
+	noteRejected(inFlight: number, now: number): void;
 };
 
-/** Part of what was under way that is left after a statement was turned away. */
-const DECREASE = 0.5;
+/** Factor by which the window shrinks after a rejected statement. */
+const DECREASE_FACTOR = 0.5;
 
-/** The window shrinks once in so long, in milliseconds: all that is turned away at once says the same. */
-const SHRINK_EVERY_MS = 100;
+/** Minimum time between two decreases, in milliseconds: statements that are rejected together are one sign of congestion. */
+const MIN_DECREASE_INTERVAL_MS = 100;
 
-/** A window that has grown to this size bounds nothing any more. */
-const UNBOUNDED_FROM = 64;
+/** A window that has grown to this size is unbounded again. */
+const UNBOUNDED_SIZE = 64;
 
 /**
- * Creates a window that is unbounded until the endpoint turns a statement away; then it is halved, and grows by one for each full window that is served.
+ * Creates a window that is unbounded until the endpoint rejects a statement; it is then halved, and grows by one for each full window that is served.
  *
- * For an endpoint whose queue is full since several hosts send more than it can run. What it turns away comes back soon after on a connection that may have to be opened anew, and each
- * opening takes a slot from statements; held back here, statements wait where they can be ordered, and connections stay open.
+ * It helps an endpoint whose queue is full because several hosts send more than it can run. A rejected statement is sent again soon after, on a connection that may have to be reopened, and
+ * each opening takes a slot from statements. Statements that wait on this host can be ordered, and connections stay open.
  */
 export function createCongestionWindow(): CongestionWindow {
 	let size = Number.POSITIVE_INFINITY;
-	let shrunkAt = Number.NEGATIVE_INFINITY;
+	let decreasedAt = Number.NEGATIVE_INFINITY;
 
 	return {
 		get size() {
@@ -33,14 +33,14 @@
 		},
 		noteServed() {
 			size += 1 / size;
-			if (size >= UNBOUNDED_FROM) {
+			if (size >= UNBOUNDED_SIZE) {
 				size = Number.POSITIVE_INFINITY;
 			}
 		},
-		noteTurnedAway(underWay, now) {
-			if (now - shrunkAt >= SHRINK_EVERY_MS) {
-				shrunkAt = now;
-				size = Math.max(1, Math.min(size, underWay) * DECREASE);
+		noteRejected(inFlight, now) {
+			if (now - decreasedAt >= MIN_DECREASE_INTERVAL_MS) {
+				decreasedAt = now;
+				size = Math.max(1, Math.min(size, inFlight) * DECREASE_FACTOR);
 			}
 		},
 	};
--- a/src/links/create-endpoint-pool.ts
+++ b/src/links/create-endpoint-pool.ts
@@ -3,7 +3,7 @@
 import {createCongestionWindow} from './congestion-window.js';
 import {createEndpointHealth} from './endpoint-health.js';
 import type {LinkListener} from './endpoint-link.js';
-import type {EndpointPool, EndpointPoolOptions, LinkWish} from './endpoint-pool.js';
+import type {EndpointPool, EndpointPoolOptions, AcquireRequest} from './endpoint-pool.js';
 import {createIdleLinks} from './idle-links.js';
 import {createLinkBudget} from './link-budget.js';
 import {
@@ -11,20 +11,20 @@
 } from './choose-waiter.js';
 import {isLinkRefused} from './link-errors.js';
 import {createSessionLink, type SessionLink} from './link-session.js';
-import {isOfLife, openCheckedLink} from './open-checked-link.js';
+import {heldPositionAtOpen, openCheckedLink} from './open-checked-link.js';
 import {createWorkspaceUsage} from './workspace-usage.js';
 
 /**
- * Longest opening of a connection, in milliseconds. It takes 12 ms and a slot of the endpoint, so it queues behind
- * statements; a caller's own statement is bounded at some 1,000.
+ * Timeout for opening a connection, in milliseconds. Opening takes 12 ms and a slot of the endpoint, so it queues behind
+ * statements; a caller's own statement is bounded at about 1,000 ms.
  */
 const OPEN_TIMEOUT_MS = 1500;
 
-/** An idle connection beyond the host's share is closed after so long, in milliseconds, so that other hosts can have it. */
-const SPARE_IDLE_MS = 1000;
+/** Idle time after which a connection beyond the host's share is closed, in milliseconds, so that other hosts can open one. */
+const EXCESS_IDLE_TIMEOUT_MS = 1000;
 
-/** One within the share, beyond what is kept, after so long, in milliseconds: opening it anew costs 12 ms of a slot. */
-const SHARE_IDLE_MS = 3000;
+/** Idle time after which a connection within the share, beyond those that stay open, is closed, in milliseconds: reopening one costs 12 ms of a slot. */
+const SHARE_IDLE_TIMEOUT_MS = 3000;
 
 /** Creates a pool without connections. */
 export function createEndpointPool(options: EndpointPoolOptions): EndpointPool {
@@ -38,37 +38,37 @@
 	let waiters: Waiter[] = [];
 	const usage = createWorkspaceUsage();
 	let order = 0;
-	/** An idle connection is being closed for one that is opened at once. */
-	let makingRoom = false;
+	/** Whether an idle connection is being closed to be replaced by a new one at once. */
+	let isEvicting = false;
 	let retired = false;
 	let refusedSince: number | undefined;
-	let recheckedAt = Number.NEGATIVE_INFINITY;
+	let suspectRetriedAt = Number.NEGATIVE_INFINITY;
 
-	const noteWhetherOpen = () => {
+	const noteIfNothingPending = () => {
 		if (usage.opening === 0 && ![...all].some(({link}) => link.pending > 0)) {
-			health.noteNothingOpen();
+			health.noteNothingPending();
 		}
 	};
 
 	const listener: LinkListener = {
 		onAsked() {
-			health.noteAsked(clock.now());
+			health.noteSent(clock.now());
 		},
 		onHeard() {
-			health.noteHeard(clock.now());
-			noteWhetherOpen();
+			health.noteReceived(clock.now());
+			noteIfNothingPending();
 		},
-		onAnswered(isTurnedAway) {
-			if (isTurnedAway) {
-				congestion.noteTurnedAway(countUnderWay(), clock.now());
+		onAnswered(isRejected) {
+			if (isRejected) {
+				congestion.noteRejected(countInFlight(), clock.now());
 			} else {
 				congestion.noteServed();
 			}
 		},
 	};
 
-	/** Connections that serve single statements, or are being opened; what rests in transactions takes no slot of the endpoint. */
-	const countUnderWay = () => all.size - idle.size - inTransactions.size + usage.opening;
+	/** Counts connections that serve single statements or are being opened; one that is idle in a transaction takes no slot of the endpoint. */
+	const countInFlight = () => all.size - idle.size - inTransactions.size + usage.opening;
 
 	/** Opens a connection and keeps it in the pool until it closes. */
 	const openLink = async (timeoutMs: number, workspace: string | undefined) => {
@@ -82,7 +82,7 @@
 			link.onClose(() => {
 				all.delete(sessionLink);
 				inTransactions.delete(sessionLink);
-				if (!makingRoom) {
+				if (!isEvicting) {
 					openForWaiters();
 				}
 			});
@@ -94,17 +94,17 @@
 		} finally {
 			usage.noteOpeningEnded(workspace);
 			if (opened) {
-				noteWhetherOpen();
+				noteIfNothingPending();
 			}
 		}
 	};
 
 	/**
-	 * Guards single statements against transactions that rest: where no further connection may be opened, a transaction leaves one to them. A hundred
-	 * callers that rested in transactions for 3 s each took every connection of a primary, and reads and writes of 15 ms waited until their time was up.
+	 * Guards single statements against idle transactions: where no further connection may be opened, transactions leave one connection to single statements. A hundred
+	 * callers that each idled in a transaction for 3 s took every connection of a primary, and reads and writes of 15 ms waited until their deadline.
 	 */
-	const mayTake = ({single}: LinkWish, underWay = countUnderWay()) => {
-		if (underWay >= congestion.size) {
+	const mayAcquire = ({single}: AcquireRequest, inFlight = countInFlight()) => {
+		if (inFlight >= congestion.size) {
 			return false;
 		}
 
@@ -113,15 +113,15 @@
 	};
 
 	/**
-	 * Guards against connections to a life of the endpoint that lost its log, opened before this host knew that the life before is recorded as the primary:
-	 * they were opened to what seemed a replica. A primary's own connections that are older than its promotion are opened anew as well, once.
+	 * Guards against connections to an incarnation of the endpoint that lost its log. They were opened to what seemed a replica, before this host knew that the
+	 * previous incarnation is recorded as the primary. A primary's own connections that are older than its promotion are also reopened, once.
 	 */
-	const dropOthers = ({least}: LinkWish) => {
-		idle.cutWhere(({link}) => !isOfLife(link, least));
+	const cutStaleIdle = ({least: minPosition}: AcquireRequest) => {
+		idle.cutWhere(({link}) => !heldPositionAtOpen(link, minPosition));
 	};
 
-	const lend = (sessionLink: SessionLink, {single}: LinkWish) => {
-		usage.noteLent(sessionLink.workspace);
+	const noteAcquired = (sessionLink: SessionLink, {single}: AcquireRequest) => {
+		usage.noteAcquired(sessionLink.workspace);
 		if (!single) {
 			inTransactions.add(sessionLink);
 		}
@@ -129,28 +129,28 @@
 		return sessionLink;
 	};
 
-	const takeIdle = (wish: LinkWish) => {
-		dropOthers(wish);
-		const taken = mayTake(wish) ? idle.take(wish.values, wish.workspace) : undefined;
-		return taken && lend(taken, wish);
+	const takeIdle = (request: AcquireRequest) => {
+		cutStaleIdle(request);
+		const taken = mayAcquire(request) ? idle.take(request.values, request.workspace) : undefined;
+		return taken && noteAcquired(taken, request);
 	};
 
-	const giveTo = (waiter: Waiter, sessionLink: SessionLink) => {
-		if (isOfLife(sessionLink.link, waiter.least)) {
+	const assignTo = (waiter: Waiter, sessionLink: SessionLink) => {
+		if (heldPositionAtOpen(sessionLink.link, waiter.least)) {
 			waiters = waiters.filter(other => other !== waiter);
-			waiter.give(lend(sessionLink, waiter));
+			waiter.resolve(noteAcquired(sessionLink, waiter));
 		} else {
 			sessionLink.link.cut();
 		}
 	};
 
-	/** Those who may take a connection that is neither lent nor idle. */
-	const getWaitersFor = ({link}: SessionLink) => waiters.filter(wish => !link.closed && mayTake(wish, countUnderWay() - 1));
+	/** Returns the waiters that may acquire a connection which is neither acquired nor idle. */
+	const getWaitersFor = ({link}: SessionLink) => waiters.filter(request => !link.closed && mayAcquire(request, countInFlight() - 1));
 
-	const giveAway = (sessionLink: SessionLink) => {
+	const assignOrKeepIdle = (sessionLink: SessionLink) => {
 		const waiter = chooseWaiter(getWaitersFor(sessionLink), sessionLink.workspace, usage.count, clock.now());
 		if (waiter) {
-			giveTo(waiter, sessionLink);
+			assignTo(waiter, sessionLink);
 			return;
 		}
 
@@ -159,38 +159,38 @@
 	};
 
 	/**
-	 * A connection that was opened for a workspace serves that first. Guards against openings without an end: given to the one whose turn it is by then, of another
-	 * workspace, it would have to be closed again unused.
+	 * Assigns a new connection to a waiter of the workspace for which it was opened, if there is one. Guards against opening connections in an endless loop: assigned
+	 * to the waiter whose turn it is by then, of another workspace, the connection would have to be closed again unused.
 	 */
-	const giveOpened = (sessionLink: SessionLink) => {
+	const assignOpened = (sessionLink: SessionLink) => {
 		const own = getNextWaiter(getWaitersFor(sessionLink).filter(({workspace}) => workspace === sessionLink.workspace), usage.count);
 		if (own) {
-			giveTo(own, sessionLink);
+			assignTo(own, sessionLink);
 		} else {
-			giveAway(sessionLink);
+			assignOrKeepIdle(sessionLink);
 		}
 	};
 
-	/** What was held back from a transaction may be lent to it once another may be opened. */
+	/** Assigns an idle connection that was held back from a transaction, once another one may be opened. */
 	const serveIdle = () => {
-		const waiter = waiters.find(wish => mayTake(wish) && idle.has(wish.workspace));
+		const waiter = waiters.find(request => mayAcquire(request) && idle.has(request.workspace));
 		const free = waiter && idle.take(waiter.values, waiter.workspace);
 		if (free) {
-			giveTo(waiter, free);
+			assignTo(waiter, free);
 		}
 	};
 
 	const failWaiters = () => {
 		for (const waiter of waiters.splice(0)) {
-			waiter.give(undefined);
+			waiter.resolve(undefined);
 		}
 	};
 
 	const noteOpenFailed = (err: unknown) => {
 		const now = clock.now();
 		if (isLinkRefused(err) && (err.code === AnswerCode.TooManyConnections || err.code === AnswerCode.Overloaded)) {
-			health.noteHeard(now);
-			budget.noteTurnedAway(now);
+			health.noteReceived(now);
+			budget.noteRejected(now);
 			return;
 		}
 
@@ -200,12 +200,12 @@
 
 		if (refusedSince === undefined) {
 			refusedSince = now;
-			log.warn('an endpoint takes no session', {
+			log.warn('an endpoint refuses sessions', {
 				endpoint: target.endpointId, group: target.group, reason: (err as Error).message, open: all.size,
 			});
 		}
 
-		// Whoever waits is told at once, since it may be served elsewhere.
+		// Waiters fail at once, since another endpoint may serve them.
 		if (all.size === 0) {
 			failWaiters();
 		}
@@ -220,7 +220,7 @@
 				return;
 			}
 
-			giveOpened(sessionLink);
+			assignOpened(sessionLink);
 		} catch (err) {
 			log.debug('a connection was not opened', {endpoint: target.endpointId, reason: (err as Error).message});
 		}
@@ -228,34 +228,34 @@
 
 	const noteOpened = () => {
 		if (refusedSince !== undefined) {
-			log.info('an endpoint takes sessions again', {endpoint: target.endpointId, group: target.group, afterMs: Math.round(clock.now() - refusedSince)});
+			log.info('an endpoint accepts sessions again', {endpoint: target.endpointId, group: target.group, afterMs: Math.round(clock.now() - refusedSince)});
 			refusedSince = undefined;
 		}
 	};
 
-	/** Whose turn it is of those who wait without a connection being opened for them. */
-	const getUnserved = () => getNextWaiter(getUnservedWaiters(waiters.filter(wish => mayTake(wish)), usage.openingFor), usage.count);
+	/** Returns the waiter whose turn it is, out of those for which no connection is being opened. */
+	const getUnserved = () => getNextWaiter(getUnservedWaiters(waiters.filter(request => mayAcquire(request)), usage.openingFor), usage.count);
 
 	/**
-	 * Makes room for a connection of the workspace by closing an idle one of another. Guards a workspace that comes anew while others hold every connection: none of
-	 * those can serve it.
+	 * Closes an idle connection of another workspace, so that one can be opened for this workspace; returns whether there was one. Guards a workspace that has no
+	 * connection while others hold all of them: none of those can serve it.
 	 */
-	const makeRoom = (workspace: string | undefined) => {
+	const evictIdle = (workspace: string | undefined) => {
 		const evicted = idle.takeOldestOfOthers(workspace);
-		makingRoom = true;
+		isEvicting = true;
 		evicted?.link.close();
-		makingRoom = false;
+		isEvicting = false;
 		return evicted !== undefined;
 	};
 
-	/** Beyond the share one is opened at a time: hosts that press on together would all be turned away. */
-	const mayOpenBeside = (open: number) => budget.mayOpen(clock.now(), open) && (usage.opening === 0 || open < budget.share);
+	/** Returns whether one more may be opened. Beyond the share only one is opened at a time: the endpoint would reject hosts that open many at once. */
+	const mayOpenAnother = (open: number) => budget.mayOpen(clock.now(), open) && (usage.opening === 0 || open < budget.share);
 
 	const openForWaiters = () => {
 		for (let next = getUnserved(); next && !retired; next = getUnserved()) {
 			const open = all.size + usage.opening;
-			const isWithinShare = open < budget.share && mayOpenBeside(open);
-			if (!isWithinShare && !(mayOpenBeside(open - 1) && makeRoom(next.workspace)) && !mayOpenBeside(open)) {
+			const isWithinShare = open < budget.share && mayOpenAnother(open);
+			if (!isWithinShare && !(mayOpenAnother(open - 1) && evictIdle(next.workspace)) && !mayOpenAnother(open)) {
 				return;
 			}
 
@@ -264,16 +264,16 @@
 	};
 
 	/**
-	 * Guards against an endpoint that was cut off for a while and is never asked again: no read is sent to one that refused or was silent, so nothing
-	 * would tell that it answers by now.
+	 * Opens a connection to a suspected endpoint from time to time. Guards against an endpoint that was unreachable for a while and is never tried again: no read is sent
+	 * to one that refused or was silent, so no traffic would show that it answers again.
 	 */
-	const recheck = () => {
+	const retrySuspect = () => {
 		const now = clock.now();
-		if (retired || usage.opening > 0 || now - recheckedAt < RECHECK_SUSPECT_MS || !health.getSuspicion(now)) {
+		if (retired || usage.opening > 0 || now - suspectRetriedAt < SUSPECT_RETRY_INTERVAL_MS || !health.getSuspicion(now)) {
 			return;
 		}
 
-		recheckedAt = now;
+		suspectRetriedAt = now;
 		void openOne(undefined);
 	};
 
@@ -281,7 +281,7 @@
 		const now = clock.now();
 		let open = all.size;
 		while (idle.size > 0 && open > budget.kept) {
-			const oldest = idle.takeOldest(now - (open > budget.share ? SPARE_IDLE_MS : SHARE_IDLE_MS));
+			const oldest = idle.takeOldest(now - (open > budget.share ? EXCESS_IDLE_TIMEOUT_MS : SHARE_IDLE_TIMEOUT_MS));
 			if (!oldest) {
 				return;
 			}
@@ -291,35 +291,35 @@
 		}
 	};
 
-	/** Waits, trying again to open while the endpoint turns connections away. */
-	const wait = async (wish: LinkWish): Promise<SessionLink | undefined> => {
+	/** Waits for a connection, and keeps trying to open one while the endpoint rejects connections. */
+	const wait = async (request: AcquireRequest): Promise<SessionLink | undefined> => {
 		const alarm = createSleepAlarm();
-		let given: SessionLink | undefined;
+		let assigned: SessionLink | undefined;
 		let done = false;
 		const waiter: Waiter = {
-			...wish,
+			...request,
 			order: order++,
 			since: clock.now(),
-			give(sessionLink) {
-				given = sessionLink;
+			resolve(sessionLink) {
+				assigned = sessionLink;
 				done = true;
 				alarm.abort();
 			},
 		};
 		waiters.push(waiter);
 		waiters.sort((left, right) => left.priority - right.priority || left.order - right.order);
-		// Whoever waits at an endpoint that has gone silent may be served elsewhere, by its successor for one.
-		while (!done && clock.now() < wish.until && !retired && !health.getSuspicion(clock.now())) {
+		// A request that waits at a silent endpoint may be served elsewhere, for example by the endpoint's successor.
+		while (!done && clock.now() < request.until && !retired && !health.getSuspicion(clock.now())) {
 			serveIdle();
 			openForWaiters();
-			await clock.sleep(Math.min(RECHECK_MS, wish.until - clock.now()), alarm);
+			await clock.sleep(Math.min(WAITER_POLL_INTERVAL_MS, request.until - clock.now()), alarm);
 		}
 
 		if (!done) {
 			waiters = waiters.filter(other => other !== waiter);
 		}
 
-		return given;
+		return assigned;
 	};
 
 	return {
@@ -334,15 +334,15 @@
 		get open() {
 			return all.size;
 		},
-		async acquire(wish) {
+		async acquire(request) {
 			if (retired) {
 				return undefined;
 			}
 
-			return takeIdle(wish) ?? wait(wish);
+			return takeIdle(request) ?? wait(request);
 		},
 		release(sessionLink) {
-			usage.noteReturned(sessionLink.workspace);
+			usage.noteReleased(sessionLink.workspace);
 			inTransactions.delete(sessionLink);
 			if (sessionLink.link.closed) {
 				openForWaiters();
@@ -354,7 +354,7 @@
 				return;
 			}
 
-			giveAway(sessionLink);
+			assignOrKeepIdle(sessionLink);
 			trim();
 		},
 		async ask(command, timeoutMs) {
@@ -365,12 +365,12 @@
 
 			const sessionLink = await openLink(timeoutMs, undefined);
 			const status = await sessionLink.link.readStatus({command});
-			giveAway(sessionLink);
+			assignOrKeepIdle(sessionLink);
 			return status;
 		},
 		keep() {
 			trim();
-			recheck();
+			retrySuspect();
 		},
 		retire() {
 			retired = true;
@@ -382,8 +382,8 @@
 	};
 }
 
-/** An endpoint that is taken to be gone is tried again so often, in milliseconds: a try costs it nothing, and a cut lasts seconds. */
-const RECHECK_SUSPECT_MS = 1000;
+/** Interval at which a suspected endpoint is tried again, in milliseconds: a try costs it nothing, and a network cut lasts seconds. */
+const SUSPECT_RETRY_INTERVAL_MS = 1000;
 
-/** Whoever waits for a connection looks this often whether one may be opened by now, in milliseconds. */
-const RECHECK_MS = 30;
+/** Interval at which a waiter checks whether a connection may be opened, in milliseconds. */
+const WAITER_POLL_INTERVAL_MS = 30;
--- a/src/links/endpoint-directory.ts
+++ b/src/links/endpoint-directory.ts
@@ -12,17 +12,17 @@
 /** An endpoint that may be connected to. */
 export type KnownEndpoint = {
 	readonly entry: RegisteredEndpoint;
-	/** What requests take connections from, this host's own or borrowed ones. */
+	/** The pool from which requests acquire connections, this host's own or those of pool hosts. */
 	readonly pool: EndpointPool;
-	/** This host's own connections. */
+	/** The pool of this host's own connections. */
 	readonly ownPool: EndpointPool;
 };
 
-/** The endpoints that are registered, each with its connections. */
+/** The registered endpoints, each with its connections. */
 export type EndpointDirectory = {
 	get(endpointId: string): KnownEndpoint | undefined;
 	list(group: string): readonly KnownEndpoint[];
-	/** Takes over what the mirror holds at the steady time `now`. */
+	/** Applies the mirror's current state at the steady time `now`. */
 	update(now: number): void;
 	/** Closes all connections. */
 	close(): void;
@@ -34,40 +34,40 @@
 	readonly opener: LinkOpener;
 	readonly clock: Clock;
 	readonly log: Log;
-	/** How many hosts share the endpoint's connections, and whether this host is one of them. */
+	/** Returns how many hosts share the endpoint's connections, and whether this host is one of them. */
 	getSharing(entry: RegisteredEndpoint): Pick<LinkLimits, 'hosts' | 'keepsOwn'>;
-	/** Makes the pool that requests use out of this host's own connections. */
+	/** Creates the pool that requests use on top of this host's own connections. */
 	sharePool(entry: RegisteredEndpoint, ownPool: EndpointPool): EndpointPool;
-	/** What an endpoint holds at least in this life, as far as this host can tell. */
+	/** Returns the position that an endpoint's log holds at least in this incarnation, as far as this host knows. */
 	getLeastPosition(entry: RegisteredEndpoint): LogPosition | undefined;
 };
 
 /**
- * An endpoint whose entry is missing for longer is gone, in milliseconds. Entries that lapsed while the platform's store was away are back
- * within two seconds of its return.
+ * An endpoint whose entry is missing for longer than this is removed, in milliseconds. Entries that lapsed while the platform's store was unavailable are
+ * back within two seconds after it is available again.
  */
 export const MISSING_AFTER_MS = 2500;
 
-/** Without a new list it is looked so often who is missing for too long and what is idle, in milliseconds: a tenth of both times. */
-const UPDATE_EVERY_MS = 250;
+/** Interval at which missing endpoints and idle connections are checked without a new list, in milliseconds: a tenth of the time after which a missing endpoint is removed. */
+const UPDATE_INTERVAL_MS = 250;
 
-/** Endpoints that come at once and are still told one by one. */
-const MOST_TOLD_APART = 3;
+/** Maximum number of endpoints in one update that are each logged in a line of their own. */
+const MAX_LOGGED_INDIVIDUALLY = 3;
 
-/** Used where a group's configuration is not known yet. */
+/** Connection limit that is used until a group's configuration is known. */
 const DEFAULT_MAX_CONNECTIONS = 8;
 
-type Kept = KnownEndpoint & {
+type TrackedEndpoint = KnownEndpoint & {
 	missingSince?: number;
-	/** Generation of the store that last showed it as leaving. */
-	readonly leavingIn?: number;
+	/** Store generation that last showed the endpoint as leaving. */
+	readonly leavingGeneration?: number;
 };
 
 /** Creates an empty directory. */
 export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getLeastPosition}: EndpointDirectoryOptions): EndpointDirectory {
 	const log = parentLog.part('endpoints: ');
-	const kept = new Map<string, Kept>();
-	/** Endpoints by group, as far as they were asked for since the last change: each read asks, and a fleet has thousands of endpoints. */
+	const tracked = new Map<string, TrackedEndpoint>();
+	/** Cache of endpoints by group, filled on demand since the last update: each read asks for a list, and a fleet has thousands of endpoints. */
 	let byGroup = new Map<string, readonly KnownEndpoint[]>();
 	let updatedFrom: readonly RegisteredEndpoint[] | undefined;
 	let updatedAt = Number.NEGATIVE_INFINITY;
@@ -84,14 +84,14 @@
 				...getSharing(entry),
 			}),
 		});
-		kept.set(entry.id, {
-			entry, ownPool, pool: sharePool(entry, ownPool), leavingIn: entry.leaving ? getGeneration(mirror.state.revision) : undefined,
+		tracked.set(entry.id, {
+			entry, ownPool, pool: sharePool(entry, ownPool), leavingGeneration: entry.leaving ? getGeneration(mirror.state.revision) : undefined,
 		});
 	};
 
-	/** Says what was added: in one line where it was many at once, since each host of a fleet says it. */
-	const tellAdded = (added: readonly RegisteredEndpoint[]) => {
-		if (added.length > MOST_TOLD_APART) {
+	/** Logs the endpoints that were added, in one line where there are many at once, since each host of a fleet logs them. */
+	const logAdded = (added: readonly RegisteredEndpoint[]) => {
+		if (added.length > MAX_LOGGED_INDIVIDUALLY) {
 			log.info('endpoints are registered', {
 				endpoints: added.length, groups: new Set(added.map(({group}) => group)).size, leaving: added.filter(({leaving}) => leaving).length, revision: formatPlaced(mirror.state.revision),
 			});
@@ -106,12 +106,12 @@
 	};
 
 	/**
-	 * Takes an entry over; true where it is new.
+	 * Adds or updates an entry; returns whether it is new.
 	 *
-	 * Guards against an endpoint that gets new work again because the store came back from a copy without its word that it is leaving, which it writes again only later.
+	 * Guards against an endpoint that gets new work again after a store restore: the backup may lack its notice that it is leaving, which it writes again only later.
 	 */
 	const noteEntry = (entry: RegisteredEndpoint) => {
-		const known = kept.get(entry.id);
+		const known = tracked.get(entry.id);
 		if (!known) {
 			add(entry);
 			return true;
@@ -122,35 +122,35 @@
 		}
 
 		const generation = getGeneration(mirror.state.revision);
-		const leavingIn = entry.leaving ? generation : known.leavingIn;
-		const isLost = leavingIn !== undefined && leavingIn < generation;
-		kept.set(entry.id, {
-			entry: isLost ? {...entry, leaving: true} : entry, ownPool: known.ownPool, pool: known.pool, leavingIn,
+		const leavingGeneration = entry.leaving ? generation : known.leavingGeneration;
+		const isNoticeLost = leavingGeneration !== undefined && leavingGeneration < generation;
+		tracked.set(entry.id, {
+			entry: isNoticeLost ? {...entry, leaving: true} : entry, ownPool: known.ownPool, pool: known.pool, leavingGeneration,
 		});
 		return false;
 	};
 
-	/** A life that another one has followed is over; what is just missing may be back. */
-	const noteMissing = (known: Kept, now: number, isFollowed: boolean) => {
+	/** Removes a missing entry: at once where a later incarnation of the endpoint is listed, else only after a while, since the entry may come back. */
+	const noteMissing = (known: TrackedEndpoint, now: number, isFollowed: boolean) => {
 		known.missingSince ??= now;
 		if (isFollowed || now - known.missingSince > MISSING_AFTER_MS) {
 			known.pool.retire();
-			kept.delete(known.entry.id);
-			log.info('an endpoint is gone', {
+			tracked.delete(known.entry.id);
+			log.info('an endpoint was removed', {
 				endpoint: known.entry.id, group: known.entry.group, missingMs: Math.round(now - known.missingSince), isFollowed,
 			});
 		}
 	};
 
 	return {
-		get: endpointId => kept.get(endpointId),
+		get: endpointId => tracked.get(endpointId),
 		list(group) {
-			const listed = byGroup.get(group) ?? [...kept.values()].filter(({entry}) => entry.group === group);
+			const listed = byGroup.get(group) ?? [...tracked.values()].filter(({entry}) => entry.group === group);
 			byGroup.set(group, listed);
 			return listed;
 		},
 		update(now) {
-			if (mirror.state.endpoints === updatedFrom && now - updatedAt < UPDATE_EVERY_MS) {
+			if (mirror.state.endpoints === updatedFrom && now - updatedAt < UPDATE_INTERVAL_MS) {
 				return;
 			}
 
@@ -168,9 +168,9 @@
 				}
 			}
 
-			tellAdded(added);
+			logAdded(added);
 
-			for (const known of kept.values()) {
+			for (const known of tracked.values()) {
 				known.pool.keep();
 				if (!listed.has(known.entry.id)) {
 					noteMissing(known, now, servers.has(known.entry.server));
@@ -178,7 +178,7 @@
 			}
 		},
 		close() {
-			for (const {pool} of kept.values()) {
+			for (const {pool} of tracked.values()) {
 				pool.retire();
 			}
 		},
--- a/src/links/endpoint-health.ts
+++ b/src/links/endpoint-health.ts
@@ -1,26 +1,26 @@
-/** What traffic tells of an endpoint. Times are those of the steady clock, in milliseconds. */
+/** Detects failures of an endpoint from its traffic. Times are those of the steady clock, in milliseconds. */
 export type EndpointHealth = {
-	/** Something came from the endpoint. */
-	noteHeard(now: number): void;
-	/** Something was sent that it has to answer. */
-	noteAsked(now: number): void;
-	/** Nothing that it was asked waits for an answer any more. */
-	noteNothingOpen(): void;
-	/** A connection was refused, or answered by another endpoint. */
+	/** Notes that something was received from the endpoint. */
+	noteReceived(now: number): void;
+	/** Notes that something was sent that the endpoint has to answer. */
+	noteSent(now: number): void;
+	/** Notes that no request waits for an answer any more. */
+	noteNothingPending(): void;
+	/** Notes that a connection was refused, or answered by another endpoint. */
 	noteRefused(now: number): void;
-	/** Why it is taken to be gone, or undefined where it is not. */
+	/** Returns why the endpoint is suspected to have failed, or undefined where it is not. */
 	getSuspicion(now: number): Suspicion | undefined;
-	/** Since when it owes an answer and has sent nothing; undefined where it owes none. */
+	/** Time since which a request waits for an answer and nothing was received; undefined where none waits. */
 	readonly owesSince: number | undefined;
-	/** When it was last heard, undefined before the first time. */
+	/** Time at which something was last received, undefined before the first time. */
 	readonly heardAt: number | undefined;
 };
 
-/** Why an endpoint is taken to be gone. */
+/** Reasons to suspect that an endpoint has failed. */
 export const Suspicion = {
 	/** Connections are refused. */
 	Refused: 'refused',
-	/** It owes an answer and sends nothing on any connection. */
+	/** A request waits for an answer, and nothing is received on any connection. */
 	Silent: 'silent',
 } as const;
 
@@ -28,16 +28,16 @@
 export type Suspicion = typeof Suspicion[keyof typeof Suspicion];
 
 /**
- * An endpoint that owes an answer and sends nothing on any connection for so long is taken to be gone, in milliseconds.
+ * An endpoint is suspected when a request waits for an answer and nothing is received on any connection for this long, in milliseconds.
  *
- * A busy endpoint still answers something: with three slots and statements of 60 ms, five times slowed, one every 100 ms.
+ * A busy endpoint still sends answers: with three slots and statements of 60 ms that run five times slower, one every 100 ms.
  */
 export const SILENT_AFTER_MS = 700;
 
-/** Creates the health of one endpoint. */
+/** Creates the failure detector of one endpoint. */
 export function createEndpointHealth(): EndpointHealth {
 	let heardAt: number | undefined;
-	let askedAt: number | undefined;
+	let awaitingSince: number | undefined;
 	let refused = false;
 
 	return {
@@ -45,20 +45,20 @@
 			return heardAt;
 		},
 		get owesSince() {
-			return askedAt;
+			return awaitingSince;
 		},
-		noteHeard(now) {
+		noteReceived(now) {
 			heardAt = now;
 			refused = false;
-			if (askedAt !== undefined) {
-				askedAt = now;
+			if (awaitingSince !== undefined) {
+				awaitingSince = now;
 			}
 		},
-		noteAsked(now) {
-			askedAt ??= now;
+		noteSent(now) {
+			awaitingSince ??= now;
 		},
-		noteNothingOpen() {
-			askedAt = undefined;
+		noteNothingPending() {
+			awaitingSince = undefined;
 		},
 		noteRefused() {
 			refused = true;
@@ -68,7 +68,7 @@
 				return Suspicion.Refused;
 			}
 
-			return askedAt !== undefined && now - askedAt > SILENT_AFTER_MS ? Suspicion.Silent : undefined;
+			return awaitingSince !== undefined && now - awaitingSince > SILENT_AFTER_MS ? Suspicion.Silent : undefined;
 		},
 	};
 }
--- a/src/links/endpoint-link.ts
+++ b/src/links/endpoint-link.ts
@@ -3,33 +3,33 @@
 import type {EndpointAnswer} from '../statements/statement-answer.js';
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What an endpoint says of itself. */
+/** The state that an endpoint reports about itself. */
 export type EndpointStatus = {
 	readonly role: EndpointRole;
-	/** Term of its group as it knows it. */
+	/** Term of its group, as far as the endpoint knows. */
 	readonly term: number;
 	/** End of the log that it has received; a replica may have applied less. */
 	readonly received: LogPosition;
 	/** Term of the fence that stops it from receiving, 0 without one. */
 	readonly fencedTerm: number;
-	/** How far behind its primary it applies, in milliseconds. */
+	/** Replication lag behind its primary, in milliseconds. */
 	readonly lagMs: number;
-	/** Statements that run or wait there, of all hosts. */
+	/** Statements of all hosts that run or wait there. */
 	readonly busy: number;
-	/** Connections open there, of all hosts. */
+	/** Open connections of all hosts. */
 	readonly connections: number;
 };
 
-/** A statement on its way to an endpoint. */
+/** A request to an endpoint. */
 export type EndpointRequest = {
-	/** The caller's own id, or undefined for what the proxy asks itself. */
+	/** The caller's own id; undefined for requests of the proxy itself. */
 	readonly id?: string;
 	readonly command: EndpointCommand;
-	/** The answer is refused as lagging where the log does not hold this position. */
+	/** The endpoint refuses the request as lagging where its log does not hold this position. */
 	readonly floor?: LogPosition;
 };
 
-/** What an endpoint can be asked. */
+/** The commands of an endpoint. */
 export type EndpointCommand =
 	| {readonly kind: 'run'; readonly text: string}
 	| {readonly kind: 'execute'; readonly name: string; readonly args: string}
@@ -41,55 +41,55 @@
 	/** Clears session values and prepared names. */
 	| {readonly kind: 'reset'}
 	| {readonly kind: 'status'}
-	/** Stops a replica from receiving until it is let go, promoted or restarted. */
+	/** Stops a replica from receiving until it is unfenced, promoted or restarted. */
 	| {readonly kind: 'fence'; readonly term: number}
 	| {readonly kind: 'unfence'}
-	/** Makes a primary of a lower term a replica. */
+	/** Turns a primary of a lower term into a replica. */
 	| {readonly kind: 'step-down'; readonly term: number};
 
-/** One connection to an endpoint. Requests may be sent ahead; the endpoint answers them in order. */
+/** One connection to an endpoint. Requests may be pipelined; the endpoint answers them in order. */
 export type EndpointLink = {
-	/** Position that the endpoint gave when the connection was opened. */
+	/** Log position that the endpoint reported when the connection was opened. */
 	readonly firstPosition?: LogPosition;
-	/** Requests without an answer yet. */
+	/** Number of requests that have no answer yet. */
 	readonly pending: number;
 	readonly closed: boolean;
-	/** Rejects with LinkLostError where the connection ends before the whole answer. */
+	/** Sends a request and resolves with its answer; rejects with LinkLostError where the connection ends before the whole answer. */
 	exchange(req: EndpointRequest): Promise<EndpointAnswer>;
-	/** Like exchange, for the requests that are answered with a status; rejects with LinkError for any other answer. */
+	/** Does the same for requests that are answered with a status; rejects with LinkError for any other answer. */
 	readStatus(req: EndpointRequest): Promise<EndpointStatus>;
-	/** Cuts the connection at once, with a reset: what is still under way to the endpoint is lost. */
+	/** Resets the connection at once: data in flight to the endpoint is lost. */
 	cut(): void;
-	/** Ends the session and closes after what was sent has gone out. */
+	/** Ends the session and closes the connection after all pending data has been sent. */
 	close(): void;
-	/** Called once, when the connection has ended. */
+	/** Registers a listener that is called once, when the connection has ended. */
 	onClose(listener: () => void): void;
 };
 
-/** What a link is opened to. */
+/** The endpoint to which a link is opened. */
 export type LinkTarget = {
 	/** `ip:port`. */
 	readonly address: string;
 	/** Name of the group that the endpoint must serve. */
 	readonly group: string;
-	/** Id that the endpoint must have: addresses are used again by others. */
+	/** Id that the endpoint must have: another endpoint may reuse its address. */
 	readonly endpointId: string;
-	/** Workspace for which the endpoint is to run statements; undefined for this host's own questions, and where there are no workspaces. */
+	/** Workspace for which the endpoint runs statements; undefined for this host's own requests, and where there are no workspaces. */
 	readonly workspace?: string;
 };
 
-/** Is told of traffic on a link. */
+/** Observes the traffic on a link. */
 export type LinkListener = {
-	/** Something goes out that has to be answered. */
+	/** Called when something is sent that has to be answered. */
 	onAsked(): void;
-	/** Something came, and what it completes has been handed on. */
+	/** Called when something was received, after the answers that it completes have been passed on. */
 	onHeard(): void;
-	/** A request has its answer, or was turned away since too much work waits. */
-	onAnswered(isTurnedAway: boolean): void;
+	/** Called when a request was answered, or rejected because too much work waits. */
+	onAnswered(isRejected: boolean): void;
 };
 
 /** Opens links. */
 export type LinkOpener = {
-	/** Rejects with LinkRefusedError where the endpoint refuses the session, with LinkLostError where nobody answers in time. */
+	/** Opens a link; rejects with LinkRefusedError where the endpoint refuses the session, with LinkLostError where nothing answers in time. */
 	open(target: LinkTarget, timeoutMs: number, listener: LinkListener): Promise<EndpointLink>;
 };
--- a/src/links/endpoint-pool.ts
+++ b/src/links/endpoint-pool.ts
@@ -8,21 +8,21 @@
 import type {LinkLimits} from './link-budget.js';
 import type {SessionLink} from './link-session.js';
 
-/** Whoever asks for a connection. */
-export type LinkWish = {
-	/** 0 goes first. */
+/** A request to acquire a connection. */
+export type AcquireRequest = {
+	/** 0 is the highest priority. */
 	readonly priority: number;
-	/** Steady time until which it waits. */
+	/** Steady time until which the request waits. */
 	readonly until: number;
 	/** Session values; a connection that has them set is preferred. */
 	readonly values: ReadonlyMap<string, string>;
-	/** Workspace whose connections may serve it; undefined where there are no workspaces. */
+	/** Workspace whose connections may serve the request; undefined where there are no workspaces. */
 	readonly workspace?: string;
-	/** It serves one statement that leaves nothing open. */
+	/** Whether the connection serves one statement that leaves no transaction open. */
 	readonly single: boolean;
-	/** It serves one read, which is sent at once and may run more than once; with the epoch of the evidence under which that goes to a primary. */
+	/** Set where the connection serves one read, which is sent at once and may run more than once; `epoch` is that of the primary lease under which the read goes to a primary. */
 	readonly read?: {readonly epoch?: number};
-	/** What the endpoint's log must have held when the connection was opened; undefined where any will do. */
+	/** Position that the endpoint's log must have held when the connection was opened; undefined where any log will do. */
 	readonly least?: LogPosition;
 };
 
@@ -30,24 +30,21 @@
 export type EndpointPool = {
 	readonly target: LinkTarget;
 	readonly health: EndpointHealth;
-	/** Connections that are lent. */
+	/** Connections that are acquired. */
 	readonly lent: number;
-	/** Requests that wait for one. */
+	/** Requests that wait for a connection. */
 	readonly waiting: number;
 	/** Connections that are open. */
 	readonly open: number;
-	/** Lends a connection; undefined where none came free in time or the endpoint takes no sessions. */
-	acquire(wish: LinkWish): Promise<SessionLink | undefined>;
-	/** Takes a connection back: in no transaction, with nothing under way. A closed one is dropped. */
+	/** Resolves with a connection, or with undefined where none came free in time or the endpoint refuses sessions. */
+	acquire(request: AcquireRequest): Promise<SessionLink | undefined>;
+	/** Returns a connection to the pool; it must be in no transaction, with no request in flight. A closed one is dropped. */
 	release(sessionLink: SessionLink): void;
-	/** Asks on the host's own behalf; on any open connection, or a new one. */
+	/** Sends a command of the host's own, on any open connection or a new one, and resolves with the endpoint's status. */
 	ask(command: EndpointRequest['command'], timeoutMs: number): Promise<EndpointStatus>;
-	/**
-	 * Closes connections beyond the host's share that have been idle, so that other hosts can have them, and has an endpoint that refused
-	 * connections tried again.
-	 */
+	/** Closes connections that have been idle for too long, so that other hosts can open them, and tries a suspected endpoint again. */
 	keep(): void;
-	/** Opens none any more and closes those that are idle. */
+	/** Closes idle connections; no more are opened, and acquired ones are closed once they are released. */
 	retire(): void;
 };
 
@@ -58,6 +55,6 @@
 	readonly clock: Clock;
 	readonly log: Log;
 	getLimits(): LinkLimits;
-	/** What the endpoint holds at least; undefined where nothing is known of its log. */
+	/** Returns the position that the endpoint's log holds at least; undefined where nothing is known of its log. */
 	getLeastPosition(): LogPosition | undefined;
 };
--- a/src/links/idle-links.ts
+++ b/src/links/idle-links.ts
@@ -1,21 +1,21 @@
 import type {SessionLink} from './link-session.js';
 
-/** Connections that nobody uses at the moment, in the order in which they became idle. */
+/** The idle connections of a pool, in the order in which they became idle. */
 export type IdleLinks = {
 	readonly size: number;
-	/** The one that became idle last and is still open. */
+	/** The connection that became idle last, out of those that are still open. */
 	readonly newest: SessionLink | undefined;
 	add(sessionLink: SessionLink, now: number): void;
-	/** Whether one of the workspace is there. */
+	/** Returns whether there is a connection of the workspace. */
 	has(workspace: string | undefined): boolean;
-	/** Takes the newest of the workspace that has exactly these session values set, else its newest. */
+	/** Removes and returns the workspace's newest connection that has exactly these session values set, else its newest one. */
 	take(values: ReadonlyMap<string, string>, workspace: string | undefined): SessionLink | undefined;
-	/** Takes the one that has been idle longest of all that belong to another workspace. */
+	/** Removes and returns the connection that has been idle longest, out of those of other workspaces. */
 	takeOldestOfOthers(workspace: string | undefined): SessionLink | undefined;
-	/** Takes the oldest one where it became idle before the steady time `before`. */
+	/** Removes and returns the connection that has been idle longest, if it became idle before the steady time `before`. */
 	takeOldest(before: number): SessionLink | undefined;
 	takeAll(): readonly SessionLink[];
-	/** Cuts those of which this is true, and forgets all that have closed. */
+	/** Cuts the connections for which this returns true, and removes all closed ones. */
 	cutWhere(isUnwanted: (sessionLink: SessionLink) => boolean): void;
 };
 
@@ -24,7 +24,7 @@
 	readonly since: number;
 };
 
-/** Creates an empty set. */
+/** Creates an empty list. */
 export function createIdleLinks(): IdleLinks {
 	let idle: Idle[] = [];
 
--- a/src/links/link-budget.ts
+++ b/src/links/link-budget.ts
@@ -1,46 +1,46 @@
 /**
- * How many connections to one endpoint this host may open. Every host draws on the endpoint's one limit: each has a
- * share that is its own, and may go beyond it while the endpoint turns nobody away.
+ * Limits how many connections to one endpoint this host may open. All hosts share the endpoint's limit: each has a
+ * share of its own, and may exceed it while the endpoint rejects no connection.
  */
 export type LinkBudget = {
-	/** Whether one more may be opened, `open` being open or on their way. */
+	/** Returns whether one more may be opened, where `open` connections are open or being opened. */
 	mayOpen(now: number, open: number): boolean;
-	/** The endpoint turned a connection away. */
-	noteTurnedAway(now: number): void;
-	/** Connections that this host may open whatever others do. */
+	/** Notes that the endpoint rejected a connection. */
+	noteRejected(now: number): void;
+	/** Number of connections that this host may open whatever others do. */
 	readonly share: number;
-	/** Connections that stay open while idle. */
+	/** Number of connections that stay open while idle. */
 	readonly kept: number;
 };
 
-/** Connections that are left to orders on the way to a promotion, which open one where they find none free. */
+/** Number of connections that are left to the commands of a promotion, which open one where none is free. */
 export const RESERVED_CONNECTIONS = 2;
 
 /**
- * Part of the share that stays open while idle. After a loss of power of all hosts the endpoint keeps the connections of the dead for 3 s: with
- * the whole share open the limit was used up, and the hosts that came up were turned away for as long. With half of it, each of
+ * Fraction of the share that stays open while idle. After a power failure of all hosts, the endpoint keeps their old connections for 3 s. Where the whole
+ * share was kept open, these used up the limit, and hosts that restarted were rejected for that time. With half of it, each of
  * them finds some connections free.
  */
-const KEPT_PART = 0.5;
+const KEPT_FRACTION = 0.5;
 
-/** After being turned away nothing beyond the share is opened for so long, in milliseconds: about the length of a transaction. */
+/** Time after a rejection during which nothing beyond the share is opened, in milliseconds: about the length of a transaction. */
 const BACK_OFF_MS = 500;
 
-/** Within the share a host that was turned away tries again after so long, in milliseconds; a try costs the endpoint nothing. */
-const RETRY_MS = 60;
+/** Time after a rejection until a connection within the share is tried again, in milliseconds; a try costs the endpoint nothing. */
+const SHARE_RETRY_DELAY_MS = 60;
 
-/** What the hosts together may open. */
+/** The limit that the hosts share, and how many they are. */
 export type LinkLimits = {
 	readonly maxConnections: number;
-	/** Hosts that share them. */
+	/** Number of hosts that share the connections. */
 	readonly hosts: number;
-	/** Whether this host is one of them; one that is not keeps none open. */
+	/** Whether this host is one of them; any other host keeps none open. */
 	readonly keepsOwn: boolean;
 };
 
 /** Creates the budget for one endpoint. */
 export function createLinkBudget(getLimits: () => LinkLimits): LinkBudget {
-	let turnedAwayAt: number | undefined;
+	let rejectedAt: number | undefined;
 
 	const getShare = () => {
 		const {maxConnections, hosts, keepsOwn} = getLimits();
@@ -52,14 +52,14 @@
 			return getShare();
 		},
 		get kept() {
-			return Math.min(getShare(), Math.max(1, Math.floor(getShare() * KEPT_PART)));
+			return Math.min(getShare(), Math.max(1, Math.floor(getShare() * KEPT_FRACTION)));
 		},
 		mayOpen(now, open) {
-			const since = turnedAwayAt === undefined ? Number.POSITIVE_INFINITY : now - turnedAwayAt;
-			return open < getShare() ? since >= RETRY_MS : since >= BACK_OFF_MS && open < getLimits().maxConnections - RESERVED_CONNECTIONS;
+			const since = rejectedAt === undefined ? Number.POSITIVE_INFINITY : now - rejectedAt;
+			return open < getShare() ? since >= SHARE_RETRY_DELAY_MS : since >= BACK_OFF_MS && open < getLimits().maxConnections - RESERVED_CONNECTIONS;
 		},
-		noteTurnedAway(now) {
-			turnedAwayAt = now;
+		noteRejected(now) {
+			rejectedAt = now;
 		},
 	};
 }
--- a/src/links/link-errors.ts
+++ b/src/links/link-errors.ts
@@ -1,13 +1,13 @@
 import ModernError from 'modern-errors';
 import type {AnswerCode} from '../statements/statement-answer.js';
 
-/** A link to an endpoint failed. */
+/** Base class of the errors of a link to an endpoint. */
 export const LinkError = ModernError.subclass('LinkError');
 
-/** The connection ended, or was silent for too long; what was sent may have run. */
+/** Error of a connection that ended, or was silent for too long; requests that were sent may have run. */
 export const LinkLostError = LinkError.subclass('LinkLostError');
 
-/** The endpoint refused the session; nothing was sent on it. */
+/** Error of a session that the endpoint refused; nothing was sent on it. */
 export const LinkRefusedError = LinkError.subclass('LinkRefusedError', {
 	props: {code: 'overloaded' as AnswerCode},
 });
--- a/src/links/link-session.ts
+++ b/src/links/link-session.ts
@@ -1,39 +1,39 @@
 import {Access, type PreparedShape} from '../statements/statement.js';
 import type {EndpointLink, EndpointRequest} from './endpoint-link.js';
 
-/** Session values and prepared statements that a statement needs on its connection. */
+/** The session values and the prepared statement that a statement needs on its connection. */
 export type NeededSession = {
-	/** Exactly these values must be set: a value of another caller's session must not show. */
+	/** Exactly these values must be set: a value of another caller's session must not be visible. */
 	readonly values: ReadonlyMap<string, string>;
-	/** A prepared statement that must be known. */
+	/** A statement that must be prepared on the connection. */
 	readonly prepared?: PreparedShape;
 };
 
-/** A connection to an endpoint, with what was set and prepared on it. */
+/** A connection to an endpoint, with the session values and prepared statements that are set on it. */
 export type SessionLink = {
 	readonly link: EndpointLink;
-	/** Workspace for which the connection was opened, and which alone may use it; undefined where it was opened for none. */
+	/** The workspace for which the connection was opened, the only one that may use it; undefined where it was opened for none. */
 	readonly workspace?: string;
-	/** Whether exactly these values are set, so that lending it costs nothing. */
+	/** Returns whether exactly these values are set, so that the connection can be used without a change. */
 	matches(values: ReadonlyMap<string, string>): boolean;
-	/** Sends ahead what the next statement needs; the endpoint answers in order, so the statement may follow at once. */
+	/** Sends the commands that set up the session for the next statement; the endpoint answers in order, so the statement may follow at once. */
 	adapt(needed: NeededSession): void;
-	/** The name under which a shape is prepared on connections: the same for all callers, whose own names may collide. */
+	/** Returns the name under which a shape is prepared on connections: the same for all callers, whose own names may collide. */
 	getName(shape: PreparedShape): string;
 };
 
-/** Names a shape on connections, the same on every host, since hosts lend connections to each other. */
+/** Returns the name under which a shape is prepared; it is the same on every host, since hosts share connections. */
 export function getPreparedName({access, shape}: PreparedShape): string {
 	return `${access === Access.Read ? 'r' : 'w'}_${shape}`;
 }
 
-/** Creates the session of a fresh connection. */
+/** Creates the session of a new connection. */
 export function createSessionLink(link: EndpointLink, workspace?: string): SessionLink {
 	let values = new Map<string, string>();
 	const prepared = new Set<string>();
 
 	/**
-	 * Guards against a statement under values that its caller never set: where the endpoint does not take a value, or
+	 * Guards against a statement that runs under values which its caller never set: where the endpoint does not accept a value, or
 	 * a statement to prepare, the connection is cut before its next answer can be used.
 	 */
 	const send = (command: EndpointRequest['command']) => {
--- a/src/links/open-checked-link.ts
+++ b/src/links/open-checked-link.ts
@@ -4,16 +4,16 @@
 import type {EndpointPoolOptions} from './endpoint-pool.js';
 import {createLinkRefused} from './link-errors.js';
 
-/** Whether a connection was opened to a log that held `least`. */
-export function isOfLife({firstPosition}: EndpointLink, least: LogPosition | undefined): boolean {
-	return !least || least.position === 0 || holdsLogPosition(firstPosition ?? LOG_START, least);
+/** Returns whether the endpoint's log held `minPosition` when the connection was opened. */
+export function heldPositionAtOpen({firstPosition}: EndpointLink, minPosition: LogPosition | undefined): boolean {
+	return !minPosition || minPosition.position === 0 || holdsLogPosition(firstPosition ?? LOG_START, minPosition);
 }
 
 /**
- * Opens a connection for a workspace.
+ * Opens a connection for a workspace; rejects with LinkRefusedError where the endpoint has lost its log.
  *
- * Guards against a primary that started again and lost its log while its entry still names the life before: it answers under the server's id,
- * a read there would miss acknowledged commits, and a write would begin a second history. Its log is shorter than what was seen in it.
+ * Guards against a primary that restarted and lost its log while its entry still names the previous incarnation. It answers under the server's id,
+ * so a read there would miss acknowledged commits, and a write would begin a divergent history. Its log is shorter than a position that was seen in it.
  */
 export async function openCheckedLink(
 	{target, opener, log, getLeastPosition}: Pick<EndpointPoolOptions, 'target' | 'opener' | 'log' | 'getLeastPosition'>,
@@ -21,12 +21,12 @@
 	timeoutMs: number,
 	listener: LinkListener,
 ): Promise<EndpointLink> {
-	// Taken before the opening: what others write meanwhile may be known here before the endpoint's greeting is.
-	const least = getLeastPosition();
+	// Read before the connection is opened: a later write of another host may be known here before the endpoint's first position is.
+	const minPosition = getLeastPosition();
 	const link = await opener.open({...target, workspace}, timeoutMs, listener);
-	if (!isOfLife(link, least)) {
+	if (!heldPositionAtOpen(link, minPosition)) {
 		log.warn('an endpoint has lost its log and is not used', {
-			endpoint: target.endpointId, group: target.group, holds: link.firstPosition, held: least,
+			endpoint: target.endpointId, group: target.group, holds: link.firstPosition, held: minPosition,
 		});
 		link.cut();
 		throw createLinkRefused(target.address, AnswerCode.WrongEndpoint);
--- a/src/links/workspace-usage.ts
+++ b/src/links/workspace-usage.ts
@@ -1,28 +1,28 @@
-/** Counts the connections to one endpoint by the workspaces that they are for. */
+/** Counts the connections to one endpoint by workspace. */
 export type WorkspaceUsage = {
-	/** Connections that are being opened. */
+	/** Number of connections that are being opened. */
 	readonly opening: number;
-	/** The workspaces for which they are. */
+	/** The workspaces for which connections are being opened, one entry for each connection. */
 	readonly openingFor: ReadonlyArray<string | undefined>;
 	noteOpening(workspace: string | undefined): void;
 	noteOpeningEnded(workspace: string | undefined): void;
-	noteLent(workspace: string | undefined): void;
-	noteReturned(workspace: string | undefined): void;
-	/** Connections that the workspace uses, those that are being opened for it included. */
+	noteAcquired(workspace: string | undefined): void;
+	noteReleased(workspace: string | undefined): void;
+	/** Returns how many connections the workspace uses, including those that are being opened for it. */
 	count(workspace: string | undefined): number;
 };
 
-/** Creates the counts of an endpoint without connections. */
+/** Creates the counts for an endpoint that has no connections yet. */
 export function createWorkspaceUsage(): WorkspaceUsage {
 	const openingFor: Array<string | undefined> = [];
-	const lent = new Map<string | undefined, number>();
+	const acquired = new Map<string | undefined, number>();
 
 	const change = (workspace: string | undefined, by: number) => {
-		const count = (lent.get(workspace) ?? 0) + by;
+		const count = (acquired.get(workspace) ?? 0) + by;
 		if (count > 0) {
-			lent.set(workspace, count);
+			acquired.set(workspace, count);
 		} else {
-			lent.delete(workspace);
+			acquired.delete(workspace);
 		}
 	};
 
@@ -37,12 +37,12 @@
 		noteOpeningEnded(workspace) {
 			openingFor.splice(openingFor.indexOf(workspace), 1);
 		},
-		noteLent(workspace) {
+		noteAcquired(workspace) {
 			change(workspace, 1);
 		},
-		noteReturned(workspace) {
+		noteReleased(workspace) {
 			change(workspace, -1);
 		},
-		count: workspace => (lent.get(workspace) ?? 0) + openingFor.filter(other => other === workspace).length,
+		count: workspace => (acquired.get(workspace) ?? 0) + openingFor.filter(other => other === workspace).length,
 	};
 }
--- a/tests/lending/shared-pool-tests.ts
+++ b/tests/lending/shared-pool-tests.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {createSharedPool, type SharedPoolOptions} from '../../src/lending/shared-pool.js';
 import type {LoanAnswer} from '../../src/lending/lending-calls.js';
-import type {LinkWish} from '../../src/links/endpoint-pool.js';
+import type {AcquireRequest} from '../../src/links/endpoint-pool.js';
 import {createUnreachableHosts} from '../../src/membership/unreachable-hosts.js';
 import {throwPeerSilent} from '../../src/peers/peer-errors.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
@@ -47,7 +47,7 @@
 		const pool = createSharedPool({
 			entry: {id: 'i-1', group: 'nights'},
 			ownPool: {
-				async acquire({until}: LinkWish) {
+				async acquire({until}: AcquireRequest) {
 					await clock.sleep(until - clock.now());
 				},
 			},
--- a/tests/links/congestion-window-tests.ts
+++ b/tests/links/congestion-window-tests.ts
@@ -2,33 +2,33 @@
 import {createCongestionWindow} from '../../src/links/congestion-window.js';
 
 describe('the congestion window of an endpoint', () => {
-	it('bounds nothing before anything was turned away', () => {
+	it('is unbounded before a statement is rejected', () => {
 		const window = createCongestionWindow();
 		window.noteServed();
 		expect(window.size).to.equal(Number.POSITIVE_INFINITY);
 	});
 
-	it('is half of what was under way when a statement is turned away', () => {
+	it('is half of the statements in flight once a statement is rejected', () => {
 		const window = createCongestionWindow();
-		window.noteTurnedAway(6, 0);
+		window.noteRejected(6, 0);
 		expect(window.size).to.equal(3);
 	});
 
-	it('shrinks once for all that is turned away together', () => {
+	it('shrinks once for statements that are rejected together', () => {
 		const window = createCongestionWindow();
 		for (const now of [0, 1, 50, 99]) {
-			window.noteTurnedAway(8, now);
+			window.noteRejected(8, now);
 		}
 
 		expect(window.size).to.equal(4);
-		window.noteTurnedAway(4, 100);
+		window.noteRejected(4, 100);
 		expect(window.size).to.equal(2);
 	});
 
-	it('is never below one, so that the endpoint is asked again', () => {
+	it('is never below one, so that statements are still sent to the endpoint', () => {
 		const window = createCongestionWindow();
 		for (let now = 0; now < 10_000; now += 100) {
-			window.noteTurnedAway(1, now);
+			window.noteRejected(1, now);
 		}
 
 		expect(window.size).to.equal(1);
@@ -36,7 +36,7 @@
 
 	it('grows by one for each full window that is served', () => {
 		const window = createCongestionWindow();
-		window.noteTurnedAway(4, 0);
+		window.noteRejected(4, 0);
 		for (let served = 0; served < 2; served++) {
 			window.noteServed();
 		}
@@ -44,9 +44,9 @@
 		expect(window.size).to.be.within(2.8, 3);
 	});
 
-	it('bounds nothing any more once it has grown', () => {
+	it('is unbounded again once it has grown', () => {
 		const window = createCongestionWindow();
-		window.noteTurnedAway(1, 0);
+		window.noteRejected(1, 0);
 		for (let served = 0; served < 64 * 64; served++) {
 			window.noteServed();
 		}
--- a/tests/links/create-endpoint-pool-tests.ts
+++ b/tests/links/create-endpoint-pool-tests.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import type {EndpointLink} from '../../src/links/endpoint-link.js';
 import {createEndpointPool} from '../../src/links/create-endpoint-pool.js';
-import type {EndpointPool, LinkWish} from '../../src/links/endpoint-pool.js';
+import type {EndpointPool, AcquireRequest} from '../../src/links/endpoint-pool.js';
 import {createLinkRefused} from '../../src/links/link-errors.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import {AnswerCode} from '../../src/statements/statement-answer.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** A pool with a share of three connections, which open after 12 ms, before an endpoint that takes some more. */
+/** Creates a pool with a share of three connections, which open after 12 ms, to an endpoint that allows `maxConnections` of all hosts. */
 function createBench(maxConnections = 5) {
 	const clock = createVirtualClock();
-	/** Workspaces that connections were opened for, in order. */
+	/** Workspaces for which connections were opened, in order. */
 	const openedFor: Array<string | undefined> = [];
 	const pool = createEndpointPool({
 		target: {address: '10.1.0.9:8080', group: 'nights', endpointId: 'i-1'},
@@ -36,11 +36,11 @@
 		getLimits: () => ({maxConnections, hosts: Math.max(1, Math.floor((maxConnections - 2) / 3)), keepsOwn: true}),
 		getLeastPosition: () => undefined,
 	});
-	const wish = (single: boolean, workspace?: string): LinkWish => ({
+	const makeRequest = (single: boolean, workspace?: string): AcquireRequest => ({
 		priority: 1, until: clock.now() + 500, values: new Map(), single, workspace,
 	});
-	const acquire = async (single: boolean, workspace?: string) => pool.acquire(wish(single, workspace));
-	/** Runs a statement of the given time for a workspace; resolves with the time that it waited for its connection, undefined where it got none. */
+	const acquire = async (single: boolean, workspace?: string) => pool.acquire(makeRequest(single, workspace));
+	/** Runs a statement of the given duration for a workspace; resolves with the time that it waited for its connection, or undefined where it got none. */
 	const run = async (workspace: string, ms: number) => {
 		const askedAt = clock.now();
 		const sessionLink = await acquire(true, workspace);
@@ -70,11 +70,8 @@
 }
 
 describe('connections to one endpoint', () => {
-	/**
-	 * Callers begin transactions and rest in them until every connection of a primary is taken. A member's single sync, of some milliseconds, finds none
-	 * for as long as they rest, and is refused after all of its time.
-	 */
-	it('leave one to single statements where no more may be opened', async () => {
+	/** Callers idle in transactions until these hold every connection of a primary. A single statement of some milliseconds then finds none, and is refused at its deadline. */
+	it('keep one for single statements where no more may be opened', async () => {
 		const bench = createBench();
 		const begun = await beginTransactions(bench, 4);
 		expect(begun.map(link => link !== undefined)).to.deep.equal([true, true, false, false]);
@@ -83,7 +80,7 @@
 		expect(bench.clock.now() - askedAt).to.be.lessThan(50);
 	});
 
-	it('go to a transaction that waits once another one ends', async () => {
+	it('are assigned to a waiting transaction once another one ends', async () => {
 		const bench = createBench();
 		const [first] = await beginTransactions(bench, 2);
 		const waiting = bench.acquire(false);
@@ -92,17 +89,17 @@
 		expect(await bench.clock.runUntil(waiting)).to.not.equal(undefined);
 	});
 
-	it('are all for single statements where no transaction is open', async () => {
+	it('are all available to single statements where no transaction is open', async () => {
 		const bench = createBench();
-		const lent = [];
+		const acquired = [];
 		for (let i = 0; i < 3; i++) {
-			lent.push(await bench.clock.runUntil(bench.acquire(true)));
+			acquired.push(await bench.clock.runUntil(bench.acquire(true)));
 		}
 
-		expect(lent.every(link => link !== undefined)).to.equal(true);
+		expect(acquired.every(link => link !== undefined)).to.equal(true);
 	});
 
-	it('serve the statements of one workspace alone', async () => {
+	it('serve the statements of one workspace only', async () => {
 		const bench = createBench();
 		for (const workspace of ['north', 'south', 'north', 'south']) {
 			await bench.clock.runUntil(bench.run(workspace, 5));
@@ -111,8 +108,8 @@
 		expect(bench.openedFor).to.deep.equal(['north', 'south']);
 	});
 
-	/** More workspaces than connections: the connection of one that has been idle longest makes room, and that of one in use does not. */
-	it('make room for a workspace that has none', async () => {
+	/** There are more workspaces than connections: the connection that has been idle longest is closed, and one in use is not. */
+	it('are closed when idle for a workspace that has none', async () => {
 		const bench = createBench();
 		for (const workspace of ['a', 'b', 'c', 'd', 'b']) {
 			await bench.clock.runUntil(bench.run(workspace, 5));
@@ -122,8 +119,8 @@
 		expect(bench.pool.open).to.equal(3);
 	});
 
-	/** A workspace that asks without a pause would keep every connection by passing them on among its own statements; another one's would wait until its time is up. */
-	it('come to another workspace beside one that keeps all busy', async () => {
+	/** A workspace that sends statements without a pause would reuse every connection for its own statements; one of another workspace would wait until its deadline. */
+	it('are opened for another workspace while one keeps all of them busy', async () => {
 		const bench = createBench();
 		const busy = Array.from({length: 60}, async () => bench.run('busy', 20));
 		await bench.clock.advance(100);
@@ -132,7 +129,7 @@
 		await bench.clock.runUntil(Promise.all(busy));
 	});
 
-	it('are not closed for a workspace while the endpoint turns new ones away', async () => {
+	it('are not closed for a workspace while the endpoint rejects new ones', async () => {
 		const clock = createVirtualClock();
 		let closed = 0;
 		let full = false;
@@ -167,8 +164,8 @@
 		expect(closed).to.equal(0);
 	});
 
-	/** The endpoint's other hosts need what is beyond this one's share: they are turned away while this host keeps idle connections that serve nobody who waits. */
-	it('are closed for another workspace before the share is passed', async () => {
+	/** Other hosts need the connections beyond this host's share: they would be rejected while this host keeps idle connections that serve none of its waiters. */
+	it('are closed for another workspace before the share is exceeded', async () => {
 		const bench = createBench(9);
 		for (const workspace of ['a', 'b', 'c', 'd']) {
 			await bench.clock.runUntil(bench.run(workspace, 5));
--- a/tests/links/endpoint-directory-tests.ts
+++ b/tests/links/endpoint-directory-tests.ts
@@ -11,11 +11,11 @@
 	id, server, group: 'nights', address: '10.1.0.9:8080', availabilityZone: 'hall-a', slots: 3, leaving: false, claimsLead: false,
 });
 
-/** An opening that nobody answers; none is asked for here. */
+/** A connection that never opens; these tests need none. */
 const NEVER = new Promise<never>(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 
-describe('the endpoints that are registered', () => {
-	/** Updates a directory with one list after the other, each so many milliseconds after the first, and tells which endpoints it then has. */
+describe('the endpoint directory', () => {
+	/** Updates a directory with one list after the other, each `afterMs` after the start, and compares the endpoints that it then has. */
 	function doTest(name: string, lists: ReadonlyArray<{readonly afterMs: number; readonly entries: readonly RegisteredEndpoint[]}>, expected: readonly string[]) {
 		it(name, () => {
 			const mirror = {state: EMPTY_STATE};
@@ -37,8 +37,8 @@
 		});
 	}
 
-	/** A host that starts finds all endpoints of the fleet at once; hundreds of hosts that each say every one of them fill the logs with what is the same on all. */
-	it('are told in one line where they come at once, and one by one later', () => {
+	/** A host that starts adds all endpoints of the fleet at once; hundreds of hosts that each log every one of them would fill the logs with the same lines. */
+	it('logs endpoints in one line where many are added at once, and one by one later', () => {
 		const lines: string[] = [];
 		const silent = createSilentLog();
 		const log: Log = {
@@ -72,10 +72,10 @@
 	const second = makeEntry('i-1 2000', 'i-1');
 	const other = makeEntry('i-2', 'i-2');
 
-	doTest('one whose entry is missing may be back', [{afterMs: 0, entries: [first, other]}, {afterMs: 10, entries: [other]}], ['i-1 1000', 'i-2']);
-	doTest('it is gone after longer than the store\'s own troubles explain', [
+	doTest('keeps an endpoint whose entry has just gone missing', [{afterMs: 0, entries: [first, other]}, {afterMs: 10, entries: [other]}], ['i-1 1000', 'i-2']);
+	doTest('removes an endpoint whose entry is missing for longer than a fault of the store explains', [
 		{afterMs: 0, entries: [first, other]}, {afterMs: 10, entries: [other]}, {afterMs: 11 + MISSING_AFTER_MS, entries: [other]},
 	], ['i-2']);
-	// Connections of the life before would be lent, and its figures believed, for all that time.
-	doTest('a life is over as soon as the next one is listed', [{afterMs: 0, entries: [first, other]}, {afterMs: 10, entries: [second, other]}], ['i-2', 'i-1 2000']);
+	// Connections to the previous incarnation would be used, and its statistics trusted, for all that time.
+	doTest('removes an incarnation as soon as the next one is listed', [{afterMs: 0, entries: [first, other]}, {afterMs: 10, entries: [second, other]}], ['i-2', 'i-1 2000']);
 });
--- a/tests/links/endpoint-health-tests.ts
+++ b/tests/links/endpoint-health-tests.ts
@@ -2,39 +2,39 @@
 import {createEndpointHealth, SILENT_AFTER_MS, type EndpointHealth} from '../../src/links/endpoint-health.js';
 
 describe('the health of an endpoint', () => {
-	function doTest(name: string, play: (health: EndpointHealth) => void, at: number, expected: string | undefined) {
+	function doTest(name: string, act: (health: EndpointHealth) => void, at: number, expected: string | undefined) {
 		it(name, () => {
 			const health = createEndpointHealth();
-			play(health);
+			act(health);
 			expect(health.getSuspicion(at)).to.equal(expected);
 		});
 	}
 
-	doTest('nothing is held against one that was never asked', () => undefined, 10_000, undefined);
-	doTest('it may take its time to answer', health => {
-		health.noteAsked(0);
+	doTest('is not suspect where no request was sent', () => undefined, 10_000, undefined);
+	doTest('is not suspect while an answer may still come', health => {
+		health.noteSent(0);
 	}, SILENT_AFTER_MS, undefined);
-	doTest('it is silent after that', health => {
-		health.noteAsked(0);
+	doTest('is silent after that', health => {
+		health.noteSent(0);
 	}, SILENT_AFTER_MS + 1, 'silent');
-	doTest('a later question does not start the time anew', health => {
-		health.noteAsked(0);
-		health.noteAsked(600);
+	doTest('is silent where a later request was sent in the meantime', health => {
+		health.noteSent(0);
+		health.noteSent(600);
 	}, SILENT_AFTER_MS + 1, 'silent');
-	doTest('an answer on any connection starts it anew', health => {
-		health.noteAsked(0);
-		health.noteHeard(600);
+	doTest('is not suspect where an answer came in the meantime on any connection', health => {
+		health.noteSent(0);
+		health.noteReceived(600);
 	}, SILENT_AFTER_MS + 1, undefined);
-	doTest('one that owes nothing may be silent', health => {
-		health.noteAsked(0);
-		health.noteHeard(5);
-		health.noteNothingOpen();
+	doTest('is not suspect where nothing is received and no request is pending', health => {
+		health.noteSent(0);
+		health.noteReceived(5);
+		health.noteNothingPending();
 	}, 10_000, undefined);
-	doTest('a refused connection tells at once', health => {
+	doTest('is refused as soon as a connection is refused', health => {
 		health.noteRefused(0);
 	}, 0, 'refused');
-	doTest('until it is heard again', health => {
+	doTest('is not suspect once something is received after a refused connection', health => {
 		health.noteRefused(0);
-		health.noteHeard(1);
+		health.noteReceived(1);
 	}, 1, undefined);
 });
--- a/tests/links/link-budget-tests.ts
+++ b/tests/links/link-budget-tests.ts
@@ -2,11 +2,11 @@
 import {createLinkBudget} from '../../src/links/link-budget.js';
 
 describe('the budget of connections to an endpoint', () => {
-	function doTest(name: string, open: number, turnedAwayAgoMs: number | undefined, expected: boolean) {
+	function doTest(name: string, open: number, rejectedAgoMs: number | undefined, expected: boolean) {
 		it(name, () => {
 			const budget = createLinkBudget(() => ({maxConnections: 22, hosts: 9, keepsOwn: true}));
-			if (turnedAwayAgoMs !== undefined) {
-				budget.noteTurnedAway(10_000 - turnedAwayAgoMs);
+			if (rejectedAgoMs !== undefined) {
+				budget.noteRejected(10_000 - rejectedAgoMs);
 			}
 
 			expect(budget.share).to.equal(2);
@@ -15,15 +15,15 @@
 		});
 	}
 
-	doTest('the first is free', 0, undefined, true);
-	doTest('so are those beyond the share while nobody is turned away', 8, undefined, true);
-	doTest('but for those that are left to orders', 20, undefined, false);
-	doTest('a host that was just turned away waits', 1, 59, false);
-	doTest('and tries again soon within its share', 1, 60, true);
-	doTest('beyond its share it waits longer', 2, 499, false);
-	doTest('until the others\' work may have ended', 2, 500, true);
+	doTest('allows the first one', 0, undefined, true);
+	doTest('allows one beyond the share while none was rejected', 8, undefined, true);
+	doTest('refuses those that are reserved for the commands of a promotion', 20, undefined, false);
+	doTest('refuses one within the share just after a rejection', 1, 59, false);
+	doTest('allows one within the share 60 ms after a rejection', 1, 60, true);
+	doTest('refuses one beyond the share 499 ms after a rejection', 2, 499, false);
+	doTest('allows one beyond the share 500 ms after a rejection', 2, 500, true);
 
-	it('always leaves one to each host, however many there are', () => {
+	it('allows each host at least one, however many hosts there are', () => {
 		expect(createLinkBudget(() => ({maxConnections: 22, hosts: 900, keepsOwn: true})).share).to.equal(1);
 	});
 });
--- a/tests/links/link-session-tests.ts
+++ b/tests/links/link-session-tests.ts
@@ -4,18 +4,18 @@
 import {AnswerCode, type EndpointAnswer} from '../../src/statements/statement-answer.js';
 import {formatRequest} from '../../src/platform/endpoint-lines.js';
 
-/** A connection that notes what is sent on it. */
-function createNotedLink(refused?: string) {
+/** Creates a connection that records the requests sent on it and answers `refused` with an error. */
+function createRecordingLink(refused?: string) {
 	const sent: string[] = [];
 	const link = {
-		cutDown: false,
+		isCut: false,
 		async exchange(req: EndpointRequest): Promise<EndpointAnswer> {
 			const text = formatRequest(req).trim().replace('QUERY - ', '');
 			sent.push(text);
 			return {rows: [], state: 'idle', end: text === refused ? {kind: 'error', code: AnswerCode.Failed, text: ''} : {kind: 'complete'}};
 		},
 		cut() {
-			this.cutDown = true;
+			this.isCut = true;
 		},
 	};
 	return {sent, link, sessionLink: createSessionLink(link as unknown as EndpointLink)};
@@ -26,7 +26,7 @@
 describe('adapting a connection to a session', () => {
 	function doTest(name: string, sessions: ReadonlyArray<Record<string, string>>, expected: readonly string[]) {
 		it(name, () => {
-			const {sent, sessionLink} = createNotedLink();
+			const {sent, sessionLink} = createRecordingLink();
 			for (const session of sessions) {
 				sessionLink.adapt({values: values(session)});
 			}
@@ -36,12 +36,12 @@
 	}
 
 	doTest('sends nothing for a session without values', [{}, {}], []);
-	doTest('sets what is missing', [{a: '1'}, {a: '1', b: '2'}], ['SET a 1', 'SET b 2']);
-	doTest('sets what differs', [{a: '1'}, {a: '2'}], ['SET a 1', 'SET a 2']);
-	doTest('clears what another session set', [{a: '1', b: '2'}, {b: '2'}], ['SET a 1', 'SET b 2', 'RESET', 'SET b 2']);
+	doTest('sets missing values', [{a: '1'}, {a: '1', b: '2'}], ['SET a 1', 'SET b 2']);
+	doTest('sets values that differ', [{a: '1'}, {a: '2'}], ['SET a 1', 'SET a 2']);
+	doTest('clears values that another session set', [{a: '1', b: '2'}, {b: '2'}], ['SET a 1', 'SET b 2', 'RESET', 'SET b 2']);
 
 	it('prepares a shape once, under one name for all, and again after a reset', () => {
-		const {sent, sessionLink} = createNotedLink();
+		const {sent, sessionLink} = createRecordingLink();
 		const prepared = {access: 'read', shape: 'q1'} as const;
 		sessionLink.adapt({values: values({a: '1'}), prepared});
 		sessionLink.adapt({values: values({a: '1'}), prepared});
@@ -49,12 +49,12 @@
 		expect(sent).to.deep.equal(['SET a 1', 'PARSE r_q1 READ q1', 'RESET', 'PARSE r_q1 READ q1']);
 	});
 
-	/** An endpoint refuses a value. The statement behind it would run without it, and its caller would take the rows for right. */
-	it('cuts a connection that did not take what was sent ahead', async () => {
-		const {link, sessionLink} = createNotedLink('SET a 1');
+	/** The endpoint refuses a value. The statement that follows would run without it, and its caller would take the rows for correct. */
+	it('cuts a connection whose endpoint refuses a value', async () => {
+		const {link, sessionLink} = createRecordingLink('SET a 1');
 		sessionLink.adapt({values: values({a: '1'})});
 		await Promise.resolve();
 		await Promise.resolve();
-		expect(link.cutDown).to.equal(true);
+		expect(link.isCut).to.equal(true);
 	});
 });
