--- a/src/endpoints/answer-schemas.ts
+++ b/src/endpoints/answer-schemas.ts
@@ -1,13 +1,13 @@
 import * as z from 'zod';
 import {EndpointRole, KeyedWriteResult, type Row} from './endpoint.js';
 
-/** Checks of what a database server answers; unknown fields are left out. */
+/** Schemas of a database server's answers; unknown fields are dropped. */
 
 const term = z.int().min(0);
 
 const rows = z.custom<readonly Row[]>(value => Array.isArray(value) && value.every(row => isRow(row)), 'rows are a list of objects');
 
-/** Checks an EndpointStatus. */
+/** Schema of an EndpointStatus. */
 export const endpointStatusSchema = z.object({
 	term,
 	log: z.object({term, position: z.int().min(0)}),
@@ -15,13 +15,13 @@
 	leaving: z.boolean(),
 });
 
-/** Checks a TermAnswer. */
+/** Schema of a TermAnswer. */
 export const termAnswerSchema = z.object({
 	granted: z.boolean(),
 	status: endpointStatusSchema,
 });
 
-/** Checks a KeyedWriteAnswer. */
+/** Schema of a KeyedWriteAnswer. */
 export const keyedWriteAnswerSchema = z.object({
 	result: z.enum(KeyedWriteResult),
 	rows: rows.optional(),
@@ -29,7 +29,7 @@
 	status: endpointStatusSchema,
 });
 
-/** Checks a FloorReadAnswer. */
+/** Schema of a FloorReadAnswer. */
 export const floorReadAnswerSchema = z.object({
 	held: z.boolean(),
 	lost: z.boolean().optional(),
@@ -38,7 +38,7 @@
 	message: z.string().optional(),
 });
 
-/** Checks the rows of a statement within a transaction. */
+/** Schema of the rows of a statement within a transaction. */
 export const rowsSchema = rows;
 
 function isRow(value: unknown): value is Row {
--- a/src/endpoints/connection-pool.ts
+++ b/src/endpoints/connection-pool.ts
@@ -4,50 +4,52 @@
 import type {Endpoint, EndpointConnection, EndpointStatus} from './endpoint.js';
 import {throwNotConnected} from './endpoint-errors.js';
 
-/** A bounded set of connections to one database server, each lent to one request or transaction at a time. */
+/** A bounded set of connections to one database server, each used by one request or transaction at a time. */
 export type ConnectionPool = {
-	/** Lends a connection by `deadlineAt`; rejects with EndpointError (`sent: false`) where none can be had. */
+	/** Resolves with a connection by `deadlineAt`; rejects with EndpointError (`sent: false`) where none is available. */
 	acquire(deadlineAt: number): Promise<EndpointConnection>;
-	/** Takes a connection back; one that is no longer usable is forgotten. */
+	/** Returns a connection to the pool; one that is no longer usable is dropped. */
 	release(connection: EndpointConnection): void;
-	/** Changes how many connections may be open. */
+	/** Changes the maximum number of open connections. */
 	setLimit(limit: number): void;
 	getLoad(): PoolLoad;
-	/** Closes the idle connections now and the lent ones as they come back; nothing is lent any more. */
+	/** Closes the idle connections now and the acquired ones once they are released; further requests to acquire one are rejected. */
 	close(): Promise<void>;
 };
 
-/** How many connections a pool has. */
+/** The number of connections of a pool by state, of the requests that wait for one, and its limit. */
 export type PoolLoad = {
 	readonly idle: number;
+	/** Connections that are acquired, including those that are checked before use. */
 	readonly lent: number;
 	readonly waiting: number;
 	readonly limit: number;
 };
 
-/** What a pool is made from. */
+/** What a pool needs. */
 export type ConnectionPoolOptions = {
 	readonly endpoint: Endpoint;
 	readonly limit: number;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Told of each status that a health check brings, and of each failure to connect. */
+	/** Called with the status of each successful health check. */
 	onStatus?(status: EndpointStatus): void;
+	/** Called after each failed connection attempt or health check. */
 	onFailure?(): void;
 };
 
-/** Longest time to open a connection, in milliseconds. */
+/** Timeout for opening a connection, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
 
-/** A connection idle for longer than this is checked before it is lent, in milliseconds. */
+/** Idle time after which a connection is checked before it is used, in milliseconds. */
 const HEALTH_CHECK_IDLE_MS = 1000;
 
-/** Longest time for a health check, in milliseconds. */
+/** Timeout for a health check, in milliseconds. */
 const HEALTH_CHECK_TIMEOUT_MS = 250;
 
-/** Bounds of the pause after a refused connection, in milliseconds. */
-const SHORTEST_BACKOFF_MS = 20;
-const LONGEST_BACKOFF_MS = 1000;
+/** Bounds of the backoff after a refused connection, in milliseconds. */
+const MIN_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 1000;
 
 type IdleConnection = {
 	readonly connection: EndpointConnection;
@@ -56,7 +58,7 @@
 
 type Waiter = {
 	readonly deadlineAt: number;
-	/** Lets the waiter look again. */
+	/** Makes the waiter try again. */
 	wake(): void;
 };
 
@@ -64,21 +66,21 @@
 export function createConnectionPool(options: ConnectionPoolOptions): ConnectionPool {
 	const {endpoint, clock, random} = options;
 	const idle: IdleConnection[] = [];
-	const lent = new Set<EndpointConnection>();
+	const acquired = new Set<EndpointConnection>();
 	const waiters: Waiter[] = [];
 	let opening = 0;
 	let limit = Math.max(1, options.limit);
 	let closed = false;
 	let backoffMs = 0;
-	let closedUntil = 0;
+	let backoffUntil = 0;
 
 	const wakeOne = () => {
 		waiters.shift()?.wake();
 	};
 
 	const noteRefused = (now: number) => {
-		backoffMs = Math.min(LONGEST_BACKOFF_MS, Math.max(SHORTEST_BACKOFF_MS, backoffMs * 2));
-		closedUntil = now + (backoffMs * (0.5 + (random.fraction() / 2)));
+		backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(MIN_BACKOFF_MS, backoffMs * 2));
+		backoffUntil = now + (backoffMs * (0.5 + (random.fraction() / 2)));
 		options.onFailure?.();
 	};
 
@@ -87,7 +89,7 @@
 		try {
 			const connection = await endpoint.connect(CONNECT_TIMEOUT_MS);
 			backoffMs = 0;
-			closedUntil = 0;
+			backoffUntil = 0;
 			return connection;
 		} catch (err) {
 			noteRefused(clock.now());
@@ -97,8 +99,8 @@
 		}
 	};
 
-	// Guards against a connection that went silent while it idled: requests on it would hang until their
-	// deadline. A short exchange first finds it out, since a live server answers in milliseconds.
+	// Guards against a connection that went silent while it was idle: requests on it would hang until their
+	// deadline. A short exchange detects it first, since a live server answers in milliseconds.
 	const isHealthy = async ({connection, since}: IdleConnection, now: number) => {
 		if (now - since < HEALTH_CHECK_IDLE_MS) {
 			return true;
@@ -121,13 +123,13 @@
 				continue;
 			}
 
-			// Counted as lent while it is checked, so that the limit holds.
-			lent.add(candidate.connection);
+			// Counts as acquired while it is checked, so that the limit holds.
+			acquired.add(candidate.connection);
 			if (await isHealthy(candidate, clock.now())) {
 				return candidate.connection;
 			}
 
-			lent.delete(candidate.connection);
+			acquired.delete(candidate.connection);
 		}
 
 		return undefined;
@@ -149,10 +151,10 @@
 		}
 	};
 
-	const isRoomForOne = () => lent.size + idle.length + opening < limit;
+	const hasCapacity = () => acquired.size + idle.length + opening < limit;
 
-	const keep = (connection: EndpointConnection) => {
-		if (connection.usable && !closed && isRoomForOne()) {
+	const keepIdleOrClose = (connection: EndpointConnection) => {
+		if (connection.usable && !closed && hasCapacity()) {
 			idle.push({connection, since: clock.now()});
 		} else if (connection.usable) {
 			void connection.close();
@@ -161,21 +163,21 @@
 		wakeOne();
 	};
 
-	// Guards against callers in a hurry: a connection that is not open by one caller's deadline is no refusal by the
-	// server. It is opened on, for those who come after.
+	// Guards against short deadlines: a connection that is not open by one caller's deadline was not refused by the
+	// server. Opening it goes on, for later callers.
 	const openBy = async (deadlineAt: number) => {
 		const opening = open();
 		const opened = await withinMs(clock, deadlineAt - clock.now(), opening);
 		if (!opened.timedOut) {
-			lent.add(opened.value);
+			acquired.add(opened.value);
 			return opened.value;
 		}
 
-		opening.then(keep, wakeOne);
+		opening.then(keepIdleOrClose, wakeOne);
 		return throwNotConnected(endpoint.address, new Error('it was not open by the deadline'));
 	};
 
-	const lend = async (deadlineAt: number) => {
+	const acquireOrWait = async (deadlineAt: number) => {
 		while (!closed) {
 			const connection = await takeIdle();
 			if (connection) {
@@ -187,11 +189,11 @@
 				break;
 			}
 
-			if (now < closedUntil) {
+			if (now < backoffUntil) {
 				throwNotConnected(endpoint.address, new Error('it refused connections a moment ago'));
 			}
 
-			if (isRoomForOne()) {
+			if (hasCapacity()) {
 				return openBy(deadlineAt);
 			}
 
@@ -204,11 +206,11 @@
 	return {
 		async acquire(deadlineAt) {
 			try {
-				return await lend(deadlineAt);
+				return await acquireOrWait(deadlineAt);
 			} catch (err) {
-				// Guards against waiters that nobody wakes: a connection that could not be opened, or was lost, leaves room
-				// that no release tells of, and they would stand until their deadlines.
-				if (idle.length > 0 || isRoomForOne()) {
+				// Guards against waiters that are never woken: a connection that could not be opened, or was lost, frees capacity
+				// without a release, and they would wait until their deadlines.
+				if (idle.length > 0 || hasCapacity()) {
 					wakeOne();
 				}
 
@@ -216,15 +218,15 @@
 			}
 		},
 		release(connection) {
-			lent.delete(connection);
-			keep(connection);
+			acquired.delete(connection);
+			keepIdleOrClose(connection);
 		},
 		setLimit(next) {
 			limit = Math.max(1, next);
 			wakeOne();
 		},
 		getLoad: () => ({
-			idle: idle.length, lent: lent.size, waiting: waiters.length, limit,
+			idle: idle.length, lent: acquired.size, waiting: waiters.length, limit,
 		}),
 		async close() {
 			closed = true;
--- a/src/endpoints/control-channel.ts
+++ b/src/endpoints/control-channel.ts
@@ -1,34 +1,35 @@
 import type {Clock} from '../time/clock.js';
 import type {Endpoint, EndpointConnection} from './endpoint.js';
 
-/** One connection to a database server, apart from the pool, for the proxy's own exchanges one after another. */
+/** One connection to a database server, outside the pool, for the proxy's own exchanges, which run one after another. */
 export type ControlChannel = {
-	/** Runs an exchange when its turn comes, opening the connection where need be. */
+	/** Runs an exchange once all earlier ones have ended, and opens the connection first where necessary. */
 	run<T>(exchange: (connection: EndpointConnection) => Promise<T>): Promise<T>;
+	/** Destroys the connection; an exchange in flight rejects at once. */
 	close(): Promise<void>;
 };
 
 /**
- * Longest time to open the connection, in milliseconds: short at first, so that a silent server holds up no failover,
+ * Bounds of the timeout for opening the connection, in milliseconds: short at first, so that a silent server delays no failover,
  * and doubled by each failure up to a bound that a server in another region meets.
  */
-const FIRST_CONNECT_MS = 150;
-const LONGEST_CONNECT_MS = 600;
+const MIN_CONNECT_TIMEOUT_MS = 150;
+const MAX_CONNECT_TIMEOUT_MS = 600;
 
-/** Creates a channel; the connection is opened by the first exchange and anew after a failure. */
+/** Creates a channel; the first exchange opens the connection, and the next one after a failure reopens it. */
 export function createControlChannel(endpoint: Endpoint, clock: Clock): ControlChannel {
 	let connection: EndpointConnection | undefined;
 	let last: Promise<unknown> = Promise.resolve();
 	let closed = false;
-	let connectMs = FIRST_CONNECT_MS;
+	let connectTimeoutMs = MIN_CONNECT_TIMEOUT_MS;
 
 	const open = async () => {
 		try {
-			const opened = await endpoint.connect(connectMs);
-			connectMs = FIRST_CONNECT_MS;
+			const opened = await endpoint.connect(connectTimeoutMs);
+			connectTimeoutMs = MIN_CONNECT_TIMEOUT_MS;
 			return opened;
 		} catch (err) {
-			connectMs = Math.min(LONGEST_CONNECT_MS, connectMs * 2);
+			connectTimeoutMs = Math.min(MAX_CONNECT_TIMEOUT_MS, connectTimeoutMs * 2);
 			throw err;
 		}
 	};
@@ -59,8 +60,8 @@
 		async close() {
 			closed = true;
 			connection?.destroy();
-			// The exchange in flight rejects at once; nothing is left behind.
-			await Promise.race([last.catch(() => undefined), clock.sleep(LONGEST_CONNECT_MS)]);
+			// The exchange in flight rejects at once; it is awaited so that nothing runs on after the close.
+			await Promise.race([last.catch(() => undefined), clock.sleep(MAX_CONNECT_TIMEOUT_MS)]);
 		},
 	};
 }
--- a/src/endpoints/endpoint-errors.ts
+++ b/src/endpoints/endpoint-errors.ts
@@ -1,6 +1,6 @@
 import ModernError from 'modern-errors';
 
-/** An exchange with a database server that brought no answer. `sent` tells whether the server may have acted on it. */
+/** Error of an exchange with a database server that got no answer. `sent` says whether the server may have executed it. */
 export const EndpointError = ModernError.subclass('EndpointError', {
 	props: {sent: false},
 });
--- a/src/endpoints/endpoint.ts
+++ b/src/endpoints/endpoint.ts
@@ -1,11 +1,11 @@
 import type {LogPosition} from '../terms/log-position.js';
 
 /**
- * The seam to a database server. Everything the proxy knows of a server comes through this interface;
- * `pg-endpoint.ts` speaks it over the PostgreSQL protocol and tests plug in an in-memory server.
+ * The interface to a database server. Everything the proxy knows about a server comes through it;
+ * `pg-endpoint.ts` implements it over the PostgreSQL protocol, and tests use an in-memory server.
  */
 
-/** What a server does in its group. */
+/** The role of a server in its group. */
 export const EndpointRole = {
 	Primary: 'primary',
 	Replica: 'replica',
@@ -14,25 +14,25 @@
 /** One of the roles in {@link EndpointRole}. */
 export type EndpointRole = typeof EndpointRole[keyof typeof EndpointRole];
 
-/** One answer in which a server shows its whole state; its fields belong together and are never mixed with another answer's. */
+/** One answer with a server's whole state; its fields are consistent with each other and are never mixed with those of another answer. */
 export type EndpointStatus = {
-	/** The highest term the server has promised to. */
+	/** The highest term that the server has promised. */
 	readonly term: number;
-	/** Where the server's log ends. */
+	/** The end of the server's log. */
 	readonly log: LogPosition;
 	readonly role: EndpointRole;
-	/** The server's own word that it is about to leave. */
+	/** Whether the server announces that it is about to leave. */
 	readonly leaving: boolean;
 };
 
 /** A keyed write: the key is inserted first, in the same transaction as the statement. */
 export type KeyedWrite = {
 	readonly requestId: string;
-	/** Hash of statement and values; a second try with another digest is refused. */
+	/** Hash of statement and values; a retry with another digest is refused. */
 	readonly digest: string;
 	readonly statement: string;
 	readonly values: readonly unknown[];
-	/** Refused by a server that is not primary at this term. */
+	/** Term of the primary; a server that is not primary at this term refuses the write. */
 	readonly term: number;
 };
 
@@ -40,13 +40,13 @@
 export const KeyedWriteResult = {
 	/** The key was new and the statement ran and is committed. */
 	Ran: 'ran',
-	/** The key stood already with a recorded answer. */
+	/** The key existed already, with a recorded answer. */
 	Found: 'found',
-	/** The key stands as a tombstone: the request will never run. */
+	/** The key exists as a tombstone: the request will never run. */
 	Tombstone: 'tombstone',
-	/** The key stands with another digest. */
+	/** The key exists with another digest. */
 	Mismatch: 'mismatch',
-	/** The statement failed and was rolled back, the key with it. */
+	/** The statement failed and was rolled back together with the key. */
 	Failed: 'failed',
 	/** The server is not primary at that term; nothing ran. */
 	NotPrimary: 'not-primary',
@@ -62,14 +62,14 @@
 	readonly rows?: readonly Row[];
 	/** The server's error, for `failed`. */
 	readonly message?: string;
-	/** Taken after the commit; covers the key's entry. */
+	/** The status after the commit; its log position includes the key's entry. */
 	readonly status: EndpointStatus;
 };
 
 /** One row of an answer, by column name. */
 export type Row = Readonly<Record<string, unknown>>;
 
-/** A read that stands only if the server holds the floor. */
+/** A read that is valid only if the server's log holds its floor, a minimum log position. */
 export type FloorRead = {
 	readonly statement: string;
 	readonly values: readonly unknown[];
@@ -79,9 +79,10 @@
 
 /** A server's answer to a floor read; `status` was read before the rows. */
 export type FloorReadAnswer = {
+	/** Whether the server's log held the floor, so that the statement was run. */
 	readonly held: boolean;
 	/**
-	 * True where the log has passed the floor without holding its entry: the entry at the floor's position is of another
+	 * True where the log has passed the floor but does not hold its entry: the entry at the floor's position is of another
 	 * term, or there is none. The statement was not run, and `held` is false.
 	 */
 	readonly lost?: boolean;
@@ -102,35 +103,35 @@
 /**
  * One connection to a database server, one exchange at a time.
  *
- * Every exchange is given `timeoutMs`; one that does not end in time rejects with EndpointError (`sent: true`)
- * and destroys the connection, so that a late answer can reach nobody.
+ * Every exchange has a timeout, `timeoutMs`; one that does not end in time rejects with EndpointError (`sent: true`)
+ * and destroys the connection, so that a late answer reaches no other exchange.
  */
 export type EndpointConnection = {
 	/** False once the connection was closed, destroyed or lost. */
 	readonly usable: boolean;
 	status(timeoutMs: number): Promise<EndpointStatus>;
-	/** Answers once the server's log holds the position, or after `waitMs` with what it holds then. */
+	/** Resolves once the server's log holds the position, or after `waitMs` with the status at that time. */
 	waitFor(position: LogPosition, waitMs: number, timeoutMs: number): Promise<EndpointStatus>;
-	/** Raises the server's promised term; `granted` only where the term is greater than any promised before. */
+	/** Raises the server's promised term; it is `granted` only where the term is greater than any promised before. */
 	fence(term: number, timeoutMs: number): Promise<TermAnswer>;
-	/** Makes the server primary at the term it has promised; it writes an empty entry of that term at once. */
+	/** Makes the server primary at the term that it has promised; it writes an empty entry of that term at once. */
 	promote(term: number, timeoutMs: number): Promise<TermAnswer>;
-	/** Makes the server replicate from the primary at that address in that term, unless it has promised a higher one. */
+	/** Makes the server replicate from the primary at that address in that term, unless it has promised a higher term. */
 	follow(term: number, primaryAddress: string, timeoutMs: number): Promise<TermAnswer>;
 	write(write: KeyedWrite, timeoutMs: number): Promise<KeyedWriteAnswer>;
-	/** Inserts a tombstone where the key is absent; answers what stands under the key: found, tombstone or not-primary. */
+	/** Inserts a tombstone where the key is absent; resolves with the state of the key, found or tombstone, or with not-primary. */
 	resolve(requestId: string, term: number, timeoutMs: number): Promise<KeyedWriteAnswer>;
 	read(read: FloorRead, timeoutMs: number): Promise<FloorReadAnswer>;
-	/** Opens a transaction at the primary of that term with its key inserted first. */
+	/** Opens a transaction at the primary of that term; its key is inserted first. */
 	begin(transaction: Omit<KeyedWrite, 'statement' | 'values'>, timeoutMs: number): Promise<KeyedWriteAnswer>;
 	/** Runs a statement within the open transaction. */
 	run(statement: string, values: readonly unknown[], timeoutMs: number): Promise<StatementAnswer>;
-	/** Commits the open transaction; the status is taken after the commit. */
+	/** Commits the open transaction; the status is read after the commit. */
 	commit(timeoutMs: number): Promise<KeyedWriteAnswer>;
 	rollback(timeoutMs: number): Promise<void>;
-	/** Ends the connection in order; for idle connections. */
+	/** Closes the connection gracefully; for idle connections. */
 	close(): Promise<void>;
-	/** Cuts the connection at once; an exchange in flight rejects. */
+	/** Closes the connection at once; an exchange in flight rejects. */
 	destroy(): void;
 };
 
@@ -147,7 +148,7 @@
 	readonly message?: string;
 };
 
-/** Finds the way to a database server by its address. */
+/** Provides access to database servers by address. */
 export type Endpoints = {
 	getEndpoint(address: string): Endpoint;
 };
--- a/src/endpoints/exchange-runner.ts
+++ b/src/endpoints/exchange-runner.ts
@@ -2,15 +2,15 @@
 import {createDeadlineWatch} from '../time/deadline-watch.js';
 import {throwNoAnswer, throwNotConnected} from './endpoint-errors.js';
 
-/** Keeps the rules of exchanges on one connection: one at a time, in time, and none after one that failed. */
+/** Runs the exchanges of one connection under its rules: one at a time, each within its timeout, and none after one that failed. */
 export type ExchangeRunner = {
 	/** False once the connection has ended. */
 	readonly usable: boolean;
 	/**
-	 * Runs one exchange; rejects with EndpointError when it brings no answer within `timeoutMs`.
+	 * Runs one exchange; rejects with EndpointError when it gets no answer within `timeoutMs`.
 	 *
-	 * An answer that comes late must not reach the connection's next user as the answer to another question. So any
-	 * exchange without an answer ends the connection, and what still arrives on it is thrown away with it.
+	 * A late answer must not reach the connection's next user as the answer to another request. So any
+	 * exchange without an answer ends the connection, and data that still arrives on it is discarded.
 	 */
 	run<T>(what: string, timeoutMs: number, work: () => Promise<T>): Promise<T>;
 	/** Ends the connection; an exchange in flight rejects at once. */
@@ -21,11 +21,11 @@
 export type ExchangeRunnerOptions = {
 	readonly address: string;
 	readonly clock: Clock;
-	/** Called once, to cut what lies below. */
+	/** Called once, to close the underlying connection. */
 	onEnd(): void;
 };
 
-/** Creates the runner of an open connection. */
+/** Creates a runner for an open connection. */
 export function createExchangeRunner({address, clock, onEnd}: ExchangeRunnerOptions): ExchangeRunner {
 	let usable = true;
 	let rejectCurrent: ((cause: unknown) => void) | undefined;
--- a/src/endpoints/pg-connection.ts
+++ b/src/endpoints/pg-connection.ts
@@ -12,13 +12,13 @@
 import {createExchangeRunner} from './exchange-runner.js';
 import {NOT_PRIMARY_CODE, PgCalls, type PgCall} from './pg-calls.js';
 
-/** How long the server may take to end its side of a connection that is closed in order, in milliseconds. */
-const CLOSE_MS = 1000;
+/** Timeout for the server to end its side of a connection that is closed gracefully, in milliseconds. */
+const CLOSE_TIMEOUT_MS = 1000;
 
 /** What a connection over the PostgreSQL protocol needs. */
 export type PgConnectionOptions = {
 	readonly address: string;
-	/** Connected. */
+	/** A client that is connected. */
 	readonly client: pg.Client;
 	/** The client's socket. */
 	readonly socket: Socket;
@@ -41,7 +41,7 @@
 		runner.end(cause);
 	};
 
-	// The client tells of a lost connection, and of a message that no query awaits, by this event alone.
+	// The client reports a lost connection, and a message that no query awaits, only by this event.
 	client.on('error', end);
 	client.on('end', () => {
 		end(`${address} closed the connection`);
@@ -117,7 +117,7 @@
 		async close() {
 			if (runner.usable && !closing) {
 				closing = true;
-				await withinMs(clock, CLOSE_MS, client.end());
+				await withinMs(clock, CLOSE_TIMEOUT_MS, client.end());
 				end('the connection was closed');
 			}
 		},
@@ -127,7 +127,7 @@
 	};
 }
 
-/** The server's own error for one statement; rethrows what ended the connection. */
+/** Returns the server's error for one statement; rethrows any other error, which ends the connection. */
 function getServerErrorOrThrow(err: unknown): pg.DatabaseError {
 	if (err instanceof pg.DatabaseError && err.severity === 'ERROR') {
 		return err;
--- a/src/endpoints/pg-endpoint.ts
+++ b/src/endpoints/pg-endpoint.ts
@@ -6,17 +6,17 @@
 import type {Endpoint, Endpoints} from './endpoint.js';
 import {createPgConnection} from './pg-connection.js';
 
-/** How to enter the database servers. */
+/** Credentials and settings for connecting to the database servers. */
 export type PgEndpointsOptions = {
 	readonly user: string;
 	readonly password: string;
 	readonly database: string;
 	readonly clock: Clock;
-	/** Name under which this host shows itself to the servers. */
+	/** Application name that this host reports to the servers. */
 	readonly applicationName?: string;
 };
 
-/** Reaches database servers over the PostgreSQL protocol. */
+/** Creates endpoints that connect over the PostgreSQL protocol. */
 export function createPgEndpoints({user, password, database, clock, applicationName = 'aldercroft'}: PgEndpointsOptions): Endpoints {
 	const createClient = (address: string, socket: Socket) => {
 		const portAt = address.lastIndexOf(':');
--- a/tests/endpoints/connection-pool-tests.ts
+++ b/tests/endpoints/connection-pool-tests.ts
@@ -63,7 +63,7 @@
 	const acquire = async (pool: ConnectionPool, clock: VirtualClock, ms = 1000) =>
 		clock.runUntil(pool.acquire(clock.now() + ms)) as Promise<FakeConnection>;
 
-	it('lends a connection again and opens no more than its limit', async () => {
+	it('reuses a connection and opens no more than its limit', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(2, clock);
 		const first = await acquire(pool, clock);
@@ -78,7 +78,7 @@
 		expect(fake.connections.length).to.equal(2);
 	});
 
-	it('says by the deadline that every connection is lent', async () => {
+	it('rejects by the deadline where every connection is acquired', async () => {
 		const clock = createVirtualClock();
 		const {pool} = createFakePool(1, clock);
 		await acquire(pool, clock);
@@ -87,9 +87,9 @@
 		expect(refused).to.have.property('sent', false);
 	});
 
-	// Coaches' pulls hang at dawn: a device between proxy and server forgot the connections that idled overnight.
-	// Nothing says so, and each request on one would wait until its own deadline. A check before lending finds out.
-	it('finds a connection that went silent while idle, within a quarter of a second', async () => {
+	// A network device between proxy and server drops its state of connections that were idle overnight. No side is
+	// notified, and each request on one would wait until its deadline. A check before use detects it.
+	it('detects a connection that went silent while idle, within a quarter of a second', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(2, clock);
 		const first = await acquire(pool, clock);
@@ -103,46 +103,46 @@
 		expect(first.usable).to.equal(false);
 	});
 
-	// Three syncs wait for the one connection of a server that dies. The first learns so; the others must too, and not
-	// stand until their deadlines: there is no connection left whose return would wake them.
-	it('tells those who wait when a server stops taking connections', async () => {
+	// Three requests wait for the only connection of a server that fails. The first one is rejected; the others must be too, and not
+	// wait until their deadlines: there is no connection left whose release would wake them.
+	it('rejects all waiters when a server stops accepting connections', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(1, clock);
-		const lent = await acquire(pool, clock);
+		const acquired = await acquire(pool, clock);
 		const waiting = [1, 2, 3].map(async () => pool.acquire(clock.now() + 60_000).catch(() => clock.now()));
 		await clock.advance(100);
 		const diedAt = clock.now();
 		fake.refusing = true;
-		lent.destroy();
-		pool.release(lent);
-		const told = await clock.runUntil(Promise.all(waiting));
-		expect(told.map(at => Number(at) - diedAt)).to.deep.equal([10, 10, 10]);
+		acquired.destroy();
+		pool.release(acquired);
+		const rejected = await clock.runUntil(Promise.all(waiting));
+		expect(rejected.map(at => Number(at) - diedAt)).to.deep.equal([10, 10, 10]);
 	});
 
-	// A dashboard asks with three milliseconds to go, and a connection takes ten. The coach who asks next, with time to
-	// spare, must not be told that the server refused, and gets the connection that was being opened.
-	it('opens a connection on for the next caller when the first one is in a hurry', async () => {
+	// The first request has a deadline in 3 ms, and a connection takes 10 ms to open. The next request, with enough time,
+	// must not be rejected as if the server had refused, and gets the connection that was being opened.
+	it('keeps opening a connection for the next caller when the first one reaches its deadline', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(1, clock);
-		const hurried = await acquire(pool, clock, 3).catch((err: unknown) => err as Error);
-		expect(hurried).to.be.instanceOf(EndpointError);
+		const expired = await acquire(pool, clock, 3).catch((err: unknown) => err as Error);
+		expect(expired).to.be.instanceOf(EndpointError);
 		const next = await acquire(pool, clock);
 		expect(next.id).to.equal(1);
 		expect(fake.connections.length).to.equal(1);
 	});
 
-	// As before, but the server refuses. The one who waits for room must be told when the opening ends, not at its deadline.
-	it('tells who waits when what a hurried caller began to open is refused', async () => {
+	// As before, but the server refuses. The request that waits for capacity must be rejected when the opening fails, not at its deadline.
+	it('rejects a waiter when the connection that a caller with a short deadline began to open is refused', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(1, clock);
 		fake.refusing = true;
 		const startedAt = clock.now();
-		const hurried = pool.acquire(startedAt + 3).catch(() => clock.now() - startedAt);
+		const expired = pool.acquire(startedAt + 3).catch(() => clock.now() - startedAt);
 		const waiting = pool.acquire(startedAt + 60_000).catch(() => clock.now() - startedAt);
-		expect(await clock.runUntil(Promise.all([hurried, waiting]))).to.deep.equal([3, 10]);
+		expect(await clock.runUntil(Promise.all([expired, waiting]))).to.deep.equal([3, 10]);
 	});
 
-	it('leaves a server alone for a moment after it refused', async () => {
+	it('backs off after a server refused a connection', async () => {
 		const clock = createVirtualClock();
 		const {pool, fake} = createFakePool(2, clock);
 		fake.refusing = true;
--- a/tests/endpoints/exchange-runner-tests.ts
+++ b/tests/endpoints/exchange-runner-tests.ts
@@ -6,7 +6,7 @@
 describe('exchange runner', () => {
 	const never = async () => new Promise<string>(() => undefined); // eslint-disable-line no-promise-executor-return
 
-	/** Starts exchanges one after the other without waiting, `act` in between, and tells how each ended. */
+	/** Starts exchanges one after the other without waiting, calls `act`, and compares how each ended. */
 	const doTest = (title: string, works: ReadonlyArray<() => Promise<string>>, act: (runner: ExchangeRunner) => void, expected: string) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
@@ -36,10 +36,10 @@
 		throw new Error('an answer of a strange shape');
 	};
 
-	doTest('answers', [async () => 'answer'], nothing, 'answer, usable true, ends 0');
+	doTest('passes on an answer', [async () => 'answer'], nothing, 'answer, usable true, ends 0');
 	doTest('ends the connection after a timeout', [never], nothing, 'sent true, usable false, ends 1');
 	doTest('ends the connection after a failure', [rejectEarly], nothing, 'sent true, usable false, ends 1');
-	doTest('refuses a second exchange without harm to the first', [async () => 'answer', async () => 'crossed'], nothing, 'answer, sent false, usable true, ends 0');
+	doTest('refuses a second exchange without an effect on the first', [async () => 'answer', async () => 'crossed'], nothing, 'answer, sent false, usable true, ends 0');
 	doTest('rejects the exchange in flight when the connection ends', [never], runner => {
 		runner.end('cut');
 		runner.end('cut again');
--- a/tests/endpoints/pg-endpoint-tests.ts
+++ b/tests/endpoints/pg-endpoint-tests.ts
@@ -42,12 +42,12 @@
 	const connect = async ({group}: PgGroup, endpoints: Endpoints) => endpoints.getEndpoint(group.servers[0]!.address).connect(50);
 
 	doTest('opens', connect, 'open');
-	doTest('tells a wrong password', connect, 'sent false: error: password authentication failed');
-	doTest('tells that nobody listens', async (group, endpoints) => {
+	doTest('rejects with the server\'s error for a wrong password', connect, 'sent false: error: password authentication failed');
+	doTest('rejects where nothing listens', async (group, endpoints) => {
 		await group.stop();
 		return connect(group, endpoints);
 	}, 'sent false: connect ECONNREFUSED 127.0.0.1');
-	doTest('gives up on a server that accepts and says nothing', async (group, endpoints) => {
+	doTest('times out at a server that accepts a connection and sends nothing', async (group, endpoints) => {
 		group.group.servers[0]!.faults.freeze();
 		return connect(group, endpoints);
 	}, 'sent false: not open within 50 ms');
