--- a/src/lending/link-lender.ts
+++ b/src/lending/link-lender.ts
@@ -77,7 +77,7 @@
 /** Creates a checkout server without checkouts. */
 export function createLinkLender(options: LinkLenderOptions): LinkLender {
 	const {
-		peers, directory, evidences, knowledge, clock, elapsedClock, random, getLongestRestMs,
+		peers, directory, evidences: primaryLeases, knowledge, clock, elapsedClock, random, getLongestRestMs: getMaxIdleMs,
 	} = options;
 	const log = options.log.part('loans: ');
 	const checkouts = new Map<string, Checkout>();
@@ -182,7 +182,7 @@
 		try {
 			const askedAt = elapsedClock.elapsed();
 			const {group, id: endpointId} = checkout.endpoint.entry;
-			const isPrimary = evidences.get(group, askedAt)?.primaryId === endpointId;
+			const isPrimary = primaryLeases.get(group, askedAt)?.primaryId === endpointId;
 			const answer = await checkout.sessionLink.link.exchange(request);
 			checkout.lastAt = clock.now();
 			checkout.state = answer.state;
@@ -212,7 +212,7 @@
 	 * connection, so this host's own lease has to be held when the read is sent.
 	 */
 	const holdsLease = ({endpointId, epoch}: CheckoutRun) => {
-		const lease = evidences.get(directory.get(endpointId)?.entry.group ?? '', elapsedClock.elapsed());
+		const lease = primaryLeases.get(directory.get(endpointId)?.entry.group ?? '', elapsedClock.elapsed());
 		return epoch === undefined || (lease?.epoch === epoch && lease.primaryId === endpointId);
 	};
 
@@ -268,7 +268,7 @@
 	 * is ended by its own host earlier, so the remote host of a checkout that is idle for longer has failed.
 	 */
 	const revokeAbandoned = () => {
-		const maxIdleMs = getLongestRestMs() + IDLE_MARGIN_MS;
+		const maxIdleMs = getMaxIdleMs() + IDLE_MARGIN_MS;
 		for (const checkout of checkouts.values()) {
 			if (clock.now() - checkout.lastAt > (checkout.turn === 0 ? UNUSED_TIMEOUT_MS : maxIdleMs)) {
 				revoke(checkout, 'its remote host is silent', true);
--- a/src/lending/sample-borrowing.ts
+++ b/src/lending/sample-borrowing.ts
@@ -34,13 +34,13 @@
 const RETRY_DELAY_MS = 250;
 
 /** Creates a fetcher. */
-export function createSampleBorrowing({peers, lenders, knowledge, unreachable, clock, elapsedClock}: SampleBorrowingOptions): SampleBorrowing {
+export function createSampleBorrowing({peers, lenders: poolHosts, knowledge, unreachable, clock, elapsedClock}: SampleBorrowingOptions): SampleBorrowing {
 	const inFlight = new Map<string, Promise<boolean>>();
 	const notBefore = new Map<string, number>();
 
 	const callPoolHost = async (group: string, primaryId: string): Promise<boolean> => {
 		const now = clock.now();
-		const poolHost = lenders.getKeepers({id: primaryId, group}).find(({peerAddress}) => !unreachable.has(peerAddress, now));
+		const poolHost = poolHosts.getKeepers({id: primaryId, group}).find(({peerAddress}) => !unreachable.has(peerAddress, now));
 		if (!poolHost) {
 			return false;
 		}
@@ -65,7 +65,7 @@
 
 	return {
 		async borrow(group, primaryId) {
-			if (!lenders.isShared({id: primaryId, group}) || lenders.keepsOwn({id: primaryId, group}) || clock.now() < (notBefore.get(group) ?? 0)) {
+			if (!poolHosts.isShared({id: primaryId, group}) || poolHosts.keepsOwn({id: primaryId, group}) || clock.now() < (notBefore.get(group) ?? 0)) {
 				return false;
 			}
 
--- a/src/lending/shared-pool.ts
+++ b/src/lending/shared-pool.ts
@@ -45,14 +45,14 @@
  * Guards against an endpoint's few connections being split among many hosts: each would have less than one, and a host with one is blocked by a
  * transaction while those of others are idle. Where no pool host answers, the host opens its own connections as far as the endpoint allows.
  */
-export function createSharedPool({entry, ownPool, lenders, unreachable, peers, clock, ownPeerAddress}: SharedPoolOptions): EndpointPool {
+export function createSharedPool({entry, ownPool, lenders: poolHosts, unreachable, peers, clock, ownPeerAddress}: SharedPoolOptions): EndpointPool {
 	const checkouts = new Map<SessionLink, RemoteLink>();
 	const received = createEndpointHealth();
 	let unreachableUntil = Number.NEGATIVE_INFINITY;
 	let waiting = 0;
 	let rotation = 0;
 
-	const isPoolHost = () => lenders.keepsOwn(entry);
+	const isPoolHost = () => poolHosts.keepsOwn(entry);
 
 	const sharedHealth: EndpointHealth = {
 		...received,
@@ -78,9 +78,9 @@
 		const now = clock.now();
 		const near: string[] = [];
 		const far: string[] = [];
-		for (const {peerAddress, availabilityZone} of lenders.getKeepers(entry)) {
+		for (const {peerAddress, availabilityZone} of poolHosts.getKeepers(entry)) {
 			if (peerAddress !== ownPeerAddress && !unreachable.has(peerAddress, now)) {
-				(availabilityZone === lenders.availabilityZone ? near : far).push(peerAddress);
+				(availabilityZone === poolHosts.availabilityZone ? near : far).push(peerAddress);
 			}
 		}
 
--- a/src/links/endpoint-directory.ts
+++ b/src/links/endpoint-directory.ts
@@ -64,7 +64,7 @@
 };
 
 /** Creates an empty directory. */
-export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getLeastPosition}: EndpointDirectoryOptions): EndpointDirectory {
+export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getLeastPosition: getMinPosition}: EndpointDirectoryOptions): EndpointDirectory {
 	const log = parentLog.part('endpoints: ');
 	const tracked = new Map<string, TrackedEndpoint>();
 	/** Cache of endpoints by group, filled on demand since the last update: each read asks for a list, and a fleet has thousands of endpoints. */
@@ -76,7 +76,7 @@
 		const ownPool = createEndpointPool({
 			target: {address: entry.address, group: entry.group, endpointId: entry.id},
 			opener,
-			getLeastPosition: () => getLeastPosition(entry),
+			getLeastPosition: () => getMinPosition(entry),
 			clock,
 			log,
 			getLimits: () => ({
--- a/src/links/endpoint-health.ts
+++ b/src/links/endpoint-health.ts
@@ -36,19 +36,19 @@
 
 /** Creates the failure detector of one endpoint. */
 export function createEndpointHealth(): EndpointHealth {
-	let heardAt: number | undefined;
+	let lastReceivedAt: number | undefined;
 	let awaitingSince: number | undefined;
 	let refused = false;
 
 	return {
 		get heardAt() {
-			return heardAt;
+			return lastReceivedAt;
 		},
 		get owesSince() {
 			return awaitingSince;
 		},
 		noteReceived(now) {
-			heardAt = now;
+			lastReceivedAt = now;
 			refused = false;
 			if (awaitingSince !== undefined) {
 				awaitingSince = now;
--- a/src/links/link-budget.ts
+++ b/src/links/link-budget.ts
@@ -43,8 +43,8 @@
 	let rejectedAt: number | undefined;
 
 	const getShare = () => {
-		const {maxConnections, hosts, keepsOwn} = getLimits();
-		return keepsOwn ? Math.max(1, Math.floor((maxConnections - RESERVED_CONNECTIONS) / Math.max(1, hosts))) : 0;
+		const {maxConnections, hosts, keepsOwn: isPoolHost} = getLimits();
+		return isPoolHost ? Math.max(1, Math.floor((maxConnections - RESERVED_CONNECTIONS) / Math.max(1, hosts))) : 0;
 	};
 
 	return {
--- a/src/links/open-checked-link.ts
+++ b/src/links/open-checked-link.ts
@@ -16,13 +16,13 @@
  * so a read there would miss acknowledged commits, and a write would begin a divergent history. Its log is shorter than a position that was seen in it.
  */
 export async function openCheckedLink(
-	{target, opener, log, getLeastPosition}: Pick<EndpointPoolOptions, 'target' | 'opener' | 'log' | 'getLeastPosition'>,
+	{target, opener, log, getLeastPosition: getMinPosition}: Pick<EndpointPoolOptions, 'target' | 'opener' | 'log' | 'getLeastPosition'>,
 	workspace: string | undefined,
 	timeoutMs: number,
 	listener: LinkListener,
 ): Promise<EndpointLink> {
 	// Read before the connection is opened: a later write of another host may be known here before the endpoint's first position is.
-	const minPosition = getLeastPosition();
+	const minPosition = getMinPosition();
 	const link = await opener.open({...target, workspace}, timeoutMs, listener);
 	if (!heldPositionAtOpen(link, minPosition)) {
 		log.warn('an endpoint has lost its log and is not used', {
--- a/tests/crowd-check/main.ts
+++ b/tests/crowd-check/main.ts
@@ -36,7 +36,7 @@
 	{
 		name: 'positions',
 		without: 'positions from hosts that see more of the primary',
-		changes: [{file: 'src/lending/sample-borrowing.ts', from: 'if (!lenders.isShared(', to: 'if (clock.now() > 0 || !lenders.isShared('}],
+		changes: [{file: 'src/lending/sample-borrowing.ts', from: 'if (!poolHosts.isShared(', to: 'if (clock.now() > 0 || !poolHosts.isShared('}],
 	},
 ];
 
