--- a/src/lending/link-lender.ts
+++ b/src/lending/link-lender.ts
@@ -63,6 +63,7 @@
  */
 const CHECKOUT_OVER = {over: true} as const;
 
+/** A connection that a remote host uses. */
 type Checkout = {
 	readonly id: string;
 	readonly remoteHost: string;
@@ -70,7 +71,9 @@
 	readonly sessionLink: SessionLink;
 	/** State of the connection after its last answer. */
 	state: SessionState;
+	/** Number of requests so far. */
 	turn: number;
+	/** Steady time of the last request or answer, at first that of the checkout. */
 	lastAt: number;
 };
 
@@ -116,7 +119,7 @@
 		}
 	};
 
-	const openCheckout = async ({endpointId, priority, waitMs, values, workspace, single, least}: CheckoutRequest, remoteHost: string): Promise<CheckoutResponse> => {
+	const openCheckout = async ({endpointId, priority, waitMs, values, workspace, single, least: minPosition}: CheckoutRequest, remoteHost: string): Promise<CheckoutResponse> => {
 		const endpoint = directory.get(endpointId);
 		if (retired) {
 			return {refused: CheckoutRefusal.Stopping};
@@ -128,7 +131,7 @@
 
 		const {ownPool} = endpoint;
 		const sessionLink = await ownPool.acquire({
-			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, least,
+			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, least: minPosition,
 		});
 		if (retired) {
 			// The host was told to stop during the wait: a transaction would begin on a host that is about to end.
@@ -232,7 +235,11 @@
 		}, remoteHost);
 	};
 
-	const sendCommand = async ({endpointId, command, timeoutMs}: {readonly endpointId: string; readonly command: Parameters<KnownEndpoint['ownPool']['ask']>[0]; readonly timeoutMs: number}) => {
+	const sendCommand = async ({endpointId, command, timeoutMs}: {
+		readonly endpointId: string;
+		readonly command: Parameters<KnownEndpoint['ownPool']['ask']>[0];
+		readonly timeoutMs: number;
+	}) => {
 		try {
 			const asked = directory.get(endpointId)?.ownPool.ask(command, timeoutMs);
 			const bounded = asked && await withinMs(clock, timeoutMs, asked);
--- a/src/links/link-errors.ts
+++ b/src/links/link-errors.ts
@@ -29,5 +29,5 @@
 
 /** @internal */
 export function throwUnexpectedAnswer(address: string, what: string): never {
-	throw new LinkError(`${address} answered ${what} in a way that is not understood`);
+	throw new LinkError(`${address} sent an unexpected answer to ${what}`);
 }
--- a/tests/lending/remote-read-tests.ts
+++ b/tests/lending/remote-read-tests.ts
@@ -17,7 +17,7 @@
 type FakePoolHost = {
 	readonly run: Run;
 	readonly afterMs?: number;
-	readonly dead?: boolean;
+	readonly failed?: boolean;
 };
 
 /** Runs one read through some pool hosts; resolves with its outcome, the time that it took, and the calls that were made. */
@@ -28,14 +28,14 @@
 	const hosts = createUnreachableHosts();
 	const peers = {
 		async call(address: string, kind: string, _req: unknown, timeoutMs: number) {
-			const {run, afterMs = 2, dead = false} = poolHosts[address]!;
-			if (kind === 'host-alive' && !dead) {
+			const {run, afterMs = 2, failed = false} = poolHosts[address]!;
+			if (kind === 'host-alive' && !failed) {
 				return {alive: true};
 			}
 
 			asked.push(`${kind} ${address}`);
-			await clock.sleep(Math.min(dead ? timeoutMs : afterMs, timeoutMs));
-			return dead ? throwPeerSilent(address, kind) : run;
+			await clock.sleep(Math.min(failed ? timeoutMs : afterMs, timeoutMs));
+			return failed ? throwPeerSilent(address, kind) : run;
 		},
 	} as unknown as Peers;
 	const sessionLink = createRemoteRead({
@@ -73,7 +73,7 @@
 
 	/** A pool host has lost power. A remote host that waited for it as long as the read may take would fail each of its callers until the link times out. */
 	it('goes on to the next pool host where one sends no heartbeat, within half a second', async () => {
-		const {outcome, ms} = await runRead({a: {run: {}, dead: true}, b: {run: {answer: DONE}}});
+		const {outcome, ms} = await runRead({a: {run: {}, failed: true}, b: {run: {answer: DONE}}});
 		expect(outcome).to.equal('7');
 		expect(ms).to.be.lessThan(500);
 	});
