--- a/src/admission/admission-refusals.ts
+++ b/src/admission/admission-refusals.ts
@@ -6,22 +6,22 @@
 	readonly class: string;
 	/** Time left until the request's deadline; negative once it has passed. */
 	readonly remainingMs: number;
-	/** How long the request had waited. */
+	/** How long the request waited. */
 	readonly waitedMs: number;
-	/** How long it would have had to wait yet. */
+	/** Predicted further wait. */
 	readonly predictedWaitMs: number;
-	/** Smoothed time that a statement of the class holds a slot. */
+	/** Smoothed time for which a statement of the class holds a slot. */
 	readonly serviceMs: number;
-	/** Predicted time between two turns of the class. */
+	/** Predicted interval at which the class gets a slot. */
 	readonly turnMs: number;
-	/** Requests of the class that wait. */
+	/** Number of waiting requests of the class. */
 	readonly queued: number;
 	readonly maxQueued: number;
 	readonly running: number;
 	readonly limit: number;
 	/** The class's share of the slots. */
 	readonly share: number;
-	/** How long all slots have been held without one given back. */
+	/** How long all slots have been held without a release. */
 	readonly stalledMs: number;
 };
 
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,39 +1,39 @@
 import type {WorkClass} from '../groups/group-config.js';
 import type {Refusal} from '../refusals/refusal.js';
 
-/** Decides what runs at one endpoint, in which order, and what is refused at once. */
+/** Admission control of one endpoint: decides which requests run, in which order, and which are refused. */
 export type Admission = {
 	/**
-	 * Asks for one of the endpoint's slots.
+	 * Requests one of the endpoint's slots.
 	 *
-	 * Resolves with a grant when its turn comes, or with a refusal as soon as it is known that it cannot come in time.
+	 * Resolves with a slot once one is granted, or with a refusal as soon as the request cannot meet its deadline.
 	 */
 	enter(req: AdmissionRequest, now: number): Promise<AdmissionAnswer>;
-	/** How long a request of the class that came now would wait, in milliseconds. */
+	/** Returns the predicted wait of a request of the class that arrives now, in milliseconds. */
 	getPredictedWaitMs(workClass: WorkClass, now: number): number;
-	/** Figures for operators and metrics. */
+	/** Returns the current load, for operators and metrics. */
 	getLoad(): AdmissionLoad;
-	/** Refuses all that waits, and all that comes. */
+	/** Refuses all waiting requests, and every later one. */
 	close(refusal: Refusal, now: number): void;
 };
 
-/** What admission needs to know of a request. */
+/** The properties of a request that admission depends on. */
 export type AdmissionRequest = {
 	readonly class: WorkClass;
-	/** When its caller stops waiting, on the clock's `now`. */
+	/** Time at which its caller stops waiting, on the clock's `now`. */
 	readonly deadlineAt: number;
 };
 
 /** A slot, or the reason why there is none. */
 export type AdmissionAnswer =
-	| {readonly admitted: true; readonly queuedMs: number; /** Gives the slot back; `served` is false where the endpoint gave no answer. */ release(now: number, served: boolean): void}
+	| {readonly admitted: true; readonly queuedMs: number; /** Releases the slot; `served` is false where the endpoint did not answer. */ release(now: number, served: boolean): void}
 	| {readonly admitted: false; readonly refusal: Refusal};
 
-/** How busy an endpoint is as its owner sees it. */
+/** Load of an endpoint that comes from this owner. */
 export type AdmissionLoad = {
 	readonly running: number;
 	readonly limit: number;
 	readonly queued: Readonly<Record<WorkClass, number>>;
-	/** Smoothed time a statement holds a slot, in milliseconds. */
+	/** Smoothed time for which a statement holds a slot, in milliseconds. */
 	readonly serviceMs: number;
 };
--- a/src/admission/class-queues.ts
+++ b/src/admission/class-queues.ts
@@ -2,33 +2,33 @@
 import type {AdmissionAnswer, AdmissionRequest} from './admission.js';
 import type {QueueOrder} from './queue-order.js';
 
-/** The classes from the most urgent. */
+/** All classes, the most urgent first. */
 export const WORK_CLASSES: readonly WorkClass[] = Object.values(WorkClass);
 
 /** A request that waits for a slot. */
 export type QueuedRequest = {
 	readonly req: AdmissionRequest;
-	/** When it came, on the clock's `now`. */
-	readonly enteredAt: number;
-	/** How long the model of the wait had it wait, in milliseconds. */
+	/** Time at which it was queued, on the clock's `now`. */
+	readonly queuedAt: number;
+	/** Wait that the model estimated when the request was queued, before any correction, in milliseconds. */
 	readonly modelWaitMs: number;
-	/** Gives it its one answer. */
-	answer(answer: AdmissionAnswer): void;
+	/** Resolves the request with a slot or a refusal; called once. */
+	resolve(answer: AdmissionAnswer): void;
 };
 
-/** One queue for each class, each kept in the order given. */
+/** One queue for each class, each sorted by a {@link QueueOrder}. */
 export type ClassQueues = {
-	/** How many wait in all. */
+	/** Number of waiting requests of all classes. */
 	readonly total: number;
 	getLength(workClass: WorkClass): number;
-	/** Those of one class, first to run first. */
+	/** Returns the requests of one class in queue order. */
 	getAll(workClass: WorkClass): readonly QueuedRequest[];
-	/** The place that a request would take in its queue, from 0. */
-	findPlace(req: AdmissionRequest): number;
+	/** Returns the position that a request would take in its queue, from 0. */
+	findPosition(req: AdmissionRequest): number;
 	insert(queued: QueuedRequest): void;
-	/** Takes out the first of a class. */
+	/** Removes and returns the first request of a class. */
 	shift(workClass: WorkClass): QueuedRequest | undefined;
-	/** Takes out those of a class that the test picks; it is called in queue order. */
+	/** Removes and returns the requests of a class that match the predicate, which is called in queue order. */
 	removeWhere(workClass: WorkClass, isRemoved: (queued: QueuedRequest) => boolean): readonly QueuedRequest[];
 };
 
@@ -37,7 +37,7 @@
 	const queues: Record<WorkClass, QueuedRequest[]> = {deadline: [], interactive: [], background: []};
 	let total = 0;
 
-	const findPlace = (req: AdmissionRequest) => {
+	const findPosition = (req: AdmissionRequest) => {
 		const queue = queues[req.class];
 		let low = 0;
 		let high = queue.length;
@@ -59,9 +59,9 @@
 		},
 		getLength: workClass => queues[workClass].length,
 		getAll: workClass => queues[workClass],
-		findPlace,
+		findPosition,
 		insert(queued) {
-			queues[queued.req.class].splice(findPlace(queued.req), 0, queued);
+			queues[queued.req.class].splice(findPosition(queued.req), 0, queued);
 			total++;
 		},
 		shift(workClass) {
--- a/src/admission/concurrency-limit.ts
+++ b/src/admission/concurrency-limit.ts
@@ -4,19 +4,19 @@
 export type ConcurrencyLimit = {
 	/** The limit in force, a whole number from 1. */
 	readonly limit: number;
-	/** Notes a statement that gave its slot back. */
+	/** Records a statement that released its slot. */
 	observe(sample: SlotSample): void;
 };
 
-/** How one statement's stay in its slot went. */
+/** How long one statement held its slot, and whether it was answered. */
 export type SlotSample = {
 	readonly class: WorkClass;
 	readonly heldMs: number;
-	/** Whether the endpoint gave an answer. */
+	/** Whether the endpoint answered. */
 	readonly served: boolean;
 };
 
-/** A limit that stays as it is. */
+/** A constant limit. */
 export class FixedLimit implements ConcurrencyLimit {
 	constructor(readonly limit: number) {}
 
--- a/src/admission/create-admission.ts
+++ b/src/admission/create-admission.ts
@@ -10,33 +10,33 @@
 import {createClassQueues, WORK_CLASSES, type QueuedRequest} from './class-queues.js';
 import {createClassShares, type Shares} from './class-shares.js';
 import type {ConcurrencyLimit} from './concurrency-limit.js';
-import {createHopelessWatch} from './hopeless-watch.js';
+import {createLatestStartTimer} from './latest-start-timer.js';
 import {DeadlineOrder, type QueueOrder} from './queue-order.js';
 import {createServiceTime} from './service-time.js';
-import {createWaitPrediction, type QueueSituation} from './wait-prediction.js';
+import {createWaitPrediction, type QueueState} from './wait-prediction.js';
 
-/** What an admission is made of. */
+/** Options of {@link createAdmission}. */
 export type AdmissionOptions = {
 	/** Name of the endpoint, for refusals. */
 	readonly endpoint: string;
 	/** Statements that the endpoint runs at once. */
 	readonly slots: number;
-	/** How many hosts look after the group and send the endpoint statements. */
+	/** Number of hosts that own the group and send the endpoint statements. */
 	readonly owners: number;
 	readonly shares: Shares;
-	/** Wakes the admission when a waiting request becomes hopeless; decisions take `now`. */
+	/** Times the refusal of waiting requests that can no longer meet their deadlines; decisions take `now`. */
 	readonly clock: Clock;
-	/** Most requests that wait in one class; default 10 for each slot. */
+	/** Maximum number of waiting requests of one class; default 10 for each slot. */
 	readonly maxQueued?: number;
-	/** Assumed time that a statement holds a slot until one was measured, in milliseconds; default 5. */
+	/** Assumed time for which a statement holds a slot until one was measured, in milliseconds; default 5. */
 	readonly initialServiceMs?: number;
 	/** Order within a class; default the earliest deadline first. */
 	readonly order?: QueueOrder;
-	/** Default adapts to measured times. */
+	/** Limit of running statements; default one that adapts to measured times. */
 	readonly limit?: ConcurrencyLimit;
 };
 
-/** A longer queue brings no more answers in time under overload, only longer waits; docs/notes/admission.md has the figures. */
+/** Under overload a longer queue serves no more requests in time and only lengthens waits; docs/notes/admission.md has the figures. */
 const QUEUED_PER_SLOT = 10;
 const INITIAL_SERVICE_MS = 5;
 
@@ -49,13 +49,13 @@
 	const shares = createClassShares(options.shares);
 	const serviceTime = createServiceTime(options.initialServiceMs ?? INITIAL_SERVICE_MS);
 	const prediction = createWaitPrediction(shares, serviceTime);
-	const comeBackTimes = {deadline: createComeBackTimes(), interactive: createComeBackTimes(), background: createComeBackTimes()};
+	const retryDelays = {deadline: createComeBackTimes(), interactive: createComeBackTimes(), background: createComeBackTimes()};
 	let running = 0;
-	/** When a slot was last given back, or the last free one taken. */
+	/** Time at which a slot was last granted or released. */
 	let progressAt = 0;
 	let closedBy: Refusal | undefined;
 
-	const getSituation = (workClass: WorkClass, now: number): QueueSituation => ({
+	const getQueueState = (workClass: WorkClass, now: number): QueueState => ({
 		limit: limit.limit,
 		isContended: queues.total > queues.getLength(workClass),
 		stalledMs: running < limit.limit ? 0 : Math.max(0, now - progressAt),
@@ -64,60 +64,60 @@
 	const hasFreeSlot = () => running < limit.limit && queues.total === 0;
 
 	const predictWaitMs = (workClass: WorkClass, place: number, now: number) =>
-		hasFreeSlot() ? 0 : prediction.predictMs(workClass, place, getSituation(workClass, now));
+		hasFreeSlot() ? 0 : prediction.predictMs(workClass, place, getQueueState(workClass, now));
 
-	const getHopelessAt = (req: AdmissionRequest) => req.deadlineAt - serviceTime.getClassMeanMs(req.class);
+	const getLatestStartAt = (req: AdmissionRequest) => req.deadlineAt - serviceTime.getClassMeanMs(req.class);
 
-	const getFacts = (req: AdmissionRequest, enteredAt: number, predictedWaitMs: number, now: number): AdmissionFacts => {
-		const situation = getSituation(req.class, now);
+	const getFacts = (req: AdmissionRequest, queuedAt: number, predictedWaitMs: number, now: number): AdmissionFacts => {
+		const queueState = getQueueState(req.class, now);
 		return {
 			endpoint,
 			class: req.class,
 			remainingMs: req.deadlineAt - now,
-			waitedMs: now - enteredAt,
+			waitedMs: now - queuedAt,
 			predictedWaitMs,
 			serviceMs: serviceTime.getClassMeanMs(req.class),
-			turnMs: prediction.getTurnMs(req.class, situation),
+			turnMs: prediction.getTurnMs(req.class, queueState),
 			queued: queues.getLength(req.class),
 			maxQueued,
 			running,
-			limit: situation.limit,
+			limit: queueState.limit,
 			share: shares.getShare(req.class),
-			stalledMs: situation.stalledMs,
+			stalledMs: queueState.stalledMs,
 		};
 	};
 
 	const refuseFull = (req: AdmissionRequest, waitMs: number, now: number): AdmissionAnswer => {
 		const facts = getFacts(req, now, waitMs, now);
-		const retryAfterMs = comeBackTimes[req.class].take(waitMs, facts.turnMs, now);
+		const retryAfterMs = retryDelays[req.class].take(waitMs, facts.turnMs, now);
 		return {admitted: false, refusal: createQueueFull(facts, retryAfterMs)};
 	};
 
-	const refuseLate = (req: AdmissionRequest, enteredAt: number, waitMs: number, now: number): AdmissionAnswer => {
-		const facts = getFacts(req, enteredAt, waitMs, now);
+	const refuseDeadline = (req: AdmissionRequest, queuedAt: number, waitMs: number, now: number): AdmissionAnswer => {
+		const facts = getFacts(req, queuedAt, waitMs, now);
 		const drainedMs = waitMs + facts.serviceMs - Math.max(0, facts.remainingMs);
-		const retryAfterMs = comeBackTimes[req.class].take(drainedMs, facts.turnMs, now);
+		const retryAfterMs = retryDelays[req.class].take(drainedMs, facts.turnMs, now);
 		const createRefusal = facts.remainingMs <= 0 ? createDeadlinePassed : createDeadlineTooShort;
 		return {admitted: false, refusal: createRefusal(facts, retryAfterMs)};
 	};
 
-	const grant = (req: AdmissionRequest, enteredAt: number, now: number): AdmissionAnswer => {
-		const claim = shares.claim(req.class, serviceTime.getClassMeanMs(req.class));
+	const grant = (req: AdmissionRequest, queuedAt: number, now: number): AdmissionAnswer => {
+		const reservation = shares.reserve(req.class, serviceTime.getClassMeanMs(req.class));
 		let held = true;
 		running++;
 		progressAt = now;
 		return {
 			admitted: true,
-			queuedMs: now - enteredAt,
+			queuedMs: now - queuedAt,
 			release(releasedAt, served) {
-				// A second release would free a slot that another request holds, and the endpoint would run more than its limit.
+				// A second release would free a slot that another request holds, and more statements than the limit would run.
 				if (!held) {
 					return;
 				}
 
 				held = false;
 				const heldMs = releasedAt - now;
-				shares.settle(claim, heldMs);
+				shares.complete(reservation, heldMs);
 				serviceTime.observe(req.class, heldMs, served);
 				limit.observe({class: req.class, heldMs, served});
 				running--;
@@ -127,18 +127,18 @@
 		};
 	};
 
-	/** Refuses what would be late even if it ran now, so that its caller hears it before the deadline and no slot is spent on it. */
-	const refuseHopeless = (now: number) => {
+	/** Refuses requests that would miss their deadlines even if they ran now, so that callers learn it early and no slot is wasted. */
+	const refuseInfeasible = (now: number) => {
 		for (const workClass of WORK_CLASSES) {
-			const hopeless = queues.removeWhere(workClass, ({req}) => now > getHopelessAt(req));
-			for (const {req, enteredAt, answer} of hopeless) {
-				answer(refuseLate(req, enteredAt, predictWaitMs(workClass, 0, now), now));
+			const infeasible = queues.removeWhere(workClass, ({req}) => now > getLatestStartAt(req));
+			for (const {req, queuedAt, resolve} of infeasible) {
+				resolve(refuseDeadline(req, queuedAt, predictWaitMs(workClass, 0, now), now));
 			}
 		}
 	};
 
 	function dispatch(now: number) {
-		refuseHopeless(now);
+		refuseInfeasible(now);
 		while (running < limit.limit) {
 			const workClass = shares.pick(candidate => queues.getLength(candidate) > 0);
 			const next = workClass && queues.shift(workClass);
@@ -146,27 +146,27 @@
 				return;
 			}
 
-			prediction.learn(next.req.class, next.modelWaitMs, now - next.enteredAt);
-			next.answer(grant(next.req, next.enteredAt, now));
+			prediction.learn(next.req.class, next.modelWaitMs, now - next.queuedAt);
+			next.resolve(grant(next.req, next.queuedAt, now));
 		}
 	}
 
-	const watch = createHopelessWatch({
+	const latestStartTimer = createLatestStartTimer({
 		clock,
-		getFirstAt() {
-			const times = WORK_CLASSES.flatMap(workClass => queues.getAll(workClass).map(({req}) => getHopelessAt(req)));
+		getNextAt() {
+			const times = WORK_CLASSES.flatMap(workClass => queues.getAll(workClass).map(({req}) => getLatestStartAt(req)));
 			return times.length > 0 ? Math.min(...times) : undefined;
 		},
 		onDue: dispatch,
 	});
 
 	const enqueue = async (req: AdmissionRequest, place: number, now: number) => new Promise<AdmissionAnswer>(resolve => {
-		const modelWaitMs = (place + 1) * prediction.getTurnMs(req.class, getSituation(req.class, now));
+		const modelWaitMs = (place + 1) * prediction.getTurnMs(req.class, getQueueState(req.class, now));
 		const queued: QueuedRequest = {
-			req, enteredAt: now, modelWaitMs, answer: resolve,
+			req, queuedAt: now, modelWaitMs, resolve,
 		};
 		queues.insert(queued);
-		watch.expect(getHopelessAt(req));
+		latestStartTimer.schedule(getLatestStartAt(req));
 	});
 
 	return {
@@ -176,18 +176,18 @@
 			}
 
 			if (req.deadlineAt <= now) {
-				return refuseLate(req, now, predictWaitMs(req.class, 0, now), now);
+				return refuseDeadline(req, now, predictWaitMs(req.class, 0, now), now);
 			}
 
-			// A free slot is always given, however slow the endpoint seemed: refusing here, it would never be seen to be fast again.
+			// A free slot is always granted, however slow the endpoint was: if requests were refused here, its recovery would never be measured.
 			if (hasFreeSlot()) {
 				return grant(req, now, now);
 			}
 
-			const place = queues.findPlace(req);
+			const place = queues.findPosition(req);
 			const waitMs = predictWaitMs(req.class, place, now);
-			if (now + waitMs > getHopelessAt(req)) {
-				return refuseLate(req, now, waitMs, now);
+			if (now + waitMs > getLatestStartAt(req)) {
+				return refuseDeadline(req, now, waitMs, now);
 			}
 
 			if (queues.getLength(req.class) >= maxQueued) {
@@ -210,12 +210,12 @@
 		close(refusal) {
 			closedBy = refusal;
 			for (const workClass of WORK_CLASSES) {
-				for (const {answer} of queues.removeWhere(workClass, () => true)) {
+				for (const {resolve: answer} of queues.removeWhere(workClass, () => true)) {
 					answer({admitted: false, refusal});
 				}
 			}
 
-			watch.wake();
+			latestStartTimer.fireNow();
 		},
 	};
 }
--- /dev/null
+++ b/src/admission/latest-start-timer.ts
@@ -0,0 +1,54 @@
+import type {Clock} from '../time/clock.js';
+
+/**
+ * Fires when the first waiting request passes its latest start time: the last moment at which it could start and still meet
+ * its deadline.
+ */
+export type LatestStartTimer = {
+	/** Takes in the latest start time of a request that was just queued. */
+	schedule(at: number): void;
+	/** Fires at once if the timer runs; it then stops where no request waits any more. */
+	fireNow(): void;
+};
+
+/** Options of {@link createLatestStartTimer}. */
+export type LatestStartTimerOptions = {
+	readonly clock: Clock;
+	/** Returns the earliest of the waiting requests' latest start times; undefined where none waits. */
+	getNextAt(): number | undefined;
+	/** Called when the timer fires. */
+	onDue(now: number): void;
+};
+
+/** Minimum sleep, in milliseconds, so that a time which is due but not yet passed makes no busy loop. */
+const MIN_SLEEP_MS = 1;
+
+/** Creates a timer that is stopped while no request waits. */
+export function createLatestStartTimer({clock, getNextAt: getFirstAt, onDue}: LatestStartTimerOptions): LatestStartTimer {
+	/** Time at which the timer fires; undefined while it is stopped. */
+	let wakeAt: number | undefined;
+	let sleep = new AbortController();
+
+	const run = async () => {
+		wakeAt = getFirstAt();
+		while (wakeAt !== undefined) {
+			sleep = new AbortController();
+			await clock.sleep(Math.max(MIN_SLEEP_MS, Math.ceil(wakeAt - clock.now())), sleep.signal);
+			onDue(clock.now());
+			wakeAt = getFirstAt();
+		}
+	};
+
+	return {
+		schedule(at) {
+			if (wakeAt === undefined) {
+				void run();
+			} else if (at < wakeAt) {
+				sleep.abort();
+			}
+		},
+		fireNow() {
+			sleep.abort();
+		},
+	};
+}
--- a/src/admission/queue-order.ts
+++ b/src/admission/queue-order.ts
@@ -2,7 +2,7 @@
 
 /** Decides which of two requests of one class runs first. */
 export type QueueOrder = {
-	/** Negative where `left` goes before `right`; requests that compare equal keep their order of arrival. */
+	/** Returns a negative number where `left` runs before `right`; requests that compare equal keep their order of arrival. */
 	compare(left: AdmissionRequest, right: AdmissionRequest): number;
 };
 
--- a/src/admission/service-time.ts
+++ b/src/admission/service-time.ts
@@ -1,26 +1,26 @@
 import type {WorkClass} from '../groups/group-config.js';
 
-/** Keeps smoothed figures of how long statements hold a slot. */
+/** Keeps smoothed means of how long statements hold a slot. */
 export type ServiceTime = {
-	/** Notes how long a slot was held; where the endpoint gave no answer the time is only a lower bound. */
+	/** Records how long a slot was held; where the endpoint did not answer, the time is only a lower bound. */
 	observe(workClass: WorkClass, heldMs: number, served: boolean): void;
-	/** Smoothed time over all classes, in milliseconds. */
+	/** Returns the smoothed time over all classes, in milliseconds. */
 	getMeanMs(): number;
-	/** Smoothed time of one class, in milliseconds. */
+	/** Returns the smoothed time of one class, in milliseconds; that of all classes where the class has no sample. */
 	getClassMeanMs(workClass: WorkClass): number;
 };
 
 /** Weight of the newest sample. */
 const SAMPLE_WEIGHT = 0.1;
 
-/** Creates the figures; `initialMs` stands until the first sample. */
+/** Creates the means; they are `initialMs` until the first sample. */
 export function createServiceTime(initialMs: number): ServiceTime {
 	const createFigure = () => ({meanMs: initialMs, samples: 0});
 	const all = createFigure();
 	const classes = {deadline: createFigure(), interactive: createFigure(), background: createFigure()};
 
 	const add = (figure: typeof all, heldMs: number) => {
-		// The first samples count evenly, so that a wrong initial figure is soon forgotten.
+		// The first samples have equal weights, so that a wrong initial value soon has no effect.
 		const weight = Math.max(SAMPLE_WEIGHT, 1 / (figure.samples + 1));
 		figure.meanMs += weight * (heldMs - figure.meanMs);
 		figure.samples++;
@@ -30,8 +30,8 @@
 
 	return {
 		observe(workClass, heldMs, served) {
-			const isTooLowABound = !served && heldMs < getFigure(workClass).meanMs;
-			if (isTooLowABound) {
+			const isUninformative = !served && heldMs < getFigure(workClass).meanMs;
+			if (isUninformative) {
 				return;
 			}
 
--- a/src/admission/wait-prediction.ts
+++ b/src/admission/wait-prediction.ts
@@ -4,43 +4,44 @@
 
 /** Predicts how long requests wait for a slot. */
 export type WaitPrediction = {
-	/** Time between two turns of a class, in milliseconds, as the model has it. */
-	getTurnMs(workClass: WorkClass, situation: QueueSituation): number;
-	/** Wait at a place in the class's queue (from 0), in milliseconds: turns, times what was learned. */
-	predictMs(workClass: WorkClass, place: number, situation: QueueSituation): number;
-	/** Learns from a request that waited `waitedMs` where the model had it wait `modelMs`. */
+	/** Returns the interval at which the model lets a class have a slot, in milliseconds. */
+	getTurnMs(workClass: WorkClass, situation: QueueState): number;
+	/** Returns the wait at a position in the class's queue (from 0), in milliseconds: the model's estimate times the learned correction. */
+	predictMs(workClass: WorkClass, place: number, situation: QueueState): number;
+	/** Learns from a request that waited `waitedMs` where the model had estimated `modelMs`. */
 	learn(workClass: WorkClass, modelMs: number, waitedMs: number): void;
 };
 
-/** What a prediction is made on. */
-export type QueueSituation = {
+/** The state of an endpoint's slots and queues that a prediction depends on. */
+export type QueueState = {
 	readonly limit: number;
 	/** Whether another class has requests waiting. */
 	readonly isContended: boolean;
-	/** How long all slots have been held without one given back, in milliseconds. */
+	/** How long all slots have been held without a release, in milliseconds. */
 	readonly stalledMs: number;
 };
 
-/** Part of the slots that a class without a share is predicted to get beside others. */
-const LEAST_PART = 0.05;
+/** Fraction of the slots that a class is predicted to get at least while other classes wait too. */
+const MIN_SLOT_FRACTION = 0.05;
 
-/** Without a slot given back for this many turns, the server is slower than it was measured. */
-const STALLED_TURNS = 3;
+/** A server that releases no slot for this many predicted intervals is taken to be slower than measured. */
+const STALL_TURNS = 3;
 
-/** Weight of the newest wait in what is learned. */
+/** Weight of the newest wait in the learned correction. */
 const LEARNING_WEIGHT = 0.05;
 
-/** Weight of the model at the start, as a wait in milliseconds that was predicted exactly. */
+/** Wait in milliseconds that the correction starts from as if it had been predicted exactly: the weight of the model at the start. */
 const INITIAL_WAIT_MS = 20;
 
-const LEAST_CORRECTION = 0.5;
-const MOST_CORRECTION = 4;
+const MIN_CORRECTION = 0.5;
+const MAX_CORRECTION = 4;
 
 /**
- * Creates a prediction without experience.
+ * Creates a prediction that has learned nothing yet.
  *
- * The model is coarse: beside other classes a class gets its share, alone all slots. What it leaves out (those who overtake
- * with an earlier deadline, classes that come and go) is learned as the ratio between waits and what the model had said.
+ * The model is coarse: a class gets its share of the slots while other classes wait, and all slots otherwise. What it leaves
+ * out (requests that overtake with an earlier deadline, classes that start or stop waiting) is learned as the ratio between
+ * measured waits and the model's estimates.
  */
 export function createWaitPrediction(shares: ClassShares, serviceTime: ServiceTime): WaitPrediction {
 	const createWaits = () => ({modelMs: INITIAL_WAIT_MS, waitedMs: INITIAL_WAIT_MS});
@@ -48,14 +49,14 @@
 
 	const getCorrection = (workClass: WorkClass) => {
 		const {modelMs, waitedMs} = learned[workClass];
-		return Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, waitedMs / modelMs));
+		return Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, waitedMs / modelMs));
 	};
 
-	const getTurnMs = (workClass: WorkClass, {limit, isContended, stalledMs}: QueueSituation) => {
-		const part = isContended ? Math.max(LEAST_PART, shares.getShare(workClass)) : 1;
-		const measuredMs = serviceTime.getClassMeanMs(workClass) / (limit * part);
-		// A server that answers nothing leaves no samples: without this its queue would look as fast as it last was.
-		return Math.max(measuredMs, stalledMs / STALLED_TURNS);
+	const getTurnMs = (workClass: WorkClass, {limit, isContended, stalledMs}: QueueState) => {
+		const slotFraction = isContended ? Math.max(MIN_SLOT_FRACTION, shares.getShare(workClass)) : 1;
+		const measuredMs = serviceTime.getClassMeanMs(workClass) / (limit * slotFraction);
+		// A server that answers nothing adds no samples: without this, predictions would keep the speed at which it last answered.
+		return Math.max(measuredMs, stalledMs / STALL_TURNS);
 	};
 
 	return {
--- a/tests/admission/admission-properties-tests.ts
+++ b/tests/admission/admission-properties-tests.ts
@@ -9,7 +9,7 @@
 const LIMIT = 2;
 const MAX_QUEUED = 4;
 
-/** The watch rounds up to whole milliseconds and acts after the moment, not at it. */
+/** The timer rounds up to whole milliseconds and fires after the latest start time, not at it. */
 const ROUNDING_MS = 2;
 
 const arrivals = fc.array(fc.record({
@@ -18,15 +18,15 @@
 	deadlineMs: fc.integer({min: 1, max: 120}),
 }), {minLength: 10, maxLength: 40});
 
-describe('admission, whatever comes', () => {
-	it('runs no more than its limit, answers each once, and keeps nobody waiting who is known to be late', async () => {
+describe('admission under random arrivals', () => {
+	it('runs no more than its limit, answers each request once, and lets none wait that cannot meet its deadline', async () => {
 		await fc.assert(fc.asyncProperty(arrivals, async sequence => {
 			const clock = createVirtualClock(0);
 			const admission = createAdmission({
 				endpoint: 'hall-a-1', slots: LIMIT, owners: 1, limit: new FixedLimit(LIMIT), maxQueued: MAX_QUEUED,
 				shares: {deadline: 0.5, interactive: 0.3, background: 0.1}, clock, initialServiceMs: SERVICE_MS,
 			});
-			const entrants: Array<Promise<void>> = [];
+			const requests: Array<Promise<void>> = [];
 			let answers = 0;
 			let running = 0;
 
@@ -50,13 +50,13 @@
 
 			for (const {afterMs, class: workClass, deadlineMs} of sequence) {
 				await clock.advance(afterMs);
-				entrants.push(enter(workClass, clock.now() + deadlineMs));
+				requests.push(enter(workClass, clock.now() + deadlineMs));
 				const {queued} = admission.getLoad();
 				expect(Math.max(...Object.values(queued))).to.be.at.most(MAX_QUEUED);
 			}
 
 			await clock.advance(1000);
-			await Promise.all(entrants);
+			await Promise.all(requests);
 			expect(answers).to.equal(sequence.length);
 			expect(admission.getLoad()).to.deep.include({running: 0, queued: {deadline: 0, interactive: 0, background: 0}});
 		}), {seed: 1, numRuns: 80});
--- a/tests/admission/create-admission-tests.ts
+++ b/tests/admission/create-admission-tests.ts
@@ -7,7 +7,7 @@
 
 const SHARES = {deadline: 0.5, interactive: 0.3, background: 0.1};
 
-/** An admission with one slot, statements believed to take 5 ms, and a transcript of its answers. */
+/** Creates an admission with one slot and an initial statement time of 5 ms, and a transcript of its answers. */
 function createBench(options: Partial<AdmissionOptions> = {}) {
 	const clock = createVirtualClock(0);
 	const admission = createAdmission({
@@ -29,12 +29,12 @@
 
 	return {
 		clock, admission, lines, running, enter,
-		/** Sends a request and lets its answer settle, if it has one. */
+		/** Sends a request and waits for its answer to be recorded, if it has one. */
 		async send(name: string, workClass: WorkClass, deadlineMs: number) {
 			void enter(name, workClass, deadlineMs);
 			await clock.advance(0);
 		},
-		/** Gives back the slot taken first, `ms` from now. */
+		/** Releases the slot that was granted first, `ms` from now. */
 		async release(ms: number, served = true) {
 			await clock.advance(ms);
 			running.shift()!.release(clock.now(), served);
@@ -54,7 +54,7 @@
 		expect(bench.lines).to.deep.equal(['0 a runs', '5 early runs', '10 late runs']);
 	});
 
-	it('refuses at once what cannot be served in time, and tells when to come back', async () => {
+	it('refuses at once what cannot be served in time, with retry delays', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 1000);
 		await bench.send('passed', 'interactive', 0);
@@ -65,7 +65,7 @@
 		]);
 	});
 
-	it('refuses when the queue of the class is full, and the other classes are not', async () => {
+	it('refuses a class whose queue is full, and no other class', async () => {
 		const bench = createBench({maxQueued: 2});
 		await bench.send('a', 'background', 1000);
 		await bench.send('b', 'background', 1000);
@@ -76,9 +76,9 @@
 		expect(bench.lines).to.deep.equal(['0 a runs', '0 d queue-full, back in 15', '5 e runs']);
 	});
 
-	// Story: a caller's request waits behind a statement that hangs. Its caller hears nothing until its own deadline,
-	// though it was certain a while before that no answer would come in time, and comes back too late to meet a priority date.
-	it('refuses what waits as soon as it cannot be served in time', async () => {
+	// Guards against late refusals: a request waits behind a statement that hangs, and its caller would get no answer until the
+	// deadline, too late to try again, though it was certain before that no answer would come in time.
+	it('refuses a waiting request as soon as it cannot be served in time', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 1000);
 		await bench.send('waits', 'interactive', 100);
@@ -86,9 +86,9 @@
 		expect(bench.lines).to.deep.equal(['0 a runs', '96 waits deadline-too-short, back in 33']);
 	});
 
-	// Story: a server goes silent. Those who come wait each for their whole deadline, since the queue still looks as fast
-	// as it was when the server last answered.
-	it('predicts longer waits while no slot is given back', async () => {
+	// Guards against stale predictions: when a server stops answering, each new request would wait until its deadline, since
+	// predictions would keep the speed at which the server last answered.
+	it('predicts longer waits while no slot is released', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 10_000);
 		const waits: number[] = [];
@@ -102,9 +102,9 @@
 		expect(bench.lines[1]).to.equal('300 b deadline-too-short, back in 15');
 	});
 
-	// Story: a server was slow for a while and is fast again. If a free slot were refused for a short deadline, nothing would
-	// run, nothing would be measured, and the endpoint would stay refused for ever.
-	it('gives a free slot whatever it believes of the endpoint', async () => {
+	// A server was slow for a while and is fast again. If a request with a short deadline were refused a free slot, no statement
+	// would run, nothing would be measured, and requests would be refused for ever.
+	it('grants a free slot however slow the endpoint was', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 10_000);
 		await bench.release(3000);
@@ -112,8 +112,8 @@
 		expect(bench.lines).to.deep.equal(['0 a runs', '3000 b runs']);
 	});
 
-	// Story: an owner's task gives its slot back in its own error path and again in a final step. Two others then run in one slot.
-	it('takes a slot back once', async () => {
+	// Guards against a double release, in an owner's error path and again in its final step: two others would then run in one slot.
+	it('releases a slot only once', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 1000);
 		await bench.send('b', 'interactive', 1000);
@@ -128,7 +128,7 @@
 		});
 	});
 
-	it('counts the time of a statement without an answer only where it is longer than was measured', async () => {
+	it('counts the time of an unanswered statement only where it is longer than the mean', async () => {
 		const bench = createBench();
 		const measured: number[] = [];
 		for (const [ms, served] of [[10, true], [2, false], [40, false], [10, true]] as const) {
@@ -140,7 +140,7 @@
 		expect(measured).to.deep.equal([10, 10, 25, 20]);
 	});
 
-	it('refuses all that waits and all that comes once closed', async () => {
+	it('refuses all waiting and all later requests once closed', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 1000);
 		await bench.send('b', 'background', 1000);
@@ -152,7 +152,7 @@
 		expect(bench.lines).to.deep.equal(['0 a runs', '0 b host-leaving, back in 0', '0 c host-leaving, back in 0']);
 	});
 
-	it('gives every input of a refusal as a fact', async () => {
+	it('records every input of a refusal as a fact', async () => {
 		const bench = createBench();
 		await bench.send('a', 'interactive', 1000);
 		const answer = await bench.enter('b', 'interactive', 8);
