--- a/src/placement/catch-up.ts
+++ b/src/placement/catch-up.ts
@@ -1,38 +1,38 @@
 import {holdsLogPosition, type LogPosition} from '../terms/log-position.js';
 import type {PositionSamples} from './position-samples.js';
 
-/** What an endpoint was last seen to hold. */
+/** The log position that an endpoint last reported. */
 export type HeldPosition = {
 	readonly held: LogPosition | undefined;
-	/** Elapsed time at which it was seen. */
+	/** Elapsed time at which it was reported. */
 	readonly heldAt: number;
 };
 
 /**
- * What was seen longer ago says nothing any more, in milliseconds: an endpoint that had stopped receiving may have caught up, and is
- * asked again. Being refused for lack of the floor costs one exchange of 1 to 3 ms.
+ * Maximum age of a reported position that a prediction uses, in milliseconds: an endpoint whose replication had stopped may have
+ * caught up since, so it gets reads again. A refusal because it is below the floor costs one exchange of 1 to 3 ms.
  */
-export const FORGET_AFTER_MS = 400;
+export const MAX_OBSERVATION_AGE_MS = 400;
 
 /**
  * Predicts how long it takes, from the elapsed time `now` on, until a replica holds `floor`, in milliseconds; 0 where it is
- * taken to hold it already.
+ * assumed to hold it already.
  *
- * It lags behind the primary by a time that changes slowly: what the primary held that long ago, the replica holds now.
- * One that was never seen is taken to hold the floor: an answer tells.
+ * The replica is assumed to lag behind the primary by a nearly constant time: it holds now what the primary held that long ago.
+ * One that never reported a position is assumed to hold the floor, since its response will show whether it does.
  */
 export function predictCatchUp(samples: PositionSamples, {held, heldAt}: HeldPosition, floor: LogPosition, now: number): number {
-	if (!held || holdsLogPosition(held, floor) || now - heldAt > FORGET_AFTER_MS) {
+	if (!held || holdsLogPosition(held, floor) || now - heldAt > MAX_OBSERVATION_AGE_MS) {
 		return 0;
 	}
 
-	const primaryHadHeldAt = samples.getTimeOf(held);
-	const primaryHadFloorAt = samples.getTimeOf(floor);
-	if (primaryHadFloorAt === undefined) {
+	const primaryAtHeldAt = samples.getTimeOf(held);
+	const primaryAtFloorAt = samples.getTimeOf(floor);
+	if (primaryAtFloorAt === undefined) {
 		return 0;
 	}
 
-	// Where even the oldest sample is further, the replica lags by more than samples are kept.
-	const lagMs = primaryHadHeldAt === undefined ? Number.POSITIVE_INFINITY : heldAt - primaryHadHeldAt;
-	return Math.max(0, primaryHadFloorAt + lagMs - now);
+	// If even the oldest sample is ahead of the replica, its lag exceeds the time for which samples are kept.
+	const lagMs = primaryAtHeldAt === undefined ? Number.POSITIVE_INFINITY : heldAt - primaryAtHeldAt;
+	return Math.max(0, primaryAtFloorAt + lagMs - now);
 }
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -1,43 +1,43 @@
-/** What a placement knows of an endpoint. */
+/** An endpoint that may serve a read, with the inputs of its cost. */
 export type ReadCandidate = {
 	readonly endpointId: string;
-	/** The primary under evidence: it holds every position, and needs no floor. */
+	/** Whether it is the primary and this host holds its lease: it holds every position, and needs no floor. */
 	readonly isPrimary: boolean;
 	readonly sameZone: boolean;
-	/** Statements of this host that run or wait there. */
+	/** Number of this host's statements that run or wait there. */
 	readonly load: number;
 	readonly slots: number;
-	/** Usual time of a statement there, in milliseconds. */
+	/** Smoothed time of a statement there, in milliseconds. */
 	readonly serviceMs: number;
-	/** Predicted time until it holds what the read has to see, in milliseconds. */
+	/** Predicted time until it holds the read's floor, in milliseconds. */
 	readonly catchUpMs: number;
 };
 
-/** Longer way to an endpoint in another zone, there and back, in milliseconds: 1 to 3 each way at the users' sites, less what it is within one. */
-const OTHER_ZONE_WAY_MS = 3;
+/** Extra round-trip time to an endpoint in another zone, in milliseconds: 1 to 3 each way at the users' sites, less the time within a zone. */
+const CROSS_ZONE_EXTRA_RTT_MS = 3;
 
 /**
- * Handicap of an endpoint in another zone, beside the way, in usual statements of the fastest candidate: bytes between zones have a price, so a
- * read goes there where that saves more than so much.
+ * Penalty of an endpoint in another zone beside the round trip, in mean statement times of the fastest candidate: traffic between zones is
+ * charged for, so a read goes there only where that saves more than this.
  */
-const OTHER_ZONE_STATEMENTS = 2.5;
+const CROSS_ZONE_PENALTY_STATEMENTS = 2.5;
 
 /**
- * Handicap of the primary, in usual statements of the fastest candidate: writes and the reads that need every commit can run nowhere else.
+ * Penalty of the primary, in mean statement times of the fastest candidate: writes and the reads that need every commit can run nowhere else.
  *
- * In statements and not in milliseconds, since a queue of one statement is 40 ms at one site and 3 at another. Against 25 ms for another zone and
- * 30 for the primary (`npm run bench -- site-load`, 3 seeds): requests that only a primary serves get 0.975 of their credit in place of 0.919 at the
- * sleep logs, whose replicas serve 86% of the reads in place of 77; the filings stay at 0.993.
+ * It is in statements and not in milliseconds, since a queue of one statement takes 40 ms at one site and 3 at another. Compared with penalties of
+ * 25 ms for another zone and 30 for the primary (`npm run bench -- site-load`, 3 seeds), requests that only a primary serves get 0.975 of their credit
+ * instead of 0.919 at the sleep logs, whose replicas serve 86% of the reads instead of 77; the filings stay at 0.993.
  */
-const PRIMARY_STATEMENTS = 6;
+const PRIMARY_PENALTY_STATEMENTS = 6;
 
 /**
- * A replica that is further behind than this is no candidate, in milliseconds: the reads wait no longer in hope of a prediction, which is
- * best for short times. Reads are wanted within 300 to 600 ms.
+ * Maximum predicted catch-up time at which a replica is a candidate, in milliseconds: predictions are best for short times, and reads do not wait
+ * longer on one. Their latency targets are 300 to 600 ms.
  */
 export const LONGEST_CATCH_UP_MS = 250;
 
-/** Chooses where a read runs; undefined where there is no candidate. */
+/** Returns the candidate with the lowest estimated cost for a read; undefined where none can serve it. */
 export function chooseEndpoint(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 	const statementMs = Math.min(...candidates.map(({serviceMs}) => serviceMs));
 	let best: ReadCandidate | undefined;
@@ -59,6 +59,6 @@
 	}
 
 	const waitMs = ((load + 1) / slots) * serviceMs;
-	const zoneMs = sameZone ? 0 : OTHER_ZONE_WAY_MS + (OTHER_ZONE_STATEMENTS * statementMs);
-	return waitMs + catchUpMs + zoneMs + (isPrimary ? PRIMARY_STATEMENTS * statementMs : 0);
+	const zoneMs = sameZone ? 0 : CROSS_ZONE_EXTRA_RTT_MS + (CROSS_ZONE_PENALTY_STATEMENTS * statementMs);
+	return waitMs + catchUpMs + zoneMs + (isPrimary ? PRIMARY_PENALTY_STATEMENTS * statementMs : 0);
 }
--- a/src/placement/placement-knowledge.ts
+++ b/src/placement/placement-knowledge.ts
@@ -1,26 +1,26 @@
-import {createEndpointFigures, type EndpointFigures} from './endpoint-figures.js';
+import {createEndpointStats, type EndpointStats} from './endpoint-stats.js';
 import {createPositionSamples, type PositionSamples} from './position-samples.js';
 
-/** What this host learned of groups and endpoints from their answers. */
+/** Samples and statistics that this host keeps of groups and endpoints, from their responses. */
 export type PlacementKnowledge = {
 	getSamples(group: string): PositionSamples;
-	getFigures(endpointId: string): EndpointFigures;
-	/** Forgets endpoints that are not among those. */
+	getFigures(endpointId: string): EndpointStats;
+	/** Drops the statistics of all other endpoints. */
 	keepOnly(endpointIds: ReadonlySet<string>): void;
 };
 
-/** Creates empty knowledge. */
+/** Creates a collection without samples. */
 export function createPlacementKnowledge(): PlacementKnowledge {
 	const samples = new Map<string, PositionSamples>();
-	const figures = new Map<string, EndpointFigures>();
+	const stats = new Map<string, EndpointStats>();
 
 	return {
 		getSamples: group => getOrCreate(samples, group, createPositionSamples),
-		getFigures: endpointId => getOrCreate(figures, endpointId, createEndpointFigures),
+		getFigures: endpointId => getOrCreate(stats, endpointId, createEndpointStats),
 		keepOnly(endpointIds) {
-			for (const endpointId of figures.keys()) {
+			for (const endpointId of stats.keys()) {
 				if (!endpointIds.has(endpointId)) {
-					figures.delete(endpointId);
+					stats.delete(endpointId);
 				}
 			}
 		},
--- a/src/placement/position-samples.ts
+++ b/src/placement/position-samples.ts
@@ -1,41 +1,41 @@
 import {compareLogPositions, type LogPosition} from '../terms/log-position.js';
 
-/** Positions seen at a group's primary, with the times at which they were asked for. */
+/** Log positions that a group's primary reported, with the times at which they were requested. */
 export type PositionSamples = {
 	/**
-	 * Notes a position that a primary answered with. The question went out at elapsed time `askedAt`, under evidence that held then, so the
+	 * Records a position that a primary reported. It was requested at elapsed time `askedAt`, under a primary lease that was valid then, so the
 	 * position covers every commit acknowledged before.
 	 */
 	note(askedAt: number, position: LogPosition): void;
-	/** The oldest sample asked for at or after `since`: the lowest floor that still covers all that was acknowledged before `since`. */
+	/** Returns the oldest sample requested at or after `since`: the lowest floor that covers all commits acknowledged before `since`. */
 	getFloor(since: number): LogPosition | undefined;
-	/** The newest sample. */
+	/** Returns the newest sample; undefined where there is none. */
 	getNewest(): PositionSample | undefined;
-	/** Elapsed time at which the primary's log is known to have been no further than `position`; undefined where all samples are further. */
+	/** Returns the latest elapsed time at which the primary is known not to have been ahead of `position`; undefined where all samples are ahead of it. */
 	getTimeOf(position: LogPosition): number | undefined;
-	/** Takes in where the present primary began. */
+	/** Clamps the samples to the start of the current primary's term. */
 	noteStart(start: TermStart): void;
 };
 
-/** Where a primary's term began. */
+/** The log position at which a primary's term began. */
 export type TermStart = {
 	/** The primary's term. */
 	readonly term: number;
-	/** End of its log when it was first seen to lead; its last entry may be of an earlier term. */
+	/** End of its log when it was first observed as primary; the last entry may be of an earlier term. */
 	readonly start: LogPosition;
 };
 
-/** A position of a primary, with the elapsed time at which it was asked for. */
+/** A log position of a primary, with the elapsed time at which it was requested. */
 export type PositionSample = {
 	readonly askedAt: number;
 	readonly position: LogPosition;
 };
 
-/** A sample older than this serves no route's staleness, in milliseconds; the routes seen allow 2,500 at most. */
-const KEEP_MS = 10_000;
+/** Age from which a sample is dropped, in milliseconds: no route needs older ones, since the routes seen allow a staleness of 2,500 at most. */
+const RETENTION_MS = 10_000;
 
-/** Samples this close together count as one, in milliseconds: the floor loses no more than that of its age. */
-const SPACING_MS = 40;
+/** Minimum interval between samples, in milliseconds: a floor is newer than necessary by no more than this. */
+const MIN_SAMPLE_INTERVAL_MS = 40;
 
 /** Creates the samples of one group. */
 export function createPositionSamples(): PositionSamples {
@@ -44,11 +44,11 @@
 	return {
 		note(askedAt, position) {
 			const last = samples.at(-1);
-			if (last && askedAt - last.askedAt < SPACING_MS) {
+			if (last && askedAt - last.askedAt < MIN_SAMPLE_INTERVAL_MS) {
 				return;
 			}
 
-			samples = samples.filter(sample => sample.askedAt > askedAt - KEEP_MS);
+			samples = samples.filter(sample => sample.askedAt > askedAt - RETENTION_MS);
 			samples.push({askedAt, position});
 		},
 		getFloor(since) {
@@ -65,17 +65,17 @@
 }
 
 /**
- * Brings a position of a superseded term down to where the later term began; others stay as they are. What lay beyond was rolled back, and no log will ever hold it.
+ * Clamps a position of a superseded term to the start of the later term; returns others as they are. What lay beyond the start was rolled back, and no log will ever hold it.
  *
- * Judged by the term of the primary and not by that of its first log end: a primary that has written nothing yet ends its log with an entry of an earlier term, and a position
- * of that term beyond it, or of a term between that nobody kept, would have every host turn the primary away as one that has lost its log.
+ * The term of the primary decides, and not that of its first log end: the log of a primary that has written nothing yet ends with an entry of an earlier term. Every host would
+ * reject that primary as one that has lost its log, because of a position of that earlier term beyond the entry, or of a term in between whose entries no endpoint kept.
  */
 export function limitToStart(position: LogPosition, {term, start}: TermStart): LogPosition {
 	const isBeyond = position.position > start.position || compareLogPositions(position, start) > 0;
 	return position.term < term && isBeyond ? start : position;
 }
 
-/** The later of two floors; an absent one binds nothing. */
+/** Returns the higher of two floors; an absent one counts as the lowest. */
 export function getHigherFloor(left: LogPosition | undefined, right: LogPosition | undefined): LogPosition | undefined {
 	if (!left || !right) {
 		return left ?? right;
--- a/src/placement/read-placement.ts
+++ b/src/placement/read-placement.ts
@@ -1,12 +1,12 @@
 import {chooseEndpoint, type ReadCandidate} from './choose-endpoint.js';
 
-/** Decides where reads run. */
+/** Chooses the endpoints on which reads run. */
 export type ReadPlacement = {
-	/** The endpoint for one read; undefined where no candidate serves. */
+	/** Returns the endpoint for one read; undefined where no candidate can serve it. */
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined;
 };
 
-/** Places reads by what this host knows of each endpoint: its load and service time, its lag and its zone. */
+/** Chooses the endpoint with the lowest estimated cost, from its load, service time, lag, zone and role. */
 export class WeighedPlacement implements ReadPlacement {
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		return chooseEndpoint(candidates);
--- a/tests/placement/position-samples-tests.ts
+++ b/tests/placement/position-samples-tests.ts
@@ -2,7 +2,7 @@
 import {createPositionSamples, getHigherFloor, limitToStart} from '../../src/placement/position-samples.js';
 
 describe('position samples', () => {
-	it('gives the oldest sample that is young enough', () => {
+	it('returns the oldest sample that is recent enough', () => {
 		const samples = createPositionSamples();
 		samples.note(1000, {term: 1, position: 5});
 		samples.note(1500, {term: 1, position: 9});
@@ -12,18 +12,16 @@
 		expect(samples.getFloor(2001)).to.equal(undefined);
 	});
 
-	it('passes over an answer to a question asked before the last sample', () => {
+	it('ignores a position that was requested before the last sample', () => {
 		const samples = createPositionSamples();
 		samples.note(1000, {term: 1, position: 5});
 		samples.note(900, {term: 1, position: 7});
 		expect(samples.getFloor(950)).to.deep.equal({term: 1, position: 5});
 	});
 
-	/**
-	 * A session wrote at a primary that was lost before its last commits reached a replica. The successor never gets
-	 * them, so a floor beyond its start would be lacked by every endpoint for ever and the session could read nothing.
-	 */
-	it('brings floors of a superseded term down to where the later term began', () => {
+	// Guards against a session that can never read again: a primary is lost before its last commits reach a replica, and no
+	// endpoint will ever hold a floor beyond the start of the next primary's term.
+	it('clamps floors of a superseded term to the start of the later term', () => {
 		const samples = createPositionSamples();
 		samples.note(1000, {term: 1, position: 90});
 		samples.note(2000, {term: 1, position: 110});
@@ -32,23 +30,21 @@
 		expect(samples.getFloor(1500)).to.deep.equal({term: 2, position: 100});
 	});
 
-	/**
-	 * A primary is promoted and has written nothing: its log ends with an entry of the term before. Hosts that saw the lost primary go further in that term turned the
-	 * new one away as one that had lost its log, each by itself, and the group had no primary any more.
-	 */
-	it('brings a floor of the term before down to the end of a log that the new primary has not added to', () => {
+	// Guards against a group without a primary: a promoted primary has written nothing, so its log ends with an entry of the term before. Hosts that saw the lost
+	// primary go further in that term would each reject the new one as having lost its log.
+	it('clamps a floor of the previous term to the end of a log that the new primary has not extended', () => {
 		expect(limitToStart({term: 4, position: 127}, {term: 5, start: {term: 4, position: 126}})).to.deep.equal({term: 4, position: 126});
 	});
 
-	it('brings a floor of a term between, of which the new primary has nothing, down to the end of its log', () => {
+	it('clamps a floor of a term in between, of which the new primary has no entry, to the end of its log', () => {
 		expect(limitToStart({term: 3, position: 35}, {term: 5, start: {term: 2, position: 39}})).to.deep.equal({term: 2, position: 39});
 	});
 
-	it('leaves floors of the later term alone', () => {
+	it('does not change floors of the later term', () => {
 		expect(limitToStart({term: 2, position: 130}, {term: 2, start: {term: 1, position: 100}})).to.deep.equal({term: 2, position: 130});
 	});
 
-	it('takes the higher of two floors', () => {
+	it('returns the higher of two floors', () => {
 		expect(getHigherFloor({term: 1, position: 3}, {term: 1, position: 4})).to.deep.equal({term: 1, position: 4});
 		expect(getHigherFloor(undefined, {term: 1, position: 4})).to.deep.equal({term: 1, position: 4});
 		expect(getHigherFloor(undefined, undefined)).to.equal(undefined);
