--- a/src/workspaces/caller-access.ts
+++ b/src/workspaces/caller-access.ts
@@ -2,54 +2,54 @@
 import {createKeyIndex, type KeyFingerprint, type KeyIndex} from './key-index.js';
 import type {Workspace} from './workspace.js';
 
-/** Why a caller is not served. */
+/** Why a caller is denied access. */
 export const AccessDenial = {
-	/** No workspace of the configuration holds the key. */
+	/** No workspace of the configuration has the key. */
 	UnknownKey: 'unknown-key',
-	/** Whether the key is still good cannot be told: the configuration was last confirmed too long ago. */
+	/** The key may have been revoked: the configuration was last confirmed too long ago. */
 	Unverifiable: 'unverifiable',
 } as const;
 
 /** One of the reasons in {@link AccessDenial}. */
 export type AccessDenial = typeof AccessDenial[keyof typeof AccessDenial];
 
-/** Whether a caller may use a route, and for which workspace it does. */
-export type AccessVerdict =
+/** Whether a caller may use a route, and the workspace on whose behalf it does. */
+export type AccessDecision =
 	| {readonly allowed: true; readonly workspace?: Workspace}
 	| {readonly allowed: false; readonly denial: AccessDenial};
 
-/** Decides on behalf of whom a caller acts. */
+/** Authorizes callers and identifies their workspaces. */
 export type CallerAccess = {
-	/** Judges a request that arrived at the elapsed time `now`. */
-	judge(fingerprint: KeyFingerprint, route: Route, now: number): AccessVerdict;
+	/** Authorizes a request that arrived at the elapsed time `now`. */
+	judge(fingerprint: KeyFingerprint, route: Route, now: number): AccessDecision;
 };
 
-/** What the decision needs. */
+/** Options of {@link createCallerAccess}. */
 export type CallerAccessOptions = {
-	/** The configuration in force, and the elapsed time at which the store was last asked for a later one. */
+	/** Returns the configuration in force, and the elapsed time at which the latest request that confirmed it was sent to the store. */
 	getKnown(): {readonly routing?: Routing; readonly routingConfirmedAt?: number};
-	/** Time after which a revoked key must not be honoured anywhere, in milliseconds; undefined where nothing bounds it. */
+	/** Time after which a revoked key must not be accepted by any host, in milliseconds; undefined where it is not bounded. */
 	readonly revokeWithinMs?: number;
 };
 
-/** Part of the bound that is left unused, in milliseconds: the clocks of hosts and callers differ in rate. */
+/** Safety margin of the bound, in milliseconds: the clocks of hosts and callers run at different rates. */
 const REVOKE_MARGIN_MS = 20;
 
 /**
- * Creates the decision.
+ * Creates the access check.
  *
- * Guards against a revoked key that goes on at a host without news. A change that was acknowledged before the store was asked shows in the answer, so a key
- * in the copy was good at the time of asking; a request that arrives within the bound after that was sent within the bound after any revocation that the copy
- * lacks. What confirms primaries in an outage of the store says nothing of keys and does not count.
+ * Guards against a revoked key that is still accepted by a host without store updates. A response of the store includes every change acknowledged before it was
+ * requested, so a key in the copy was valid at the time of the request. A caller's request that arrives within the bound after that time was sent within the bound
+ * after any revocation that the copy lacks. What confirms primaries during an outage of the store does not cover keys and does not count.
  */
 export function createCallerAccess({getKnown, revokeWithinMs}: CallerAccessOptions): CallerAccess {
-	let indexed: Routing | undefined;
+	let indexedRouting: Routing | undefined;
 	let index: KeyIndex = createKeyIndex([]);
 
 	const getIndex = (routing: Routing) => {
-		if (routing !== indexed) {
+		if (routing !== indexedRouting) {
 			index = createKeyIndex(routing.workspaces.values());
-			indexed = routing;
+			indexedRouting = routing;
 		}
 
 		return index;
--- a/src/workspaces/key-index.ts
+++ b/src/workspaces/key-index.ts
@@ -1,19 +1,19 @@
 import {createHash, randomBytes} from 'node:crypto';
 import type {Workspace} from './workspace.js';
 
-/** Finds workspaces by the keys of their callers. */
+/** Index of workspaces by the keys of their callers. */
 export type KeyIndex = {
-	/** The workspace that holds the key; undefined where none does. */
+	/** Returns the workspace that has the key; undefined where there is none, or more than one. */
 	getWorkspace(fingerprint: KeyFingerprint): Workspace | undefined;
 };
 
-/** Stands for a key inside one process, so that no session holds the key itself. */
+/** Salted hash that represents a key inside one process, so that no session holds the key itself. */
 export type KeyFingerprint = string & {readonly brand: 'KeyFingerprint'};
 
-/** Differs in each process: a fingerprint that leaks cannot be searched for offline. */
+/** Salt of the fingerprints, random in each process: keys cannot be guessed offline from a leaked fingerprint. */
 const SALT = randomBytes(16);
 
-/** Takes a key's fingerprint. Hashing before the look-up keeps its time from telling how much of a guessed key is right. */
+/** Returns a key's fingerprint. Since keys are hashed before the look-up, its duration does not reveal how much of a guessed key is right. */
 export function getFingerprint(key: string): KeyFingerprint {
 	return createHash('sha256').update(SALT).update(key).digest('base64url') as KeyFingerprint;
 }
--- a/src/workspaces/rate-limit-calls.ts
+++ b/src/workspaces/rate-limit-calls.ts
@@ -1,24 +1,24 @@
 import type {RateLimit} from './workspace.js';
 
-/** Asks the host that counts a workspace's operations for tokens. */
+/** Request for rate limit tokens, sent to the host that issues those of the workspace. */
 export type TokenRequest = {
 	readonly workspace: string;
-	/** The limit as the asking host knows it, for one that does not know the workspace yet. */
+	/** The limit in the requesting host's configuration, for an issuer whose configuration lacks the workspace. */
 	readonly limit: RateLimit;
-	/** Tokens for operations that wait. */
+	/** Number of tokens for waiting operations. */
 	readonly needed: number;
-	/** Operations that run already. */
+	/** Number of operations that were started without a token and are charged now. */
 	readonly spent: number;
-	/** Tokens for operations to come, granted only while the limit is far. */
+	/** Number of tokens requested in advance for expected operations; granted only while the bucket is nearly full. */
 	readonly ahead: number;
 };
 
-/** What was granted. */
+/** Response to a {@link TokenRequest}. */
 export type TokenGrant = {
 	readonly tokens: number;
-	/** When to come back with an operation that got none, in milliseconds; undefined where all that were needed were granted. */
+	/** Retry delay of operations that got no token, in milliseconds; undefined where all needed tokens were granted. */
 	readonly retryAfterMs?: number;
-	/** The limit is far: much of the burst is left. */
+	/** Whether the use is far below the limit: at least half of the burst is left. */
 	readonly isFar?: boolean;
 };
 
--- a/src/workspaces/rate-limiter.ts
+++ b/src/workspaces/rate-limiter.ts
@@ -5,131 +5,140 @@
 import type {TokenSource} from './token-source.js';
 import type {RateLimit, Workspace} from './workspace.js';
 
-/** Whether an operation may run now. */
-export type RateVerdict = {readonly allowed: true} | {readonly allowed: false; readonly retryAfterMs: number};
+/** Whether an operation may run now; if not, the retry delay in milliseconds. */
+export type RateLimitDecision = {readonly allowed: true} | {readonly allowed: false; readonly retryAfterMs: number};
 
-/** Holds the workspaces' operations to their limits over the whole fleet. */
+/** Enforces the workspaces' rate limits over the whole fleet. */
 export type RateLimiter = {
 	/** Takes a token for one operation of the workspace. */
-	take(workspace: Workspace): Promise<RateVerdict>;
+	take(workspace: Workspace): Promise<RateLimitDecision>;
 };
 
-/** What the limiter needs. */
+/** Options of {@link createRateLimiter}. */
 export type RateLimiterOptions = {
 	readonly source: TokenSource;
 	readonly clock: Clock;
-	/** Registered hosts. */
+	/** Returns the number of registered hosts. */
 	countHosts(): number;
 };
 
-/** Part of the limit that all hosts together may use where each is alone: it adds to what the host that counts grants to those that reach it. */
-const ALONE_PART = 0.25;
+/** Fraction of the limit that all hosts together may use without an issuer; it adds to what the issuer grants to the hosts that reach it. */
+const FALLBACK_FRACTION = 0.25;
 
-/** Tokens that were granted ahead are good for so long, in milliseconds. */
-const AHEAD_MS = 1000;
+/** Time for which tokens granted in advance are valid, in milliseconds. */
+const PREFETCH_VALID_MS = 1000;
 
-/** Most tokens ahead of their operations at one host. */
-const MOST_AHEAD = 16;
+/** Maximum number of tokens that one host requests in advance. */
+const MAX_PREFETCHED_TOKENS = 16;
 
-/** After a refusal this host asks again after so long at most, in milliseconds; what is left over meanwhile stays in the bucket. */
-const REFUSED_MS = 100;
+/** Maximum time for which this host refuses operations without a request after a refusal, in milliseconds; tokens that become free meanwhile stay in the bucket. */
+const MAX_REFUSING_MS = 100;
 
-/** For so long after the limit was far, in milliseconds, an operation runs while its token is asked for. */
-const FAR_MS = 2000;
+/** Time after a grant that was made far below the limit in which an operation may run while its token is requested, in milliseconds. */
+const OPTIMISTIC_MS = 2000;
 
 type LocalState = {
-	/** Tokens that were granted ahead. */
-	ahead: number;
-	aheadUntil: number;
-	/** The limit was far lately. */
-	farUntil: number;
-	refusedUntil: number;
-	/** Operations since the last question. */
-	recent: number;
-	askedAt: number;
-	/** Operations that run already and whose token is yet to be asked for. */
+	/** Tokens left of those granted in advance. */
+	prefetched: number;
+	prefetchedUntil: number;
+	/** Until this time an operation may run while its token is requested. */
+	optimisticUntil: number;
+	refusingUntil: number;
+	/** Operations since the last request. */
+	recentOperations: number;
+	requestedAt: number;
+	/** Operations that were started and whose tokens are still to be requested. */
 	spent: number;
-	waiting: Array<(verdict: RateVerdict) => void>;
-	asking: boolean;
-	readonly comeBackTimes: ComeBackTimes;
-	/** This host's part of the limit, for when no host that counts answers. */
-	ownPart?: TokenBucket;
+	waiting: Array<(verdict: RateLimitDecision) => void>;
+	isRequesting: boolean;
+	readonly retryDelays: ComeBackTimes;
+	/** This host's part of the limit while no issuer responds. */
+	fallbackBucket?: TokenBucket;
 };
 
 /**
- * Creates the limiter. A host that counts issues a token for each operation. Where the limit is far, an operation does not wait for its token: one at a time for each workspace and host,
- * so that what runs beyond the limit is bounded by what is under way when it is reached.
+ * Creates the limiter. An issuer grants a token for each operation. While the use is far below the limit, an operation does not wait for its token: one at a time for each workspace
+ * and host, so that the operations beyond the limit are at most those in flight when it is reached.
  */
 export function createRateLimiter({source, clock, countHosts}: RateLimiterOptions): RateLimiter {
-	const locals = new Map<string, LocalState>();
-
-	const getLocal = (workspace: string): LocalState => {
-		const local = locals.get(workspace) ?? {
-			ahead: 0, aheadUntil: 0, farUntil: 0, refusedUntil: 0, recent: 0, askedAt: clock.now(), spent: 0, waiting: [], asking: false, comeBackTimes: createComeBackTimes(),
+	const states = new Map<string, LocalState>();
+
+	const getState = (workspace: string): LocalState => {
+		const state = states.get(workspace) ?? {
+			prefetched: 0,
+			prefetchedUntil: 0,
+			optimisticUntil: 0,
+			refusingUntil: 0,
+			recentOperations: 0,
+			requestedAt: clock.now(),
+			spent: 0,
+			waiting: [],
+			isRequesting: false,
+			retryDelays: createComeBackTimes(),
 		};
-		locals.set(workspace, local);
-		return local;
+		states.set(workspace, state);
+		return state;
 	};
 
 	/**
-	 * Grants by this host alone, a part of the limit that all hosts together may use. Guards the limit where the hosts that count are not reached: each other host would
-	 * else let all of its callers pass.
+	 * Grants tokens from this host's part of the fraction of the limit that hosts may use without an issuer. Guards the limit where no issuer is reached: otherwise each such
+	 * host would admit all operations of its callers.
 	 */
-	const grantOwnPart = (local: LocalState, {ratePerSecond, burst}: RateLimit, needed: number): TokenGrant => {
+	const grantFallback = (state: LocalState, {ratePerSecond, burst}: RateLimit, needed: number): TokenGrant => {
 		const now = clock.now();
-		const share = ALONE_PART / Math.max(1, countHosts());
-		const part = {ratePerSecond: ratePerSecond * share, burst: burst * share};
-		local.ownPart ??= createTokenBucket(part, part.burst, now);
-		local.ownPart.setLimit(part, now);
-		const tokens = local.ownPart.take(needed, now);
-		return tokens < needed ? {tokens, retryAfterMs: Math.min(REFUSED_MS, local.ownPart.getWaitMs(now))} : {tokens};
+		const fraction = FALLBACK_FRACTION / Math.max(1, countHosts());
+		const fallbackLimit = {ratePerSecond: ratePerSecond * fraction, burst: burst * fraction};
+		state.fallbackBucket ??= createTokenBucket(fallbackLimit, fallbackLimit.burst, now);
+		state.fallbackBucket.setLimit(fallbackLimit, now);
+		const tokens = state.fallbackBucket.take(needed, now);
+		return tokens < needed ? {tokens, retryAfterMs: Math.min(MAX_REFUSING_MS, state.fallbackBucket.getWaitMs(now))} : {tokens};
 	};
 
-	const ask = async (local: LocalState, workspace: string, limit: RateLimit, needed: number): Promise<TokenGrant> => {
+	const requestTokens = async (state: LocalState, workspace: string, limit: RateLimit, needed: number): Promise<TokenGrant> => {
 		const now = clock.now();
-		const expected = local.recent * AHEAD_MS / Math.max(AHEAD_MS, now - local.askedAt);
-		const {spent} = local;
-		local.recent = 0;
-		local.askedAt = now;
-		local.spent = 0;
+		const expected = state.recentOperations * PREFETCH_VALID_MS / Math.max(PREFETCH_VALID_MS, now - state.requestedAt);
+		const {spent} = state;
+		state.recentOperations = 0;
+		state.requestedAt = now;
+		state.spent = 0;
 		const grant = await source.request({
-			workspace, limit, needed, spent, ahead: Math.min(MOST_AHEAD, Math.floor(expected)),
+			workspace, limit, needed, spent, ahead: Math.min(MAX_PREFETCHED_TOKENS, Math.floor(expected)),
 		});
-		return grant ?? grantOwnPart(local, limit, needed);
+		return grant ?? grantFallback(state, limit, needed);
 	};
 
-	const refuse = (local: LocalState, leastMs: number, {ratePerSecond}: RateLimit): RateVerdict => ({
-		allowed: false, retryAfterMs: local.comeBackTimes.take(leastMs, ratePerSecond > 0 ? 1000 / ratePerSecond : 0, clock.now()),
+	const refuse = (state: LocalState, minMs: number, {ratePerSecond}: RateLimit): RateLimitDecision => ({
+		allowed: false, retryAfterMs: state.retryDelays.take(minMs, ratePerSecond > 0 ? 1000 / ratePerSecond : 0, clock.now()),
 	});
 
-	const settle = (local: LocalState, limit: RateLimit, served: LocalState['waiting'], {tokens, retryAfterMs, isFar}: TokenGrant) => {
-		for (const resolve of served.slice(0, tokens)) {
+	const applyGrant = (state: LocalState, limit: RateLimit, waiters: LocalState['waiting'], {tokens, retryAfterMs, isFar}: TokenGrant) => {
+		for (const resolve of waiters.slice(0, tokens)) {
 			resolve({allowed: true});
 		}
 
-		for (const resolve of served.slice(tokens)) {
-			resolve(refuse(local, retryAfterMs ?? REFUSED_MS, limit));
+		for (const resolve of waiters.slice(tokens)) {
+			resolve(refuse(state, retryAfterMs ?? MAX_REFUSING_MS, limit));
 		}
 
 		const now = clock.now();
-		local.ahead = Math.max(0, tokens - served.length);
-		local.aheadUntil = now + AHEAD_MS;
-		local.farUntil = isFar ? now + FAR_MS : now;
+		state.prefetched = Math.max(0, tokens - waiters.length);
+		state.prefetchedUntil = now + PREFETCH_VALID_MS;
+		state.optimisticUntil = isFar ? now + OPTIMISTIC_MS : now;
 		if (retryAfterMs !== undefined) {
-			local.refusedUntil = now + Math.min(REFUSED_MS, retryAfterMs);
+			state.refusingUntil = now + Math.min(MAX_REFUSING_MS, retryAfterMs);
 		}
 	};
 
-	/** Serves all who wait, and asks for what was spent, with one question after the other. */
-	const askWhileNeeded = async (local: LocalState, workspace: string, limit: RateLimit) => {
-		local.asking = true;
-		while (local.waiting.length > 0 || local.spent > 0) {
-			const served = local.waiting;
-			local.waiting = [];
-			settle(local, limit, served, await ask(local, workspace, limit, served.length));
+	/** Requests tokens for waiting and started operations, one request at a time, until there are none. */
+	const requestWhileNeeded = async (state: LocalState, workspace: string, limit: RateLimit) => {
+		state.isRequesting = true;
+		while (state.waiting.length > 0 || state.spent > 0) {
+			const waiters = state.waiting;
+			state.waiting = [];
+			applyGrant(state, limit, waiters, await requestTokens(state, workspace, limit, waiters.length));
 		}
 
-		local.asking = false;
+		state.isRequesting = false;
 	};
 
 	return {
@@ -138,28 +147,28 @@
 				return {allowed: true};
 			}
 
-			const local = getLocal(name);
+			const state = getState(name);
 			const now = clock.now();
-			local.recent++;
-			if (now < local.refusedUntil) {
-				return refuse(local, local.refusedUntil - now, limit);
+			state.recentOperations++;
+			if (now < state.refusingUntil) {
+				return refuse(state, state.refusingUntil - now, limit);
 			}
 
-			if (local.ahead > 0 && now < local.aheadUntil) {
-				local.ahead--;
+			if (state.prefetched > 0 && now < state.prefetchedUntil) {
+				state.prefetched--;
 				return {allowed: true};
 			}
 
-			if (now < local.farUntil && !local.asking) {
-				local.spent++;
-				void askWhileNeeded(local, name, limit);
+			if (now < state.optimisticUntil && !state.isRequesting) {
+				state.spent++;
+				void requestWhileNeeded(state, name, limit);
 				return {allowed: true};
 			}
 
 			return new Promise(resolve => {
-				local.waiting.push(resolve);
-				if (!local.asking) {
-					void askWhileNeeded(local, name, limit);
+				state.waiting.push(resolve);
+				if (!state.isRequesting) {
+					void requestWhileNeeded(state, name, limit);
 				}
 			});
 		},
--- a/src/workspaces/token-bucket.ts
+++ b/src/workspaces/token-bucket.ts
@@ -1,16 +1,16 @@
 import type {RateLimit} from './workspace.js';
 
-/** Counts what a rate limit has left. */
+/** Token bucket of a rate limit. */
 export type TokenBucket = {
-	/** Takes up to `wanted` tokens at the steady time `now`, and leaves at least `leave`; how many were taken. */
+	/** Takes up to `wanted` tokens at the steady time `now`, leaving at least `leave`; returns the number taken. */
 	take(wanted: number, now: number, leave?: number): number;
-	/** Takes tokens for what runs already; what it lacks of them it owes. */
+	/** Takes tokens for operations that were already started; the level becomes negative where there are too few. */
 	charge(spent: number, now: number): void;
-	/** Tokens that it holds; negative where it owes some. */
+	/** Returns the number of tokens; negative after a charge that it could not cover. */
 	getLevel(now: number): number;
-	/** Time until one token is there, in milliseconds; Infinity where none will be. */
+	/** Returns the time until one token is available, in milliseconds; Infinity where none will be. */
 	getWaitMs(now: number): number;
-	/** Takes over another limit. */
+	/** Changes the limit; tokens beyond the new capacity are dropped. */
 	setLimit(limit: RateLimit, now: number): void;
 };
 
@@ -18,47 +18,47 @@
 export function createTokenBucket(limit: RateLimit, level: number, now: number): TokenBucket {
 	let {ratePerSecond} = limit;
 	let capacity = getCapacity(limit);
-	let held = Math.min(level, capacity);
-	let countedAt = now;
+	let tokens = Math.min(level, capacity);
+	let refilledAt = now;
 
 	const refill = (at: number) => {
-		held = Math.min(capacity, held + (Math.max(0, at - countedAt) * ratePerSecond / 1000));
-		countedAt = Math.max(countedAt, at);
+		tokens = Math.min(capacity, tokens + (Math.max(0, at - refilledAt) * ratePerSecond / 1000));
+		refilledAt = Math.max(refilledAt, at);
 	};
 
 	return {
 		take(wanted, at, leave = 0) {
 			refill(at);
-			const taken = Math.max(0, Math.min(wanted, Math.floor(held - leave)));
-			held -= taken;
+			const taken = Math.max(0, Math.min(wanted, Math.floor(tokens - leave)));
+			tokens -= taken;
 			return taken;
 		},
 		charge(spent, at) {
 			refill(at);
-			held -= spent;
+			tokens -= spent;
 		},
 		getLevel(at) {
 			refill(at);
-			return held;
+			return tokens;
 		},
 		getWaitMs(at) {
 			refill(at);
-			if (held >= 1) {
+			if (tokens >= 1) {
 				return 0;
 			}
 
-			return ratePerSecond === 0 ? Number.POSITIVE_INFINITY : (1 - held) * 1000 / ratePerSecond;
+			return ratePerSecond === 0 ? Number.POSITIVE_INFINITY : (1 - tokens) * 1000 / ratePerSecond;
 		},
 		setLimit(changed, at) {
 			refill(at);
 			({ratePerSecond} = changed);
 			capacity = getCapacity(changed);
-			held = Math.min(held, capacity);
+			tokens = Math.min(tokens, capacity);
 		},
 	};
 }
 
-/** A burst below one would let nothing pass, however slow the rate. */
+/** A capacity below one would never allow an operation, even at a slow rate. */
 function getCapacity({ratePerSecond, burst}: RateLimit): number {
 	return ratePerSecond > 0 ? Math.max(1, burst) : burst;
 }
--- a/src/workspaces/token-issuer.ts
+++ b/src/workspaces/token-issuer.ts
@@ -3,88 +3,88 @@
 import {createTokenBucket, type TokenBucket} from './token-bucket.js';
 import type {RateLimit} from './workspace.js';
 
-/** Issues the tokens of the workspaces whose operations this host counts. */
+/** Issues the rate limit tokens of the workspaces that are assigned to this host. */
 export type TokenIssuer = {
-	/** Grants what the workspace's limit has left at the steady time `now`. */
+	/** Grants tokens as far as the workspace's limit allows at the steady time `now`. */
 	grant(req: TokenRequest, now: number): TokenGrant;
 };
 
-/** What the issuer needs. */
+/** Options of {@link createTokenIssuer}. */
 export type TokenIssuerOptions = {
-	/** The limit in force; undefined where this host's configuration has no such workspace. */
+	/** Returns the limit in force; undefined where this host's configuration has none for the workspace. */
 	getLimit(workspace: string): RateLimit | undefined;
 };
 
-/** Part of a burst that stays for operations that wait; tokens ahead of their operations come from what is above. */
-const KEPT_FOR_WAITING = 7 / 8;
+/** Fraction of a burst that is reserved for waiting operations; tokens are granted in advance only from what is above it. */
+const RESERVED_FRACTION = 7 / 8;
 
-/** Part of a burst that is left where the limit is far. */
-const FAR_LEVEL = 1 / 2;
+/** Fraction of a burst that must be left for the use to count as far below the limit. */
+const FAR_FRACTION = 1 / 2;
 
 /**
- * What a bucket holds when its workspace is met here for the first time: a part of a second, and some operations. Guards the limit when another host has counted so far
- * and died, or was restarted: a full burst would be granted twice within one window.
+ * Initial level of a bucket: what the rate fills in a part of a second, and some operations. Guards the limit when the previous issuer has died or was restarted: a full
+ * burst would be granted twice within one window.
  */
-const FIRST_SECONDS = 0.25;
-const FIRST_OPERATIONS = 4;
+const INITIAL_SECONDS = 0.25;
+const INITIAL_OPERATIONS = 4;
 
-/** A bucket that nobody has asked for so long is full again, or as good as new, in milliseconds. */
-const FORGET_AFTER_MS = 60_000;
+/** Time without requests after which a bucket is dropped, in milliseconds: by then it is full, or a new one serves as well. */
+const IDLE_BUCKET_MS = 60_000;
 
-type Counted = {
+type WorkspaceBucket = {
 	readonly bucket: TokenBucket;
-	readonly comeBackTimes: ComeBackTimes;
+	readonly retryDelays: ComeBackTimes;
 	limit: RateLimit;
-	askedAt: number;
+	requestedAt: number;
 };
 
 /** Creates an issuer that has granted nothing. */
 export function createTokenIssuer({getLimit}: TokenIssuerOptions): TokenIssuer {
-	const known = new Map<string, Counted>();
-	let cleanedAt = Number.NEGATIVE_INFINITY;
+	const buckets = new Map<string, WorkspaceBucket>();
+	let droppedAt = Number.NEGATIVE_INFINITY;
 
-	const forgetUnused = (now: number) => {
-		if (now - cleanedAt < FORGET_AFTER_MS) {
+	const dropIdleBuckets = (now: number) => {
+		if (now - droppedAt < IDLE_BUCKET_MS) {
 			return;
 		}
 
-		cleanedAt = now;
-		for (const [workspace, {askedAt}] of known) {
-			if (now - askedAt > FORGET_AFTER_MS) {
-				known.delete(workspace);
+		droppedAt = now;
+		for (const [workspace, {requestedAt}] of buckets) {
+			if (now - requestedAt > IDLE_BUCKET_MS) {
+				buckets.delete(workspace);
 			}
 		}
 	};
 
-	const getCounted = (workspace: string, limit: RateLimit, now: number): Counted => {
-		const counted = known.get(workspace) ?? {
-			bucket: createTokenBucket(limit, (limit.ratePerSecond * FIRST_SECONDS) + FIRST_OPERATIONS, now),
-			comeBackTimes: createComeBackTimes(),
+	const getWorkspaceBucket = (workspace: string, limit: RateLimit, now: number): WorkspaceBucket => {
+		const entry = buckets.get(workspace) ?? {
+			bucket: createTokenBucket(limit, (limit.ratePerSecond * INITIAL_SECONDS) + INITIAL_OPERATIONS, now),
+			retryDelays: createComeBackTimes(),
 			limit,
-			askedAt: now,
+			requestedAt: now,
 		};
-		known.set(workspace, counted);
-		if (counted.limit.ratePerSecond !== limit.ratePerSecond || counted.limit.burst !== limit.burst) {
-			counted.bucket.setLimit(limit, now);
-			counted.limit = limit;
+		buckets.set(workspace, entry);
+		if (entry.limit.ratePerSecond !== limit.ratePerSecond || entry.limit.burst !== limit.burst) {
+			entry.bucket.setLimit(limit, now);
+			entry.limit = limit;
 		}
 
-		counted.askedAt = now;
-		return counted;
+		entry.requestedAt = now;
+		return entry;
 	};
 
 	return {
-		grant({workspace, limit: named, needed, spent, ahead}, now) {
-			forgetUnused(now);
-			const limit = getLimit(workspace) ?? named;
-			const {bucket, comeBackTimes} = getCounted(workspace, limit, now);
+		grant({workspace, limit: requestLimit, needed, spent, ahead}, now) {
+			dropIdleBuckets(now);
+			const limit = getLimit(workspace) ?? requestLimit;
+			const {bucket, retryDelays} = getWorkspaceBucket(workspace, limit, now);
 			bucket.charge(spent, now);
 			const tokens = bucket.take(needed, now);
 			if (tokens < needed) {
-				return {tokens, retryAfterMs: comeBackTimes.take(bucket.getWaitMs(now), 1000 / limit.ratePerSecond, now)};
+				return {tokens, retryAfterMs: retryDelays.take(bucket.getWaitMs(now), 1000 / limit.ratePerSecond, now)};
 			}
 
-			return {tokens: tokens + bucket.take(ahead, now, limit.burst * KEPT_FOR_WAITING), isFar: bucket.getLevel(now) >= limit.burst * FAR_LEVEL};
+			return {tokens: tokens + bucket.take(ahead, now, limit.burst * RESERVED_FRACTION), isFar: bucket.getLevel(now) >= limit.burst * FAR_FRACTION};
 		},
 	};
 }
--- a/src/workspaces/token-source.ts
+++ b/src/workspaces/token-source.ts
@@ -3,55 +3,55 @@
 import {isPeerError} from '../peers/peer-errors.js';
 import type {Peers} from '../peers/peers.js';
 import type {Clock} from '../time/clock.js';
-import {createCountingHosts} from './counting-hosts.js';
-import {createPeerContact} from './peer-contact.js';
+import {createIssuerHosts} from './issuer-hosts.js';
+import {createPeerReachability} from './peer-reachability.js';
 import type {TokenGrant, TokenRequest} from './rate-limit-calls.js';
 import type {TokenIssuer} from './token-issuer.js';
 
-/** Asks the hosts that count for tokens, and answers for those workspaces that this host counts. */
+/** Requests tokens from the issuer hosts, and serves those of the workspaces that this host issues. */
 export type TokenSource = {
-	/** Undefined where no host that counts answers. */
+	/** Resolves with the issuer's grant; undefined where no issuer responds. */
 	request(req: TokenRequest): Promise<TokenGrant | undefined>;
 };
 
-/** What the source needs. */
+/** Options of {@link createTokenSource}. */
 export type TokenSourceOptions = {
 	readonly peers: Peers;
 	readonly unreachable: UnreachableHosts;
 	readonly clock: Clock;
 	readonly ownPeerAddress: string;
 	readonly issuer: TokenIssuer;
-	/** Registered hosts. */
+	/** Returns the registered hosts. */
 	getHosts(): readonly HostRecord[];
 };
 
-/** A host that counts answers within this time, in milliseconds: some fifty times the way between zones. */
-const ANSWER_WITHIN_MS = 120;
+/** Timeout of a request to an issuer, in milliseconds: about fifty times the latency between zones. */
+const REQUEST_TIMEOUT_MS = 120;
 
-/** Creates the source, and begins to answer other hosts. */
+/** Creates the source, and registers the handler for other hosts' requests. */
 export function createTokenSource({peers, unreachable, clock, ownPeerAddress, issuer, getHosts}: TokenSourceOptions): TokenSource {
-	const countingHosts = createCountingHosts(getHosts);
-	const contact = createPeerContact(peers, clock);
+	const issuerHosts = createIssuerHosts(getHosts);
+	const reachability = createPeerReachability(peers, clock);
 
 	peers.handle('rate-limit-take', async req => {
-		contact.noteHeard();
+		reachability.noteContact();
 		return issuer.grant(req, clock.now());
 	});
 
-	/** Guards the limit where this host is cut off: it would grant all of it to its own callers, beside a host that grants it to everybody else's. */
-	const grantToOwn = async (counting: readonly string[], req: TokenRequest) => {
-		const isHeard = await contact.check(counting.filter(other => other !== ownPeerAddress));
-		return isHeard ? issuer.grant(req, clock.now()) : undefined;
+	/** Guards the limit where this host is cut off: it would grant all of it to its own callers, while another host grants it to the callers of all others. */
+	const grantLocally = async (issuers: readonly string[], req: TokenRequest) => {
+		const isReachable = await reachability.check(issuers.filter(other => other !== ownPeerAddress));
+		return isReachable ? issuer.grant(req, clock.now()) : undefined;
 	};
 
-	const askOther = async (address: string, req: TokenRequest) => {
+	const requestFrom = async (address: string, req: TokenRequest) => {
 		if (unreachable.has(address, clock.now())) {
 			return undefined;
 		}
 
 		try {
-			const grant = await peers.call(address, 'rate-limit-take', req, ANSWER_WITHIN_MS);
-			contact.noteHeard();
+			const grant = await peers.call(address, 'rate-limit-take', req, REQUEST_TIMEOUT_MS);
+			reachability.noteContact();
 			return grant;
 		} catch (err) {
 			if (!isPeerError(err)) {
@@ -65,16 +65,16 @@
 
 	return {
 		async request(req) {
-			const counting = countingHosts.get(req.workspace);
-			for (const address of counting) {
-				const grant = await (address === ownPeerAddress ? grantToOwn(counting, req) : askOther(address, req));
+			const issuers = issuerHosts.get(req.workspace);
+			for (const address of issuers) {
+				const grant = await (address === ownPeerAddress ? grantLocally(issuers, req) : requestFrom(address, req));
 				if (grant) {
 					return grant;
 				}
 			}
 
-			// Before any host is registered this one is the only one, as far as it knows.
-			return counting.length === 0 ? issuer.grant(req, clock.now()) : undefined;
+			// Before any host is registered, this host is the only one that it knows of.
+			return issuers.length === 0 ? issuer.grant(req, clock.now()) : undefined;
 		},
 	};
 }
--- a/src/workspaces/workspace.ts
+++ b/src/workspaces/workspace.ts
@@ -1,18 +1,18 @@
 /** An organisation whose callers share a rate limit and whose statements run on connections of its own. */
 export type Workspace = {
 	readonly name: string;
-	/** Secrets by which its callers show that they belong to it. */
+	/** Secrets that authenticate its callers. */
 	readonly keys: readonly string[];
-	/** 0 goes first among statements whose routes have the same priority. */
+	/** Order of its statements among those whose routes have the same priority; 0 runs first. */
 	readonly priority: number;
-	/** Bound of its operations over the whole fleet; undefined where it has none. */
+	/** Rate limit of its operations over the whole fleet; undefined where it has none. */
 	readonly limit?: RateLimit;
 };
 
-/** A token bucket's figures. */
+/** The parameters of a token bucket. */
 export type RateLimit = {
-	/** Operations a second. */
+	/** Operations per second. */
 	readonly ratePerSecond: number;
-	/** Operations that may come at once after a rest. */
+	/** Operations that may run at once after an idle time. */
 	readonly burst: number;
 };
--- a/tests/workspaces/caller-access-tests.ts
+++ b/tests/workspaces/caller-access-tests.ts
@@ -11,26 +11,26 @@
 	name: 'sync', database: 'sync', group: 'nights', policy: ReadPolicy.Primary, maxReadAgeMs: 0, statementTimeoutMs: 1000, targetLatencyMs: 200, priority: 1,
 };
 
-describe('access of a caller', () => {
+describe('caller access', () => {
 	function doTest(name: string, {key, needsKey = true, confirmedAt = 1000, now = 1000, revokeWithinMs}: {
 		readonly key: string; readonly needsKey?: boolean; readonly confirmedAt?: number; readonly now?: number; readonly revokeWithinMs?: number;
 	}, expected: string) {
 		it(name, () => {
 			const access = createCallerAccess({getKnown: () => ({routing: ROUTING, routingConfirmedAt: confirmedAt}), revokeWithinMs});
-			const verdict = access.judge(getFingerprint(key), {...ROUTE, needsKey}, now);
-			expect(verdict.allowed ? verdict.workspace?.name ?? 'nobody' : verdict.denial).to.equal(expected);
+			const decision = access.judge(getFingerprint(key), {...ROUTE, needsKey}, now);
+			expect(decision.allowed ? decision.workspace?.name ?? 'nobody' : decision.denial).to.equal(expected);
 		});
 	}
 
-	doTest('is given to a key of a workspace', {key: 'k1'}, 'north');
+	doTest('is granted to a key of a workspace', {key: 'k1'}, 'north');
 	doTest('is denied to an unknown key', {key: 'k2'}, 'unknown-key');
 	doTest('is denied without a key', {key: ''}, 'unknown-key');
 	doTest('needs no key on an open route', {key: 'k2', needsKey: false}, 'nobody');
 	doTest('names the workspace on an open route too', {key: 'k1', needsKey: false}, 'north');
-	doTest('outlasts the bound of revocation where that is not strict', {key: 'k1', now: 60_000}, 'north');
-	doTest('lasts up to the bound of revocation', {key: 'k1', now: 5900, revokeWithinMs: 5000}, 'north');
-	// A host that lost the store goes on under a key that was revoked meanwhile.
-	doTest('ends with the bound of revocation', {key: 'k1', now: 6000, revokeWithinMs: 5000}, 'unverifiable');
+	doTest('does not end where revocation is not bounded', {key: 'k1', now: 60_000}, 'north');
+	doTest('lasts until shortly before the revocation bound', {key: 'k1', now: 5900, revokeWithinMs: 5000}, 'north');
+	// Guards against a host without the store that still accepts a key which has been revoked since.
+	doTest('ends with the revocation bound', {key: 'k1', now: 6000, revokeWithinMs: 5000}, 'unverifiable');
 
 	it('follows the configuration', () => {
 		let routing = ROUTING;
--- a/tests/workspaces/rate-limiter-tests.ts
+++ b/tests/workspaces/rate-limiter-tests.ts
@@ -3,7 +3,7 @@
 import type {Peers} from '../../src/peers/peers.js';
 import {createPeerNetwork} from '../../src/stand-ins/peers/in-memory-peers.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
-import {createRateLimiter, type RateLimiter, type RateVerdict} from '../../src/workspaces/rate-limiter.js';
+import {createRateLimiter, type RateLimiter, type RateLimitDecision} from '../../src/workspaces/rate-limiter.js';
 import {createTokenIssuer} from '../../src/workspaces/token-issuer.js';
 import {createTokenSource} from '../../src/workspaces/token-source.js';
 import type {RateLimit, Workspace} from '../../src/workspaces/workspace.js';
@@ -11,27 +11,27 @@
 const HOSTS = 12;
 const LIMIT: RateLimit = {ratePerSecond: 40, burst: 40};
 
-/** What the users allow in a window of five seconds: a tenth above, and some. */
+/** Operations allowed in a window of five seconds: rate and burst, a tenth above them, and 20. */
 const WINDOW_MS = 5000;
 const getAllowed = ({ratePerSecond, burst}: RateLimit) => (((ratePerSecond * WINDOW_MS / 1000) + burst) * 1.1) + 20;
 
-type Asked = {readonly at: number; readonly tookMs: number; readonly verdict: RateVerdict};
+type Operation = {readonly at: number; readonly tookMs: number; readonly decision: RateLimitDecision};
 
-/** Hosts whose callers ask for operations of one workspace by turns. */
+/** Creates hosts whose callers request operations of one workspace in turn. */
 function createBench() {
 	const clock = createVirtualClock(0);
 	const network = createPeerNetwork(clock);
 	const hosts = Array.from({length: HOSTS}, (_, i) => ({name: `entry-${i}`, peerAddress: `entry-${i}:7000`, availabilityZone: `zone-${i % 3}`}));
 	let limit = LIMIT;
 	let calls = 0;
-	const counting = new Set<string>();
-	const asked: Asked[] = [];
+	const issuers = new Set<string>();
+	const operations: Operation[] = [];
 	const limiters: RateLimiter[] = [];
 
 	const count = (peers: Peers): Peers => ({
 		async call(address, kind, req, timeoutMs) {
 			calls++;
-			counting.add(address);
+			issuers.add(address);
 			return peers.call(address, kind, req, timeoutMs);
 		},
 		handle: peers.handle,
@@ -58,13 +58,13 @@
 		startHost(i);
 	}
 
-	const ask = async (host: number) => {
+	const request = async (host: number) => {
 		const at = clock.now();
 		const workspace: Workspace = {
 			name: 'north', keys: [], priority: 0, limit,
 		};
-		const verdict = await limiters[host]!.take(workspace);
-		asked.push({at, tookMs: clock.now() - at, verdict});
+		const decision = await limiters[host]!.take(workspace);
+		operations.push({at, tookMs: clock.now() - at, decision});
 	};
 
 	return {
@@ -75,89 +75,89 @@
 		get calls() {
 			return calls;
 		},
-		/** Addresses of the hosts that were asked. */
-		counting,
+		/** Addresses of the hosts that were called. */
+		issuers,
 		setLimit(changed: RateLimit) {
 			limit = changed;
 		},
-		/** Asks at an even rate, at all hosts by turns; those in `from` alone where that is given. */
-		async play(ratePerSecond: number, ms: number, from = [...hosts.keys()]) {
-			const first = asked.length;
+		/** Requests operations at a constant rate, at the hosts in `from` in turn; at all hosts by default. */
+		async run(ratePerSecond: number, ms: number, from = [...hosts.keys()]) {
+			const first = operations.length;
 			for (let i = 0; i < ratePerSecond * ms / 1000; i++) {
-				void ask(from[i % from.length]!);
+				void request(from[i % from.length]!);
 				await clock.advance(1000 / ratePerSecond);
 			}
 
 			await clock.advance(500);
-			return asked.slice(first);
+			return operations.slice(first);
 		},
-		/** Most operations that were let in within any window. */
-		getMost() {
-			const times = asked.filter(({verdict}) => verdict.allowed).map(({at, tookMs}) => at + tookMs);
+		/** Returns the maximum number of operations that were allowed within any window. */
+		getMaxAllowed() {
+			const times = operations.filter(({decision}) => decision.allowed).map(({at, tookMs}) => at + tookMs);
 			return Math.max(0, ...times.map(from => times.filter(at => at >= from && at < from + WINDOW_MS).length));
 		},
 	};
 }
 
-const getRefused = (asked: readonly Asked[]) => asked.filter(({verdict}) => !verdict.allowed);
+const getRefused = (operations: readonly Operation[]) => operations.filter(({decision}) => !decision.allowed);
 
 describe('the rate limit of a workspace over all hosts', () => {
-	it('refuses nothing below it', async () => {
+	it('refuses nothing below the limit', async () => {
 		const bench = createBench();
-		await bench.play(10, 3000);
-		expect(getRefused(await bench.play(36, 10_000))).to.have.length(0);
+		await bench.run(10, 3000);
+		expect(getRefused(await bench.run(36, 10_000))).to.have.length(0);
 	});
 
-	it('refuses nothing of a burst after a rest', async () => {
+	it('refuses nothing of a burst after an idle time', async () => {
 		const bench = createBench();
-		await bench.play(10, 5000);
-		expect(getRefused(await bench.play(400, 90))).to.have.length(0);
+		await bench.run(10, 5000);
+		expect(getRefused(await bench.run(400, 90))).to.have.length(0);
 	});
 
-	it('lets the limit pass and no more at four times of it', async () => {
+	it('allows the limit and no more at four times the limit', async () => {
 		const bench = createBench();
-		await bench.play(10, 5000);
-		const asked = await bench.play(160, 10_000);
-		expect(asked.length - getRefused(asked).length).to.be.at.least(400);
-		expect(bench.getMost()).to.be.at.most(getAllowed(LIMIT));
+		await bench.run(10, 5000);
+		const operations = await bench.run(160, 10_000);
+		expect(operations.length - getRefused(operations).length).to.be.at.least(400);
+		expect(bench.getMaxAllowed()).to.be.at.most(getAllowed(LIMIT));
 	});
 
-	it('refuses at once, and calls callers back one after the other', async () => {
+	it('refuses at once, with retry delays above zero', async () => {
 		const bench = createBench();
-		const refused = getRefused(await bench.play(160, 5000));
+		const refused = getRefused(await bench.run(160, 5000));
 		expect(Math.max(...refused.map(({tookMs}) => tookMs))).to.be.at.most(10);
-		expect(refused.every(({verdict}) => !verdict.allowed && verdict.retryAfterMs > 0)).to.equal(true);
+		expect(refused.every(({decision}) => !decision.allowed && decision.retryAfterMs > 0)).to.equal(true);
 	});
 
-	it('holds once it is lowered below the use', async () => {
+	it('holds after it is lowered below the use', async () => {
 		const bench = createBench();
-		await bench.play(36, 5000);
+		await bench.run(36, 5000);
 		bench.setLimit({ratePerSecond: 8, burst: 8});
-		await bench.play(36, 1000);
-		const asked = await bench.play(36, 10_000);
-		expect(asked.length - getRefused(asked).length).to.be.at.most(10.5 * 8 * 1.1);
+		await bench.run(36, 1000);
+		const operations = await bench.run(36, 10_000);
+		expect(operations.length - getRefused(operations).length).to.be.at.most(10.5 * 8 * 1.1);
 	});
 
 	/**
-	 * The host that counts a hot workspace dies. The next one counts from nothing: with a full burst, the limit would be passed twice within one window, and
+	 * Guards against a wrong initial level when the issuer of a busy workspace dies: with a full burst at the next issuer, the limit would be exceeded twice within one window, and
 	 * without any tokens the workspace would be starved.
 	 */
-	it('holds when the host that counts dies, and starves nobody', async () => {
+	it('holds when the issuer dies, without starving the workspace', async () => {
 		const bench = createBench();
-		await bench.play(60, 5000);
-		const [first] = bench.counting;
+		await bench.run(60, 5000);
+		const [first] = bench.issuers;
 		bench.network.kill(first!);
 		const alive = bench.hosts.filter(({peerAddress}) => peerAddress !== first).map(host => bench.hosts.indexOf(host));
-		const asked = await bench.play(60, 5000, alive);
-		expect(asked.length - getRefused(asked).length).to.be.at.least(150);
-		expect(bench.getMost()).to.be.at.most(getAllowed(LIMIT));
+		const operations = await bench.run(60, 5000, alive);
+		expect(operations.length - getRefused(operations).length).to.be.at.least(150);
+		expect(bench.getMaxAllowed()).to.be.at.most(getAllowed(LIMIT));
 	});
 
-	/** Hosts that reach none that counts would each let all of their callers pass, and one that counts would grant the limit to its own beside the next one, which grants it to all others. */
+	/** Guards against hosts that reach no issuer and each admit all operations, and against an issuer that grants the limit to its own callers while the next one grants it to all others. */
 	function doCutTest(name: string, isCut: (host: number) => boolean) {
 		it(`holds where ${name} reach no other host`, async () => {
 			const bench = createBench();
-			await bench.play(60, 5000);
+			await bench.run(60, 5000);
 			const {hosts} = bench;
 			for (const [i, left] of hosts.entries()) {
 				for (const right of hosts.filter(host => host !== left && (isCut(i) || isCut(hosts.indexOf(host))))) {
@@ -165,8 +165,8 @@
 				}
 			}
 
-			await bench.play(240, 5000);
-			expect(bench.getMost()).to.be.at.most(getAllowed(LIMIT));
+			await bench.run(240, 5000);
+			expect(bench.getMaxAllowed()).to.be.at.most(getAllowed(LIMIT));
 		});
 	}
 
@@ -176,11 +176,11 @@
 
 	doCutTest('all hosts', () => true);
 
-	it('asks less than once for each operation where one host has many', async () => {
+	it('sends less than one request for two operations where one host has all of them', async () => {
 		const bench = createBench();
-		await bench.play(8, 3000, [3]);
+		await bench.run(8, 3000, [3]);
 		const before = bench.calls;
-		const asked = await bench.play(8, 5000, [3]);
-		expect(bench.calls - before).to.be.below(asked.length / 2);
+		const operations = await bench.run(8, 5000, [3]);
+		expect(bench.calls - before).to.be.below(operations.length / 2);
 	});
 });
