--- a/src/routing/asked-request.ts
+++ b/src/routing/asked-request.ts
@@ -6,10 +6,10 @@
 import type {Refusal} from '../refusals/refusal.js';
 import type {Session, Sessions} from '../sessions/session.js';
 import type {Clock} from '../time/clock.js';
-import {judgeRequestId, refuseBadToken, refuseUnknownGroup} from './entry-refusals.js';
+import {validateRequestId, refuseBadToken, refuseUnknownGroup} from './entry-refusals.js';
 import {readSessionHeader} from './session-floor.js';
 
-/** A request as the entry sees it, for records. Never its statement or values. */
+/** A caller's request as the entry records it; without its statement and values. */
 export type AskedRequest = {
 	readonly group: string;
 	readonly requestId: string;
@@ -17,7 +17,7 @@
 	readonly asked: string;
 	readonly class: string;
 	readonly session: Session;
-	/** The caller's token, where one token says just what `session` does. */
+	/** The caller's session token, where a single token is equivalent to `session`. */
 	readonly token?: string;
 	readonly configVersion: number;
 	readonly startedAt: number;
@@ -26,71 +26,73 @@
 	readonly mayBeRepeat: boolean;
 };
 
-/** What a caller's protocol knows of a request before it is looked at. */
-export type AskedParts = Pick<AskedRequest, 'asked' | 'class'> & Pick<CallerRequest, 'requestId' | 'deadlineMs' | 'attempt'>;
+/** Properties of a request that the caller's protocol provides. */
+export type RequestInput = Pick<AskedRequest, 'asked' | 'class'> & Pick<CallerRequest, 'requestId' | 'deadlineMs' | 'attempt'>;
 
-/** A request with what this host knows to judge it. */
-export type Asking = {
+/** A received request with what its validation depends on. */
+export type UnvalidatedRequest = {
 	readonly asked: AskedRequest;
 	readonly group: VersionedGroup | undefined;
-	/** True where the session header was not signed by this system. */
-	readonly bad: boolean;
+	/** Whether the session header holds a token that this system did not sign. */
+	readonly hasBadToken: boolean;
 };
 
-/** The group that a request may go to, or why it may not. */
-export type Judgement = {readonly group: VersionedGroup} | {readonly refusal: Refusal};
+/** Result of a validation: the request's group, or the refusal. */
+export type RequestValidation = {readonly group: VersionedGroup} | {readonly refusal: Refusal};
 
-/** Takes requests in. */
+/** Receives and validates callers' requests. */
 export type Asker = {
-	ask(group: string, header: string | undefined, parts: AskedParts): Asking;
-	judge(asking: Asking): Judgement;
+	/** Resolves the request's group and session, and its id where the caller sent none. */
+	ask(group: string, header: string | undefined, input: RequestInput): UnvalidatedRequest;
+	/** Refuses a request with a bad session token, an unknown group or an unacceptable request id. */
+	judge(unvalidated: UnvalidatedRequest): RequestValidation;
 };
 
-/** What requests are taken in with. */
-export type AskerOptions = {
+/** Options of {@link createRequestReceiver}. */
+export type RequestReceiverOptions = {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly configuration: Configuration;
 	readonly sessions: Sessions;
 };
 
-/** Creates what takes requests in. */
-export function createAsker(options: AskerOptions): Asker {
+/** Creates the receiver of one host's entry. */
+export function createAsker(options: RequestReceiverOptions): Asker {
 	const {
 		clock, random, configuration, sessions,
 	} = options;
 
 	return {
-		ask(name, header, parts) {
+		ask(name, header, input) {
 			const wallMs = clock.wall();
 			const startedAt = clock.now();
 			const group = configuration.getGroup(name);
 			const read = readSessionHeader(header, sessions, wallMs);
-			const asked: AskedRequest = {
+			const received: AskedRequest = {
 				group: name,
-				requestId: parts.requestId ?? createRequestId(wallMs, random),
-				asked: parts.asked,
-				class: parts.class,
+				requestId: input.requestId ?? createRequestId(wallMs, random),
+				asked: input.asked,
+				class: input.class,
 				session: read.session,
 				token: read.kind === 'known' ? read.token : undefined,
 				configVersion: group?.version ?? 0,
 				startedAt,
-				deadlineAt: startedAt + parts.deadlineMs,
-				mayBeRepeat: mayBeRepeat(parts, wallMs),
+				deadlineAt: startedAt + input.deadlineMs,
+				mayBeRepeat: mayBeRepeat(input, wallMs),
 			};
-			return {asked, group, bad: read.kind === 'bad'};
+			return {asked: received, group, hasBadToken: read.kind === 'bad'};
 		},
-		judge({asked, group, bad}) {
-			if (bad) {
+		judge({asked: received, group, hasBadToken}) {
+			if (hasBadToken) {
 				return {refusal: refuseBadToken()};
 			}
 
 			if (!group) {
-				return {refusal: refuseUnknownGroup(asked.group, configuration)};
+				return {refusal: refuseUnknownGroup(received.group, configuration)};
 			}
 
-			const runsForMs = ONCE_ONLY.has(asked.asked) ? 0 : asked.deadlineAt - asked.startedAt;
-			const refusal = judgeRequestId(asked.requestId, group, runsForMs, clock.wall());
+			const runsForMs = ONCE_ONLY.has(received.asked) ? 0 : received.deadlineAt - received.startedAt;
+			const refusal = validateRequestId(received.requestId, group, runsForMs, clock.wall());
 			return refusal ? {refusal} : {group};
 		},
 	};
--- a/src/routing/create-entry.ts
+++ b/src/routing/create-entry.ts
@@ -5,14 +5,14 @@
 import type {Retries} from '../retries/create-retries.js';
 import type {AskedRequest, Asker} from './asked-request.js';
 import type {EntryAnswers} from './entry-answers.js';
-import {judgeAge} from './entry-refusals.js';
+import {validateReadAge} from './entry-refusals.js';
 import type {OwnerClient} from './owner-client.js';
 import type {RequestTries} from './request-tries.js';
 import {getFloor} from './session-floor.js';
 import {getStatementDigest} from './statement-digest.js';
 import type {OwnerTry, TriesEnd} from './try-owners.js';
 
-/** What the entry is made from. */
+/** Options of {@link createEntry}. */
 export type EntryOptions = {
 	readonly asker: Asker;
 	readonly answers: EntryAnswers;
@@ -21,27 +21,27 @@
 	readonly retries: Retries;
 };
 
-/** The part of a deadline kept back to settle what an unsure try left, in milliseconds, and its share of the deadline. */
-const SETTLE_MS = 500;
-const SETTLE_SHARE = 0.25;
+/** Time of a write's deadline that is reserved to resolve an unknown outcome: at most this many milliseconds, and at most this fraction of the deadline. */
+const MAX_RESOLVE_RESERVE_MS = 500;
+const RESOLVE_RESERVE_FRACTION = 0.25;
 
-/** Time a question for an outcome may take, in milliseconds. */
+/** Deadline of a request for an outcome, in milliseconds. */
 const OUTCOME_DEADLINE_MS = 5000;
 
-/** Creates the entry's way for single requests; transactions have their own. */
+/** Creates the part of the entry that handles single requests; transactions are handled separately. */
 export function createEntry(options: EntryOptions): Pick<Entry, 'execute' | 'resolveOutcome'> {
 	const {
 		asker, answers, tries, ownerClient, retries,
 	} = options;
 
-	const runTries = async (asked: AskedRequest, group: VersionedGroup, req: CallerRequest): Promise<TriesEnd> => {
+	const runTries = async (received: AskedRequest, group: VersionedGroup, req: CallerRequest): Promise<TriesEnd> => {
 		const isWrite = req.kind === RequestKind.Write;
 		const digest = isWrite ? getStatementDigest(req.statement, req.values) : '';
-		const floor = req.latest ? undefined : getFloor(asked.session, asked.group);
-		const keptBackMs = isWrite ? Math.min(SETTLE_MS, req.deadlineMs * SETTLE_SHARE) : 0;
-		const attempt: OwnerTry = async (host, turn) => ownerClient.call(host, 'execute', {
-			group: asked.group,
-			requestId: asked.requestId,
+		const floor = req.latest ? undefined : getFloor(received.session, received.group);
+		const reservedMs = isWrite ? Math.min(MAX_RESOLVE_RESERVE_MS, req.deadlineMs * RESOLVE_RESERVE_FRACTION) : 0;
+		const attempt: OwnerTry = async (host, parameters) => ownerClient.call(host, 'execute', {
+			group: received.group,
+			requestId: received.requestId,
 			kind: req.kind,
 			statement: req.statement,
 			values: req.values,
@@ -49,40 +49,40 @@
 			floor,
 			maxAgeMs: req.maxAgeMs ?? group.cfg.readAgeLimitMs,
 			class: req.class,
-			...turn,
+			...parameters,
 			configVersion: group.version,
 		});
-		const end = await tries.tryFor(asked, group, asked.deadlineAt - keptBackMs, attempt);
-		const isOpen = end.unsure || (asked.mayBeRepeat && end.answer.refusal?.code === RefusalCode.StatementFailed);
-		return isWrite && isOpen ? tries.settleUnsure(asked, group, end, attempt) : end;
+		const end = await tries.tryFor(received, group, received.deadlineAt - reservedMs, attempt);
+		const isUnresolved = end.unsure || (received.mayBeRepeat && end.answer.refusal?.code === RefusalCode.StatementFailed);
+		return isWrite && isUnresolved ? tries.settleUnsure(received, group, end, attempt) : end;
 	};
 
 	return {
 		async execute(name, req, header) {
-			const asking = asker.ask(name, header, {...req, asked: req.kind});
-			const {asked} = asking;
-			const judgement = asker.judge(asking);
-			const refusal = 'refusal' in judgement ? judgement.refusal : judgeAge(req, judgement.group);
-			if ('refusal' in judgement || refusal) {
-				return answers.refuse(asked, refusal!);
+			const unvalidated = asker.ask(name, header, {...req, asked: req.kind});
+			const {asked: received} = unvalidated;
+			const validation = asker.judge(unvalidated);
+			const refusal = 'refusal' in validation ? validation.refusal : validateReadAge(req, validation.group);
+			if ('refusal' in validation || refusal) {
+				return answers.refuse(received, refusal!);
 			}
 
-			retries.noteFresh(name, asked.startedAt);
-			return answers.answer(asked, await runTries(asked, judgement.group, req));
+			retries.noteFresh(name, received.startedAt);
+			return answers.answer(received, await runTries(received, validation.group, req));
 		},
 		async resolveOutcome(name, requestId, header) {
-			const asking = asker.ask(name, header, {
+			const unvalidated = asker.ask(name, header, {
 				asked: 'outcome', requestId, class: 'deadline', deadlineMs: OUTCOME_DEADLINE_MS, attempt: 2,
 			});
-			const {asked} = asking;
-			const judgement = asker.judge(asking);
-			if ('refusal' in judgement) {
-				return answers.leaveOpen(asked, judgement.refusal);
+			const {asked: received} = unvalidated;
+			const validation = asker.judge(unvalidated);
+			if ('refusal' in validation) {
+				return answers.leaveOpen(received, validation.refusal);
 			}
 
-			const end = await tries.settle(asked, judgement.group, asked.deadlineAt);
+			const end = await tries.settle(received, validation.group, received.deadlineAt);
 			const settled = end.answer.refusal?.code === RefusalCode.Resolved;
-			return answers.answer(asked, settled ? end : {...end, unsure: true});
+			return answers.answer(received, settled ? end : {...end, unsure: true});
 		},
 	};
 }
--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -11,131 +11,131 @@
 import {raiseFloor} from './session-floor.js';
 import type {TriesEnd} from './try-owners.js';
 
-/** Makes callers' answers, each refusal with its record and ticket. */
+/** Creates the answers to callers; each refusal is recorded and gets a ticket. */
 export type EntryAnswers = {
-	/** A refusal of this submission, with what it may say of the request. */
-	refuse(asked: AskedRequest, refusal: Refusal): CallerAnswer;
-	/** A refusal that leaves open whether the request ran. */
-	leaveOpen(asked: AskedRequest, refusal: Refusal): CallerAnswer;
-	/** The answer that a series of tries ended with. */
-	answer(asked: AskedRequest, end: TriesEnd): CallerAnswer;
+	/** Returns a refusal of this submission, with the outcome that it proves for the request. */
+	refuse(received: AskedRequest, refusal: Refusal): CallerAnswer;
+	/** Returns a refusal with an unknown outcome: the request may have run. */
+	leaveOpen(received: AskedRequest, refusal: Refusal): CallerAnswer;
+	/** Returns the answer for the result of a series of tries. */
+	answer(received: AskedRequest, end: TriesEnd): CallerAnswer;
 };
 
-/** What answers are made with. */
+/** Options of {@link createEntryAnswers}. */
 export type EntryAnswersOptions = {
 	readonly clock: Clock;
 	readonly hosts: Hosts;
 	readonly sessions: Sessions;
 	readonly explanations: Explanations;
-	/** Told of every answer, for metrics and operators. */
-	onAnswer?(asked: AskedRequest, answer: CallerAnswer, now: number): void;
-	/** Told of the role of the endpoint that served a read, for metrics. */
+	/** Called with every answer, for metrics and operators. */
+	onAnswer?(received: AskedRequest, answer: CallerAnswer, now: number): void;
+	/** Called with the role of the endpoint that served a read, for metrics. */
 	onServed?(role: EndpointRole): void;
 };
 
-/** Refusals that hold for every submission of the id: a tombstone or another statement stands under the key. */
-const SETTLED_CODES: ReadonlySet<RefusalCode> = new Set([RefusalCode.Resolved, RefusalCode.RequestMismatch]);
+/** Codes of refusals that apply to every submission of the request id: its key holds a tombstone or another statement. */
+const FINAL_CODES: ReadonlySet<RefusalCode> = new Set([RefusalCode.Resolved, RefusalCode.RequestMismatch]);
 
-/** A token older than this is signed anew, in milliseconds. */
-const RENEW_TOKEN_MS = 600_000;
+/** Maximum age of a session token before it is signed again, in milliseconds. */
+const MAX_TOKEN_AGE_MS = 600_000;
 
-/** Creates the maker of answers of one host. */
+/** Creates the answers of one host's entry. */
 export function createEntryAnswers(options: EntryAnswersOptions): EntryAnswers {
 	const {
 		clock, hosts, sessions, explanations,
 	} = options;
 
-	// Signing costs more than a read's way through the entry, so a token that still says the same goes back as it
-	// came. One that is older is signed anew, so that a change of keys never meets a session that only reads.
-	const sign = (asked: AskedRequest, session: Session) => {
+	// Signing costs more than the rest of a read's processing in the entry, so an unchanged token is returned as it was received.
+	// An old one is signed again, so that a change of signing keys never invalidates the token of a session that only reads.
+	const sign = (received: AskedRequest, session: Session) => {
 		const wallMs = clock.wall();
-		const isYoung = Math.abs(wallMs - session.issuedAt) < RENEW_TOKEN_MS;
-		if (asked.token !== undefined && session === asked.session && isYoung) {
-			return asked.token;
+		const isRecent = Math.abs(wallMs - session.issuedAt) < MAX_TOKEN_AGE_MS;
+		if (received.token !== undefined && session === received.session && isRecent) {
+			return received.token;
 		}
 
-		return sessions.sign(isYoung ? session : {...session, issuedAt: wallMs});
+		return sessions.sign(isRecent ? session : {...session, issuedAt: wallMs});
 	};
 
-	const answerRefusal = (asked: AskedRequest, outcome: Outcome, refusal: Refusal): CallerAnswer => {
+	const answerRefusal = (received: AskedRequest, outcome: Outcome, refusal: Refusal): CallerAnswer => {
 		const ticket = explanations.record({
 			...refusal,
-			requestId: asked.requestId,
-			group: asked.group,
-			asked: asked.asked,
-			class: asked.class,
-			sessionId: asked.session.id,
+			requestId: received.requestId,
+			group: received.group,
+			asked: received.asked,
+			class: received.class,
+			sessionId: received.session.id,
 			outcome,
 			host: hosts.self.name,
 			at: clock.wall(),
-			configVersion: asked.configVersion,
+			configVersion: received.configVersion,
 		});
 		const {code, reason, retryAfterMs} = refusal;
 		return {
 			outcome,
-			requestId: asked.requestId,
-			session: sign(asked, asked.session),
+			requestId: received.requestId,
+			session: sign(received, received.session),
 			refusal: {
 				code, reason, retryAfterMs, ticket,
 			},
 		};
 	};
 
-	const answerDone = (asked: AskedRequest, answer: OwnerAnswer): CallerAnswer => {
-		const isWrite = asked.asked !== RequestKind.Read;
+	const answerDone = (received: AskedRequest, answer: OwnerAnswer): CallerAnswer => {
+		const isWrite = received.asked !== RequestKind.Read;
 		if (!isWrite && answer.role) {
 			options.onServed?.(answer.role);
 		}
 
-		const session = isWrite && answer.log ? raiseFloor(asked.session, asked.group, answer.log, clock.wall()) : asked.session;
+		const session = isWrite && answer.log ? raiseFloor(received.session, received.group, answer.log, clock.wall()) : received.session;
 		return {
 			outcome: Outcome.Done,
-			requestId: asked.requestId,
+			requestId: received.requestId,
 			rows: answer.rows,
 			servedBy: answer.servedBy,
 			term: answer.log?.term,
 			position: answer.log?.position,
 			ageMs: answer.ageMs === undefined ? undefined : Math.ceil(answer.ageMs),
-			session: sign(asked, session),
+			session: sign(received, session),
 		};
 	};
 
 	/**
-	 * What a refusal of this submission may say of the request.
+	 * Returns the outcome that a refusal of this submission proves for the request.
 	 *
-	 * Guards against a false "not run" to a caller that sends an id again after its first submission brought no
-	 * answer: this one did not run, but the other still may. Such a caller is told so, and sends the same id again.
+	 * Guards against a false "not run" to a caller that sends an id again after its first submission got no answer: this
+	 * one did not run, but the first still may. The outcome is then unknown, and the caller sends the same id again.
 	 */
-	const getRefusedOutcome = (asked: AskedRequest, refusal: Refusal) =>
-		asked.mayBeRepeat && !SETTLED_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
+	const getRefusedOutcome = (received: AskedRequest, refusal: Refusal) =>
+		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerEnd = (asked: AskedRequest, {answer, unsure, settled}: TriesEnd): CallerAnswer => {
+	const answerEnd = (received: AskedRequest, {answer, unsure, settled}: TriesEnd): CallerAnswer => {
 		if (answer.outcome === Outcome.Done) {
-			return answerDone(asked, answer);
+			return answerDone(received, answer);
 		}
 
 		const refusal = answer.refusal!;
 		if (refusal.code === RefusalCode.WriteLost && answer.log) {
-			// Told once: the session goes on from the log that is without the write.
-			const session = raiseFloor(asked.session, asked.group, answer.log, clock.wall());
-			return answerRefusal({...asked, session, token: undefined}, Outcome.NotRun, refusal);
+			// Reported once: the session continues from the log that lacks the write.
+			const session = raiseFloor(received.session, received.group, answer.log, clock.wall());
+			return answerRefusal({...received, session, token: undefined}, Outcome.NotRun, refusal);
 		}
 
 		if (unsure || answer.outcome === Outcome.Unknown) {
-			return answerRefusal(asked, Outcome.Unknown, refusal);
+			return answerRefusal(received, Outcome.Unknown, refusal);
 		}
 
-		return answerRefusal(asked, settled ? Outcome.NotRun : getRefusedOutcome(asked, refusal), refusal);
+		return answerRefusal(received, settled ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
-	const finish = (asked: AskedRequest, answer: CallerAnswer) => {
-		options.onAnswer?.(asked, answer, clock.now());
+	const finish = (received: AskedRequest, answer: CallerAnswer) => {
+		options.onAnswer?.(received, answer, clock.now());
 		return answer;
 	};
 
 	return {
-		refuse: (asked, refusal) => finish(asked, answerRefusal(asked, getRefusedOutcome(asked, refusal), refusal)),
-		leaveOpen: (asked, refusal) => finish(asked, answerRefusal(asked, Outcome.Unknown, refusal)),
-		answer: (asked, end) => finish(asked, answerEnd(asked, end)),
+		refuse: (received, refusal) => finish(received, answerRefusal(received, getRefusedOutcome(received, refusal), refusal)),
+		leaveOpen: (received, refusal) => finish(received, answerRefusal(received, Outcome.Unknown, refusal)),
+		answer: (received, end) => finish(received, answerEnd(received, end)),
 	};
 }
--- a/src/routing/entry-refusals.ts
+++ b/src/routing/entry-refusals.ts
@@ -3,11 +3,11 @@
 import {getRequestIdTime} from '../random/request-id.js';
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
 
-/** How far ahead of this host's calendar the time in a request id may be: in milliseconds, and as a part of the retention. */
-const LONGEST_AHEAD_MS = 300_000;
-const AHEAD_SHARE = 0.1;
+/** Maximum lead of the time in a request id over this host's wall clock: in milliseconds, and as a fraction of the key retention. */
+const MAX_AHEAD_MS = 300_000;
+const MAX_AHEAD_FRACTION = 0.1;
 
-/** The refusal for a session header that no proxy signed. */
+/** Returns the refusal for a session header that no proxy signed. */
 export function refuseBadToken(): Refusal {
 	return {
 		code: RefusalCode.BadToken,
@@ -17,7 +17,7 @@
 	};
 }
 
-/** The refusal for a group that is not configured, or while no configuration is known. */
+/** Returns the refusal for a group that is not configured, or that this host cannot know without a configuration. */
 export function refuseUnknownGroup(group: string, configuration: Configuration): Refusal {
 	if (!configuration.loaded) {
 		return {
@@ -36,13 +36,13 @@
 }
 
 /**
- * Judges a request id that the caller made, by the time in it.
- * @param runsForMs How long the request may go on under the id, in milliseconds.
+ * Validates the time in a request id; returns the refusal, or undefined where the id is acceptable.
+ * @param runsForMs How long the request may run under the id, in milliseconds.
  */
-export function judgeRequestId(requestId: string, group: VersionedGroup, runsForMs: number, wallMs: number): Refusal | undefined {
+export function validateRequestId(requestId: string, group: VersionedGroup, runsForMs: number, wallMs: number): Refusal | undefined {
 	const {keyRetentionMs} = group.cfg;
 	const madeAt = getRequestIdTime(requestId);
-	const aheadMs = Math.min(LONGEST_AHEAD_MS, keyRetentionMs * AHEAD_SHARE);
+	const aheadMs = Math.min(MAX_AHEAD_MS, keyRetentionMs * MAX_AHEAD_FRACTION);
 	if (madeAt === undefined || madeAt > wallMs + aheadMs) {
 		return {
 			code: RefusalCode.Malformed,
@@ -51,9 +51,9 @@
 		};
 	}
 
-	// Guards against running a request again whose key was dropped: past the retention nobody can tell whether it ran.
-	// The key may have been inserted before the time in the id, where the caller's calendar is ahead, and must outlast the
-	// request: one that waits would find the key gone at the end of its wait.
+	// Guards against running a request again after its key was dropped: beyond the retention it is unknown whether it ran.
+	// The key may have been inserted before the time in the id, if the caller's wall clock is ahead, and must outlast the
+	// request: otherwise the key of a request that waits could be dropped before the wait ends.
 	if (wallMs + runsForMs > madeAt + keyRetentionMs - aheadMs) {
 		return {
 			code: RefusalCode.KeyExpired,
@@ -67,8 +67,8 @@
 	return undefined;
 }
 
-/** Judges the age that a read states. */
-export function judgeAge(req: CallerRequest, group: VersionedGroup): Refusal | undefined {
+/** Validates the maximum age that a read accepts; returns the refusal where it is above the group's limit. */
+export function validateReadAge(req: CallerRequest, group: VersionedGroup): Refusal | undefined {
 	const {readAgeLimitMs} = group.cfg;
 	if (req.maxAgeMs === undefined || req.maxAgeMs <= readAgeLimitMs) {
 		return undefined;
--- a/src/routing/owner-client.ts
+++ b/src/routing/owner-client.ts
@@ -10,33 +10,33 @@
 import type {Clock} from '../time/clock.js';
 import type {OwnerAnswer} from './owner-request.js';
 
-/** The peer calls that an owner answers with an {@link OwnerAnswer}. */
+/** The peer calls whose response is an {@link OwnerResponse}. */
 export type OwnerCall = {
 	[K in keyof PeerCalls]: PeerCalls[K]['res'] extends OwnerAnswer ? K : never;
 }[keyof PeerCalls];
 
-/** Brings a call to an owner, on this host or another; never rejects. */
+/** Calls owners on this host or another; a call never rejects. */
 export type OwnerClient = {
 	call<K extends OwnerCall>(host: PlatformHost, kind: K, req: PeerCalls[K]['req']): Promise<OwnerAnswer>;
 };
 
-/** What the client is made from. */
+/** Options of {@link createOwnerClient}. */
 export type OwnerClientOptions = {
 	readonly clock: Clock;
 	readonly hosts: Hosts;
 	readonly peers: Peers;
-	/** What answers on this host itself. */
+	/** Handles the calls to this host's own groups. */
 	readonly owners: Pick<OwnersService, 'execute' | 'resolve'>;
 	readonly transactions: Pick<Transactions, 'begin' | 'run' | 'commit' | 'rollback'>;
 };
 
-/** Added to the time an owner has, for its answer's way back, in milliseconds. */
-const ANSWER_MARGIN_MS = 20;
+/** Time added to a call's remaining time for the transfer of the response, in milliseconds. */
+const RESPONSE_MARGIN_MS = 20;
 
 /** Creates the client of one host. */
 export function createOwnerClient(options: OwnerClientOptions): OwnerClient {
 	const {clock, hosts, peers} = options;
-	const here: {[K in OwnerCall]: (req: PeerCalls[K]['req']) => Promise<OwnerAnswer>} = {
+	const localHandlers: {[K in OwnerCall]: (req: PeerCalls[K]['req']) => Promise<OwnerAnswer>} = {
 		execute: options.owners.execute,
 		resolve: options.owners.resolve,
 		begin: options.transactions.begin,
@@ -45,8 +45,8 @@
 		rollback: options.transactions.rollback,
 	};
 
-	// Guards against a false "not run": a call that reached the link may have been carried out though no answer came.
-	const answerSilent = (host: PlatformHost, err: unknown): OwnerAnswer => {
+	// Guards against a false "not run": a call that was sent may have run although no response arrived.
+	const createSilentResponse = (host: PlatformHost, err: unknown): OwnerAnswer => {
 		const sent = !isPeerError(err) || err.sent;
 		return {
 			outcome: sent ? Outcome.Unknown : Outcome.NotRun,
@@ -63,11 +63,11 @@
 	return {
 		async call(host, kind, req) {
 			if (host.name === hosts.self.name) {
-				return here[kind](req);
+				return localHandlers[kind](req);
 			}
 
 			try {
-				const answer: OwnerAnswer = await peers.call(host.address, kind, req, req.remainingMs + ANSWER_MARGIN_MS);
+				const answer: OwnerAnswer = await peers.call(host.address, kind, req, req.remainingMs + RESPONSE_MARGIN_MS);
 				hosts.reportReachable(host.address);
 				if (answer.refusal?.code === RefusalCode.HostLeaving) {
 					hosts.reportLeaving(host.address, clock.now());
@@ -75,8 +75,8 @@
 
 				return answer;
 			} catch (err) {
-				const answer = answerSilent(host, err);
-				// A call that was sent may only have run out of its own time.
+				const answer = createSilentResponse(host, err);
+				// A call that was sent may have failed only because its own time ran out.
 				if (answer.outcome === Outcome.NotRun) {
 					hosts.reportUnreachable(host.address, clock.now());
 				}
--- a/src/routing/owner-request.ts
+++ b/src/routing/owner-request.ts
@@ -5,7 +5,7 @@
 import type {Refusal} from '../refusals/refusal.js';
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What an entry proxy asks of an owner of the group. */
+/** A read or write that an entry proxy sends to an owner of the group. */
 export type OwnerRequest = {
 	readonly group: string;
 	readonly requestId: string;
@@ -14,41 +14,41 @@
 	readonly values: readonly unknown[];
 	/** Hash of statement and values. */
 	readonly digest: string;
-	/** Lowest position a read may be served at; absent: the owner takes a barrier. */
+	/** Lowest log position at which a read may be served; where it is absent, the owner takes a barrier. */
 	readonly floor?: LogPosition;
-	/** Oldest data the read accepts, in milliseconds. */
+	/** Maximum age of the data that the read accepts, in milliseconds. */
 	readonly maxAgeMs: number;
 	readonly class: WorkClass;
-	/** Time left when it was sent, in milliseconds; clocks of hosts are never compared. */
+	/** Time left until the deadline when the request was sent, in milliseconds; a duration, since clocks of hosts are never compared. */
 	readonly remainingMs: number;
-	/** No other owner is left to ask: a write waits here for a connection to the primary, within the time left. */
+	/** Whether no other owner is left to try: a write then waits at this one for a connection to the primary, within the time left. */
 	readonly isLastOwner?: boolean;
 	/** Version of the group's configuration at the sender. */
 	readonly configVersion: number;
 };
 
-/** An owner's answer. A refusal with outcome `not-run` is final for this try: it is proved that this try cannot run any more. */
+/** An owner's response. A refusal with the outcome `not-run` is final for this try: it is proved that the try cannot run any more. */
 export type OwnerAnswer = {
 	readonly outcome: Outcome;
 	readonly rows?: readonly Row[];
 	readonly servedBy?: string;
 	readonly role?: EndpointRole;
-	/** Where the server's log stood: for a write its own entry or later, for a read what the rows hold at least. */
+	/** Log position of the server: for a write that of its own entry or later, for a read the least that the rows include. */
 	readonly log?: LogPosition;
 	readonly ageMs?: number;
 	readonly refusal?: Refusal;
-	/** Another owner may do better: this host is no owner in its own view, or has no way to the endpoint. */
+	/** Whether another owner may succeed: this host is no owner in its own view, or cannot reach the endpoint. */
 	readonly tryNext?: boolean;
 };
 
-/** Looks after one or more groups on this host. */
+/** Runs requests for the groups that this host owns. */
 export type Owners = {
 	execute(req: OwnerRequest): Promise<OwnerAnswer>;
-	/** Settles what stands under a request key, with a tombstone where nothing does. */
+	/** Resolves the outcome of a request key; writes a tombstone where the key does not exist. */
 	resolve(req: ResolveRequest): Promise<OwnerAnswer>;
 };
 
-/** Asks an owner what became of a request. */
+/** Request to an owner for the outcome of a request. */
 export type ResolveRequest = {
 	readonly group: string;
 	readonly requestId: string;
--- a/src/routing/request-tries.ts
+++ b/src/routing/request-tries.ts
@@ -11,16 +11,16 @@
 import type {OwnerAnswer} from './owner-request.js';
 import {tryOwners, type OwnerTry, type TriesEnd} from './try-owners.js';
 
-/** Brings one request to the owners of its group, again where need be. */
+/** Sends one request to the owners of its group, with retries. */
 export type RequestTries = {
-	tryFor(asked: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry): Promise<TriesEnd>;
-	/** Settles what stands under the request's key, with a tombstone where nothing does. */
-	settle(asked: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd>;
-	/** Settles what an unsure end of `attempt` left open, where the time suffices. */
-	settleUnsure(asked: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd>;
+	tryFor(received: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry): Promise<TriesEnd>;
+	/** Resolves the outcome of the request's key; a tombstone is written where the key does not exist. */
+	settle(received: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd>;
+	/** Resolves the unknown outcome that `attempt` ended with, where the time suffices. */
+	settleUnsure(received: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd>;
 };
 
-/** What tries are made with. */
+/** Options of {@link createRequestTries}. */
 export type RequestTriesOptions = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -28,7 +28,7 @@
 	readonly owning: Owning;
 	readonly ownerClient: OwnerClient;
 	readonly retries: Retries;
-	/** Told of every retry, for metrics. */
+	/** Called before every retry with the failed response, for metrics. */
 	onRetry?(answer: OwnerAnswer): void;
 };
 
@@ -38,38 +38,38 @@
 		clock, random, hosts, owning, ownerClient,
 	} = options;
 
-	const tryFor = async (asked: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry) => tryOwners({
+	const tryFor = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry) => tryOwners({
 		clock,
 		random,
 		owning,
-		group: asked.group,
+		group: received.group,
 		owners: group.cfg.owners,
-		preferred: hosts.self.name,
+		preferredHost: hosts.self.name,
 		deadlineAt,
-		isRead: asked.asked === RequestKind.Read,
+		isRead: received.asked === RequestKind.Read,
 		retries: options.retries,
 		onRetry: options.onRetry,
 	}, attempt);
 
-	// Guards against a false "not run" and against a caller left unsure: an earlier try that brought no answer may
-	// still be on its way to the primary. The tombstone keeps it from ever running, and only then is it said.
-	const settle = async (asked: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd> => {
-		const attempt: OwnerTry = async (host, turn) => ownerClient.call(host, 'resolve', {
-			group: asked.group, requestId: asked.requestId, ...turn, configVersion: group.version,
+	// Guards against a false "not run" and against an outcome that stays unknown: an earlier try without a response may still
+	// be on its way to the primary. The tombstone keeps it from ever running, and only then is "not run" reported.
+	const settle = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd> => {
+		const attempt: OwnerTry = async (host, parameters) => ownerClient.call(host, 'resolve', {
+			group: received.group, requestId: received.requestId, ...parameters, configVersion: group.version,
 		});
-		return tryFor(asked, group, deadlineAt, attempt);
+		return tryFor(received, group, deadlineAt, attempt);
 	};
 
-	// Guards against another caller's answer: what stands under the id may be the answer to another statement, sent by
-	// mistake under the same id. Only the request itself, sent again with its digest, tells; it cannot run any more.
-	const fetchOwn = async (asked: AskedRequest, group: VersionedGroup, attempt: OwnerTry): Promise<TriesEnd | undefined> => {
-		const fetched = await tryFor(asked, group, asked.deadlineAt, attempt);
-		const isOwn = fetched.answer.outcome === Outcome.Done || fetched.answer.refusal?.code === RefusalCode.RequestMismatch;
-		return isOwn ? fetched : undefined;
+	// Guards against another caller's answer: the key may hold the answer to another statement that was sent by mistake under
+	// the same id. Only sending the request again, with its digest, shows which; it cannot run any more.
+	const fetchOwnResponse = async (received: AskedRequest, group: VersionedGroup, attempt: OwnerTry): Promise<TriesEnd | undefined> => {
+		const fetched = await tryFor(received, group, received.deadlineAt, attempt);
+		const isOwnResponse = fetched.answer.outcome === Outcome.Done || fetched.answer.refusal?.code === RefusalCode.RequestMismatch;
+		return isOwnResponse ? fetched : undefined;
 	};
 
-	const settleUnsure = async (asked: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd> => {
-		const settled = await settle(asked, group, asked.deadlineAt);
+	const settleUnsure = async (received: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd> => {
+		const settled = await settle(received, group, received.deadlineAt);
 		const isTombstone = settled.answer.refusal?.code === RefusalCode.Resolved && !settled.unsure;
 		if (isTombstone) {
 			return {
@@ -77,8 +77,8 @@
 			};
 		}
 
-		const own = settled.answer.outcome === Outcome.Done ? await fetchOwn(asked, group, attempt) : undefined;
-		return own ?? {...end, unsure: true};
+		const ownResult = settled.answer.outcome === Outcome.Done ? await fetchOwnResponse(received, group, attempt) : undefined;
+		return ownResult ?? {...end, unsure: true};
 	};
 
 	return {tryFor, settle, settleUnsure};
--- a/src/routing/session-floor.ts
+++ b/src/routing/session-floor.ts
@@ -1,19 +1,19 @@
 import {LOG_START, type LogPosition} from '../terms/log-position.js';
 import {withFloor, type Session, type Sessions} from '../sessions/session.js';
 
-/** Header value by which a caller says that it begins a session and has written nothing before. */
+/** Header value of a caller that starts a session and has written nothing before. */
 export const NEW_SESSION = 'new';
 
-/** What the `aldercroft-session` header said. */
+/** The parsed `aldercroft-session` header. */
 export type SessionHeader =
-	/** No token: what the caller wrote before is not known. */
+	/** No token: the caller's earlier writes are unknown. */
 	| {readonly kind: 'none'; readonly session: Session}
-	/** A token, or several of one caller merged, or the word for a new session. */
-	| {readonly kind: 'known'; readonly session: Session; /** The one token that says just this. */ readonly token?: string}
-	/** Something that no proxy of this system signed. */
+	/** A token, or several of one caller merged, or {@link NEW_SESSION}. */
+	| {readonly kind: 'known'; readonly session: Session; /** The header's only token, which is equivalent to `session`. */ readonly token?: string}
+	/** A token that no proxy of this system signed. */
 	| {readonly kind: 'bad'; readonly session: Session};
 
-/** Reads the header; several tokens, separated by commas, are merged to the highest floors. */
+/** Parses the header; several tokens, separated by commas, are merged into one session with the highest floors. */
 export function readSessionHeader(header: string | undefined, sessions: Sessions, wallMs: number): SessionHeader {
 	if (header === undefined || header === '') {
 		return {kind: 'none', session: {...sessions.create(wallMs), trimmed: true}};
@@ -38,16 +38,16 @@
 }
 
 /**
- * The floor below which the session may not read, undefined where only a barrier can tell.
+ * Returns the floor below which the session may not read; undefined where the read needs a barrier.
  *
- * Guards against a stale read by a caller that lost its token: without one nothing is known of its writes, which
- * would show as a night that vanished. A barrier covers every write acknowledged before, whoever made it.
+ * Guards against a stale read by a caller that lost its token: its writes are then unknown, and one of them would seem
+ * to have vanished. A barrier covers every write acknowledged before it, by any caller.
  */
 export function getFloor(session: Session, group: string): LogPosition | undefined {
 	return session.floors[group] ?? (session.trimmed ? undefined : LOG_START);
 }
 
-/** The session after an acknowledged write. */
+/** Returns the session with the group's floor raised to an acknowledged write. */
 export function raiseFloor(session: Session, group: string, log: LogPosition, wallMs: number): Session {
 	return {...withFloor(session, group, log), issuedAt: wallMs};
 }
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -9,64 +9,64 @@
 import {createRetryBudgetRefusal} from '../retries/retry-refusals.js';
 import type {OwnerAnswer} from './owner-request.js';
 
-/** One try at one owner. */
-export type OwnerTry = (host: PlatformHost, turn: OwnerTurn) => Promise<OwnerAnswer>;
+/** Makes one try at one owner. */
+export type OwnerTry = (host: PlatformHost, parameters: TryParameters) => Promise<OwnerAnswer>;
 
-/** What an owner is told of its turn. */
-export type OwnerTurn = {
-	/** Time left, in milliseconds. */
+/** The part of a request to an owner that differs between tries. */
+export type TryParameters = {
+	/** Time left until the deadline, in milliseconds. */
 	readonly remainingMs: number;
-	/** Every other owner was asked before. */
+	/** Whether every other owner was tried before. */
 	readonly isLastOwner: boolean;
 };
 
-/** What a series of tries ended with. */
+/** The result of a series of tries. */
 export type TriesEnd = {
 	readonly answer: OwnerAnswer;
 	readonly tries: number;
-	/** True where some try may have run and the last answer does not settle it. */
+	/** Whether some try may have run and the last response does not show if it did. */
 	readonly unsure: boolean;
-	/** True where a confirmed tombstone keeps every submission of the request from running. */
+	/** Whether a confirmed tombstone keeps every submission of the request from running. */
 	readonly settled?: boolean;
 };
 
-/** What the tries of one request need. */
+/** Options of {@link tryOwners}. */
 export type TryOwnersOptions = {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly owning: Owning;
 	readonly group: string;
 	readonly owners: number;
-	/** Name of the host to be preferred where it is an owner: this one. */
-	readonly preferred: string;
+	/** Name of the host to try first if it is an owner: this one. */
+	readonly preferredHost: string;
 	readonly isRead: boolean;
 	readonly deadlineAt: number;
 	readonly retries: Retries;
 	onRetry?(answer: OwnerAnswer): void;
 };
 
-/** Tries the owners of a group in turn until one settles the request or its deadline is near. This layer alone retries. */
+/** Tries the owners of a group in turn until one completes the request or no further try is allowed. No other layer retries. */
 export async function tryOwners(options: TryOwnersOptions, attempt: OwnerTry): Promise<TriesEnd> {
 	const {clock, random, deadlineAt, group, retries} = options;
-	const turns = createTurns(options);
+	const selection = createOwnerSelection(options);
 	let unsure = false;
 
 	for (let tries = 1; ; tries++) {
-		const host = turns.next(clock.now());
-		const turn = {remainingMs: Math.max(1, deadlineAt - clock.now()), isLastOwner: !turns.isOtherLeft(clock.now())};
-		const answer = host ? await attempt(host, turn) : refuseNoOwners(group);
-		unsure = answer.outcome === Outcome.Unknown || (unsure && !isSettled(answer));
+		const host = selection.next(clock.now());
+		const parameters = {remainingMs: Math.max(1, deadlineAt - clock.now()), isLastOwner: !selection.isOtherLeft(clock.now())};
+		const answer = host ? await attempt(host, parameters) : createNoOwnerResponse(group);
+		unsure = answer.outcome === Outcome.Unknown || (unsure && !isConclusive(answer));
 		if (answer.outcome === Outcome.Done) {
 			return {answer, tries, unsure};
 		}
 
 		const now = clock.now();
-		const failed = describeFailedTry(answer, options.isRead, turns.isOtherLeft(now));
+		const failed = describeFailedTry(answer, options.isRead, selection.isOtherLeft(now));
 		const next = retries.decide({
 			group, failed, tries, deadlineAt, fraction: random.fraction(),
 		}, now);
 		if (!next.retry) {
-			const last = next.reason === GiveUpReason.Budget ? describeSpentBudget(options, answer, tries, now) : answer;
+			const last = next.reason === GiveUpReason.Budget ? createBudgetResponse(options, answer, tries, now) : answer;
 			return {answer: withRetryAfter(last, next.retryAfterMs), tries, unsure};
 		}
 
@@ -75,8 +75,8 @@
 	}
 }
 
-/** What is confirmed under a key, an answer, a tombstone or another request, holds for every try under it. */
-function isSettled({outcome, refusal}: OwnerAnswer): boolean {
+/** Returns whether the response decides all tries: an answer, a tombstone or another request that is confirmed under the key applies to each of them. */
+function isConclusive({outcome, refusal}: OwnerAnswer): boolean {
 	return outcome === Outcome.Done || refusal?.code === RefusalCode.Resolved || refusal?.code === RefusalCode.RequestMismatch;
 }
 
@@ -84,7 +84,7 @@
 	return {
 		provedNotRun: answer.outcome === Outcome.NotRun,
 		isRead,
-		// Every write is sent under its request id.
+		// Every write is sent with its request id as key.
 		hasKey: !isRead,
 		code: answer.refusal?.code,
 		retryAfterMs: answer.refusal?.retryAfterMs,
@@ -92,7 +92,7 @@
 	};
 }
 
-function describeSpentBudget(options: TryOwnersOptions, answer: OwnerAnswer, tries: number, now: number): OwnerAnswer {
+function createBudgetResponse(options: TryOwnersOptions, answer: OwnerAnswer, tries: number, now: number): OwnerAnswer {
 	const refusal = createRetryBudgetRefusal({
 		group: options.group,
 		tries,
@@ -107,23 +107,23 @@
 	return answer.refusal && retryAfterMs !== undefined ? {...answer, refusal: {...answer.refusal, retryAfterMs}} : answer;
 }
 
-/** Picks whom to ask: this host first where it is an owner, then each other once before any twice. */
-function createTurns(options: TryOwnersOptions) {
-	const asked = new Set<string>();
-	let turn = Math.floor(options.random.fraction() * options.owners);
+/** Creates the selection of the next owner to try: the preferred host first if it is an owner, then each other owner once before any is tried again. */
+function createOwnerSelection(options: TryOwnersOptions) {
+	const tried = new Set<string>();
+	let offset = Math.floor(options.random.fraction() * options.owners);
 
 	const getOwners = (now: number) => options.owning.getOwners(options.group, options.owners, now);
-	const getLeft = (now: number) => getOwners(now).filter(({name}) => !asked.has(name));
+	const getUntried = (now: number) => getOwners(now).filter(({name}) => !tried.has(name));
 
 	return {
-		isOtherLeft: (now: number) => getLeft(now).length > 0,
+		isOtherLeft: (now: number) => getUntried(now).length > 0,
 		next(now: number): PlatformHost | undefined {
-			const left = getLeft(now);
-			const choice = left.length > 0 ? left : getOwners(now);
-			const host = choice.find(({name}) => name === options.preferred && !asked.has(name)) ?? choice[turn % Math.max(1, choice.length)];
-			turn++;
+			const untried = getUntried(now);
+			const candidates = untried.length > 0 ? untried : getOwners(now);
+			const host = candidates.find(({name}) => name === options.preferredHost && !tried.has(name)) ?? candidates[offset % Math.max(1, candidates.length)];
+			offset++;
 			if (host) {
-				asked.add(host.name);
+				tried.add(host.name);
 			}
 
 			return host;
@@ -131,7 +131,7 @@
 	};
 }
 
-function refuseNoOwners(group: string): OwnerAnswer {
+function createNoOwnerResponse(group: string): OwnerAnswer {
 	return {
 		outcome: Outcome.NotRun,
 		refusal: {
--- a/tests/routing/session-floor-tests.ts
+++ b/tests/routing/session-floor-tests.ts
@@ -26,10 +26,10 @@
 	doTest('no header', undefined, 'barrier');
 	doTest('an empty header', '', 'barrier');
 	doTest('a new session', 'new', 'floor (0, 0)');
-	doTest('a token with a write', atFive, 'floor (1, 5)');
-	doTest('a token with a write in another group alone', other, 'floor (0, 0)');
+	doTest('a token of a write', atFive, 'floor (1, 5)');
+	doTest('a token of a write in another group only', other, 'floor (0, 0)');
 	doTest('two tokens', `${atNine}, ${atFive}`, 'floor (1, 9)');
 	doTest('two tokens over a promotion', `${atNine},${newTerm}`, 'floor (2, 3)');
-	doTest('a token beside rubbish', `${atFive},rubbish`, 'bad');
-	doTest('rubbish', 'rubbish', 'bad');
+	doTest('a token and an invalid one', `${atFive},rubbish`, 'bad');
+	doTest('an invalid token', 'rubbish', 'bad');
 });
