--- a/src/routing/create-entry.ts
+++ b/src/routing/create-entry.ts
@@ -52,9 +52,9 @@
 			...parameters,
 			configVersion: group.version,
 		});
-		const end = await tries.tryFor(received, group, received.deadlineAt - reservedMs, attempt);
-		const isUnresolved = end.unsure || (received.mayBeRepeat && end.answer.refusal?.code === RefusalCode.StatementFailed);
-		return isWrite && isUnresolved ? tries.settleUnsure(received, group, end, attempt) : end;
+		const result = await tries.tryFor(received, group, received.deadlineAt - reservedMs, attempt);
+		const isUnresolved = result.unsure || (received.mayBeRepeat && result.answer.refusal?.code === RefusalCode.StatementFailed);
+		return isWrite && isUnresolved ? tries.settleUnsure(received, group, result, attempt) : result;
 	};
 
 	return {
@@ -80,9 +80,9 @@
 				return answers.leaveOpen(received, validation.refusal);
 			}
 
-			const end = await tries.settle(received, validation.group, received.deadlineAt);
-			const settled = end.answer.refusal?.code === RefusalCode.Resolved;
-			return answers.answer(received, settled ? end : {...end, unsure: true});
+			const result = await tries.settle(received, validation.group, received.deadlineAt);
+			const isResolved = result.answer.refusal?.code === RefusalCode.Resolved;
+			return answers.answer(received, isResolved ? result : {...result, unsure: true});
 		},
 	};
 }
--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -18,7 +18,7 @@
 	/** Returns a refusal with an unknown outcome: the request may have run. */
 	leaveOpen(received: AskedRequest, refusal: Refusal): CallerAnswer;
 	/** Returns the answer for the result of a series of tries. */
-	answer(received: AskedRequest, end: TriesEnd): CallerAnswer;
+	answer(received: AskedRequest, result: TriesEnd): CallerAnswer;
 };
 
 /** Options of {@link createEntryAnswers}. */
@@ -109,7 +109,7 @@
 	const getRefusedOutcome = (received: AskedRequest, refusal: Refusal) =>
 		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerEnd = (received: AskedRequest, {answer, unsure, settled}: TriesEnd): CallerAnswer => {
+	const answerResult = (received: AskedRequest, {answer, unsure: isUnknown, settled: isTombstoned}: TriesEnd): CallerAnswer => {
 		if (answer.outcome === Outcome.Done) {
 			return answerDone(received, answer);
 		}
@@ -121,11 +121,11 @@
 			return answerRefusal({...received, session, token: undefined}, Outcome.NotRun, refusal);
 		}
 
-		if (unsure || answer.outcome === Outcome.Unknown) {
+		if (isUnknown || answer.outcome === Outcome.Unknown) {
 			return answerRefusal(received, Outcome.Unknown, refusal);
 		}
 
-		return answerRefusal(received, settled ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
+		return answerRefusal(received, isTombstoned ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
 	const finish = (received: AskedRequest, answer: CallerAnswer) => {
@@ -136,6 +136,6 @@
 	return {
 		refuse: (received, refusal) => finish(received, answerRefusal(received, getRefusedOutcome(received, refusal), refusal)),
 		leaveOpen: (received, refusal) => finish(received, answerRefusal(received, Outcome.Unknown, refusal)),
-		answer: (received, end) => finish(received, answerEnd(received, end)),
+		answer: (received, result) => finish(received, answerResult(received, result)),
 	};
 }
--- a/src/routing/request-tries.ts
+++ b/src/routing/request-tries.ts
@@ -17,7 +17,7 @@
 	/** Resolves the outcome of the request's key; a tombstone is written where the key does not exist. */
 	settle(received: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd>;
 	/** Resolves the unknown outcome that `attempt` ended with, where the time suffices. */
-	settleUnsure(received: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd>;
+	settleUnsure(received: AskedRequest, group: VersionedGroup, result: TriesEnd, attempt: OwnerTry): Promise<TriesEnd>;
 };
 
 /** Options of {@link createRequestTries}. */
@@ -38,7 +38,7 @@
 		clock, random, hosts, owning, ownerClient,
 	} = options;
 
-	const tryFor = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry) => tryOwners({
+	const runTries = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number, attempt: OwnerTry) => tryOwners({
 		clock,
 		random,
 		owning,
@@ -53,33 +53,33 @@
 
 	// Guards against a false "not run" and against an outcome that stays unknown: an earlier try without a response may still
 	// be on its way to the primary. The tombstone keeps it from ever running, and only then is "not run" reported.
-	const settle = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd> => {
+	const resolveKey = async (received: AskedRequest, group: VersionedGroup, deadlineAt: number): Promise<TriesEnd> => {
 		const attempt: OwnerTry = async (host, parameters) => ownerClient.call(host, 'resolve', {
 			group: received.group, requestId: received.requestId, ...parameters, configVersion: group.version,
 		});
-		return tryFor(received, group, deadlineAt, attempt);
+		return runTries(received, group, deadlineAt, attempt);
 	};
 
 	// Guards against another caller's answer: the key may hold the answer to another statement that was sent by mistake under
 	// the same id. Only sending the request again, with its digest, shows which; it cannot run any more.
 	const fetchOwnResponse = async (received: AskedRequest, group: VersionedGroup, attempt: OwnerTry): Promise<TriesEnd | undefined> => {
-		const fetched = await tryFor(received, group, received.deadlineAt, attempt);
+		const fetched = await runTries(received, group, received.deadlineAt, attempt);
 		const isOwnResponse = fetched.answer.outcome === Outcome.Done || fetched.answer.refusal?.code === RefusalCode.RequestMismatch;
 		return isOwnResponse ? fetched : undefined;
 	};
 
-	const settleUnsure = async (received: AskedRequest, group: VersionedGroup, end: TriesEnd, attempt: OwnerTry): Promise<TriesEnd> => {
-		const settled = await settle(received, group, received.deadlineAt);
-		const isTombstone = settled.answer.refusal?.code === RefusalCode.Resolved && !settled.unsure;
+	const resolveUnknownOutcome = async (received: AskedRequest, group: VersionedGroup, result: TriesEnd, attempt: OwnerTry): Promise<TriesEnd> => {
+		const resolved = await resolveKey(received, group, received.deadlineAt);
+		const isTombstone = resolved.answer.refusal?.code === RefusalCode.Resolved && !resolved.unsure;
 		if (isTombstone) {
 			return {
-				answer: {...end.answer, outcome: Outcome.NotRun}, tries: end.tries, unsure: false, settled: true,
+				answer: {...result.answer, outcome: Outcome.NotRun}, tries: result.tries, unsure: false, settled: true,
 			};
 		}
 
-		const ownResult = settled.answer.outcome === Outcome.Done ? await fetchOwnResponse(received, group, attempt) : undefined;
-		return ownResult ?? {...end, unsure: true};
+		const ownResult = resolved.answer.outcome === Outcome.Done ? await fetchOwnResponse(received, group, attempt) : undefined;
+		return ownResult ?? {...result, unsure: true};
 	};
 
-	return {tryFor, settle, settleUnsure};
+	return {tryFor: runTries, settle: resolveKey, settleUnsure: resolveUnknownOutcome};
 }
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -49,15 +49,15 @@
 export async function tryOwners(options: TryOwnersOptions, attempt: OwnerTry): Promise<TriesEnd> {
 	const {clock, random, deadlineAt, group, retries} = options;
 	const selection = createOwnerSelection(options);
-	let unsure = false;
+	let mayHaveRun = false;
 
 	for (let tries = 1; ; tries++) {
 		const host = selection.next(clock.now());
 		const parameters = {remainingMs: Math.max(1, deadlineAt - clock.now()), isLastOwner: !selection.isOtherLeft(clock.now())};
 		const answer = host ? await attempt(host, parameters) : createNoOwnerResponse(group);
-		unsure = answer.outcome === Outcome.Unknown || (unsure && !isConclusive(answer));
+		mayHaveRun = answer.outcome === Outcome.Unknown || (mayHaveRun && !isConclusive(answer));
 		if (answer.outcome === Outcome.Done) {
-			return {answer, tries, unsure};
+			return {answer, tries, unsure: mayHaveRun};
 		}
 
 		const now = clock.now();
@@ -67,7 +67,7 @@
 		}, now);
 		if (!next.retry) {
 			const last = next.reason === GiveUpReason.Budget ? createBudgetResponse(options, answer, tries, now) : answer;
-			return {answer: withRetryAfter(last, next.retryAfterMs), tries, unsure};
+			return {answer: withRetryAfter(last, next.retryAfterMs), tries, unsure: mayHaveRun};
 		}
 
 		options.onRetry?.(answer);
