--- a/src/random/random.ts
+++ b/src/random/random.ts
@@ -1,8 +1,8 @@
-/** Where chance comes from, so that a test can repeat a run. */
+/** Source of random values; a seeded one lets a test repeat a run. */
 export type Random = {
-	/** A number from 0 up to but not including 1. */
+	/** Returns a number from 0 up to but not including 1. */
 	fraction(): number;
-	/** Random bytes, fit for keys and ids. */
+	/** Returns `count` random bytes that are suitable for keys and ids. */
 	bytes(count: number): Uint8Array;
 };
 
--- a/src/random/request-id.ts
+++ b/src/random/request-id.ts
@@ -1,12 +1,12 @@
 import {v7, validate, version} from 'uuid';
 import type {Random} from './random.js';
 
-/** Makes a UUIDv7 whose time part is `wallMs`, milliseconds since the epoch. */
+/** Creates a UUIDv7 whose time part is `wallMs`, milliseconds since the epoch. */
 export function createRequestId(wallMs: number, random: Random): string {
 	return v7({msecs: Math.floor(wallMs), random: random.bytes(16)});
 }
 
-/** Reads the time part of a UUIDv7 in milliseconds since the epoch, or undefined where the id is none. */
+/** Returns the time part of a UUIDv7 in milliseconds since the epoch; undefined where the id is not a UUIDv7. */
 export function getRequestIdTime(requestId: string): number | undefined {
 	if (!validate(requestId) || version(requestId) !== 7) {
 		return undefined;
--- a/src/random/seeded-random.ts
+++ b/src/random/seeded-random.ts
@@ -1,6 +1,6 @@
 import type {Random} from './random.js';
 
-/** Creates a repeatable source of chance (mulberry32) for tests and benchmarks. */
+/** Creates a repeatable source of random values (mulberry32) for tests and benchmarks. */
 export function createSeededRandom(seed: number): Random {
 	let state = seed >>> 0;
 
--- a/src/random/system-random.ts
+++ b/src/random/system-random.ts
@@ -1,10 +1,10 @@
 import {randomFillSync} from 'node:crypto';
 import type {Random} from './random.js';
 
-/** Bytes drawn from the host at a time; one draw for each request id would cost a twentieth of a request. */
+/** Bytes read from the host's random source at a time; one read for each request id would cost a twentieth of a request. */
 const POOL_BYTES = 8192;
 
-/** Creates the host's source of chance. */
+/** Creates the host's source of random values. */
 export function createSystemRandom(): Random {
 	let pool = new Uint8Array(0);
 	let used = 0;
@@ -13,7 +13,7 @@
 		fraction: () => Math.random(),
 		bytes(count) {
 			if (used + count > pool.length) {
-				// A new pool, not the old one filled anew: whoever got a part of that may still hold it.
+				// A new pool is allocated instead of refilling the old one, since parts of the old one may still be in use.
 				pool = randomFillSync(new Uint8Array(Math.max(POOL_BYTES, count)));
 				used = 0;
 			}
--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,10 +1,10 @@
 import type {SleepSignal} from './sleep-alarm.js';
 
-/** Where the present time comes from. Deciding functions never hold a clock: they take `now`. */
+/** Source of the current time. Functions that make decisions never hold a clock: they take `now`. */
 export type Clock = {
-	/** Milliseconds since the epoch at process start plus the monotonic time since; never steps back. */
+	/** Returns the milliseconds since the epoch at process start plus the monotonic time since; never steps back. */
 	now(): number;
-	/** Milliseconds since the epoch as the host's calendar has them; may jump. For records and request ids only. */
+	/** Returns the milliseconds since the epoch by the host's wall clock, which may jump. For records and request ids only. */
 	wall(): number;
 	/** Resolves after `ms` milliseconds, or at once when the signal aborts; never rejects. */
 	sleep(ms: number, signal?: SleepSignal): Promise<void>;
--- a/src/time/deadline-watch.ts
+++ b/src/time/deadline-watch.ts
@@ -1,21 +1,21 @@
 import type {Clock} from './clock.js';
 
 /**
- * Watches one deadline that is set anew many times a second and rarely passes.
+ * Timer for one deadline that is set many times a second and rarely passes.
  *
- * A timer with an abort signal for each would cost more than the work that it bounds. So the watch sleeps until the
- * first deadline it was given, and looks only then whether a later one has taken its place.
+ * A sleep with an abort signal for each deadline would cost more than the work that it bounds. So the timer sleeps until
+ * the first deadline that it was given, and only then checks whether a later one has replaced it.
  */
 export type DeadlineWatch = {
-	/** Sets the deadline, on the clock's `now`, in place of the one before. */
+	/** Sets the deadline, on the clock's `now`; replaces the previous one. */
 	set(at: number): void;
-	/** Takes the deadline away. */
+	/** Removes the deadline. */
 	clear(): void;
-	/** Takes the deadline away and ends the sleep, so that nothing is left pending. */
+	/** Removes the deadline and ends the sleep, so that nothing is left pending. */
 	stop(): void;
 };
 
-/** Creates a watch without a deadline; `onPassed` is called once for each deadline that passes. */
+/** Creates a timer without a deadline; `onPassed` is called once for each deadline that passes. */
 export function createDeadlineWatch(clock: Clock, onPassed: () => void): DeadlineWatch {
 	let deadlineAt = Infinity;
 	let wakesAt = Infinity;
@@ -27,7 +27,7 @@
 		deadlineAt = Infinity;
 	};
 
-	const watch = async () => {
+	const run = async () => {
 		while (isSet()) {
 			sleep = new AbortController();
 			wakesAt = deadlineAt;
@@ -45,7 +45,7 @@
 		set(at) {
 			deadlineAt = at;
 			if (!sleep) {
-				void watch();
+				void run();
 			} else if (at < wakesAt) {
 				sleep.abort();
 			}
--- a/src/time/deadline.ts
+++ b/src/time/deadline.ts
@@ -1,13 +1,13 @@
 import type {Clock} from './clock.js';
 import {createSleepAlarm} from './sleep-alarm.js';
 
-/** How a bounded wait ended. */
+/** Result of a wait with a timeout: the value, or that the time ran out. */
 export type Bounded<T> = {timedOut: false; value: T} | {timedOut: true};
 
 /**
- * Waits for a promise no longer than `ms` milliseconds.
+ * Waits for a promise for `ms` milliseconds at most; rejects if the promise rejects within that time.
  *
- * The promise is not cancelled: a late rejection is swallowed, since whoever waited has its answer already.
+ * The promise is not cancelled: a later rejection is ignored, since the caller already has its result.
  */
 export async function withinMs<T>(clock: Clock, ms: number, promise: Promise<T>): Promise<Bounded<T>> {
 	const alarm = createSleepAlarm();
--- a/src/time/elapsed-clock.ts
+++ b/src/time/elapsed-clock.ts
@@ -1,28 +1,28 @@
 import koffi from 'koffi';
 
 /**
- * Time that also passes while the host is suspended.
+ * Clock that also advances while the host is suspended.
  *
- * The steady clock stands still in a suspension, so a bound measured with it outlives its time on a host that was
- * frozen and woke again; the calendar may jump. Whatever must have ended before another host acts is measured with this.
+ * The steady clock stops during a suspension, so a time limit measured with it is exceeded on a host that was suspended and
+ * resumed; the wall clock may jump. Whatever must have ended before another host acts is measured with this clock.
  */
 export type ElapsedClock = {
-	/** Milliseconds since the host was started, with fractions. */
+	/** Returns the milliseconds since the host was started, with fractions. Throws where the kernel has no such clock. */
 	elapsed(): number;
 };
 
-/** Number of the kernel's clock that counts suspensions, as in Linux's `time.h`. */
+/** Number of the kernel's clock that includes suspensions, as in Linux's `time.h`. */
 const CLOCK_BOOTTIME = 7;
 
 /**
  * Creates the elapsed clock of the host.
  *
- * Node offers no such clock: `os.uptime()` reads a file of the kernel in steps of 10 ms, which in a container may tell
- * another machine's time.
+ * Node offers no such clock: `os.uptime()` reads a kernel file with a resolution of 10 ms, which in a container may show
+ * the time of another machine.
  */
 export function createElapsedClock(): ElapsedClock {
 	const library = koffi.load(null);
-	// The C library fills in seconds and nanoseconds, 64 bits each; a buffer that is kept costs less than a struct that is decoded anew.
+	// The C library writes seconds and nanoseconds, 64 bits each; reusing a buffer costs less than decoding a struct each time.
 	const getTime = library.func('int clock_gettime(int clock, void *time)') as (clock: number, time: BigInt64Array) => number;
 	const time = new BigInt64Array(2);
 	return {
--- a/src/time/format-time.ts
+++ b/src/time/format-time.ts
@@ -3,7 +3,7 @@
 const HOUR_MS = 3_600_000;
 const DAY_MS = 86_400_000;
 
-/** Says a duration in milliseconds: `850 ms`, `1.5 s`, `2 min 5 s`, `3 h 20 min`, `2 d 4 h`. */
+/** Formats a duration in milliseconds: `850 ms`, `1.5 s`, `2 min 5 s`, `3 h 20 min`, `2 d 4 h`. */
 export function formatDuration(ms: number): string {
 	const rounded = Math.round(ms);
 	if (!Number.isFinite(rounded)) {
@@ -25,7 +25,7 @@
 	return rounded < DAY_MS ? join(rounded, HOUR_MS, 'h', MINUTE_MS, 'min') : join(rounded, DAY_MS, 'd', HOUR_MS, 'h');
 }
 
-/** Says a time in milliseconds since the epoch: `2026-01-05 06:12:03.250 UTC`. */
+/** Formats a time in milliseconds since the epoch: `2026-01-05 06:12:03.250 UTC`. */
 export function formatInstant(ms: number): string {
 	return new Date(ms).toISOString().replace('T', ' ').replace('Z', ' UTC');
 }
--- a/src/time/sleep-alarm.ts
+++ b/src/time/sleep-alarm.ts
@@ -1,20 +1,20 @@
-/** What may end a sleep early; an `AbortSignal` is one too. */
+/** Signal that ends a sleep early; an `AbortSignal` is one. */
 export type SleepSignal = {
 	readonly aborted: boolean;
 	addEventListener(type: 'abort', listener: () => void, options?: {once?: boolean}): void;
 	removeEventListener(type: 'abort', listener: () => void): void;
 };
 
-/** Ends sleeps early, once. */
+/** Signal together with the method that triggers it; triggers once. */
 export type SleepAlarm = SleepSignal & {
 	abort(): void;
 };
 
 /**
- * Creates an alarm for the waits that every request makes.
+ * Creates a signal for the waits of every request.
  *
- * An `AbortController` in its place costs an `Event` and a `DOMException` at each end, ten times as much, and a served read makes
- * two waits.
+ * An `AbortController` would create an `Event` and a `DOMException` for each abort, which costs ten times as much, and a served
+ * read makes two waits.
  */
 export function createSleepAlarm(): SleepAlarm {
 	const listeners = new Set<() => void>();
--- a/src/time/system-clock.ts
+++ b/src/time/system-clock.ts
@@ -1,7 +1,7 @@
 import {performance} from 'node:perf_hooks';
 import type {Clock} from './clock.js';
 
-/** Creates the clock of the host. */
+/** Creates the clock of this host. */
 export function createSystemClock(): Clock {
 	return {
 		now: () => performance.timeOrigin + performance.now(),
--- a/tests/time/deadline-watch-tests.ts
+++ b/tests/time/deadline-watch-tests.ts
@@ -2,21 +2,21 @@
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 import {createDeadlineWatch} from '../../src/time/deadline-watch.js';
 
-describe('deadline watch', () => {
-	/** Each step: at which millisecond what is done with the watch; a number sets the deadline so many milliseconds on. */
+describe('deadline timer', () => {
+	/** Each step: the time in milliseconds and what is done with the timer then; a number sets the deadline that many milliseconds later. */
 	const doTest = (steps: ReadonlyArray<[number, number | 'clear' | 'stop']>, expected: string) => {
 		it(`${steps.map(([at, step]) => `${at}: ${step}`).join(', ')} passes at ${expected || 'no time'}`, async () => {
 			const clock = createVirtualClock(0);
 			const passed: number[] = [];
-			const watch = createDeadlineWatch(clock, () => {
+			const timer = createDeadlineWatch(clock, () => {
 				passed.push(clock.now());
 			});
 			for (const [at, step] of steps) {
 				await clock.advance(at - clock.now());
 				if (typeof step === 'number') {
-					watch.set(clock.now() + step);
+					timer.set(clock.now() + step);
 				} else {
-					watch[step]();
+					timer[step]();
 				}
 			}
 
--- a/tests/time/sleep-alarm-tests.ts
+++ b/tests/time/sleep-alarm-tests.ts
@@ -6,9 +6,9 @@
 
 const HOUR_MS = 3_600_000;
 
-describe('an alarm that ends sleeps early', () => {
+describe('sleep alarm', () => {
 	function doTest(title: string, createClock: () => Clock) {
-		it(`ends a sleep of an hour at once: ${title}`, async () => {
+		it(`ends a sleep of one hour at once: ${title}`, async () => {
 			const alarm = createSleepAlarm();
 			const sleep = createClock().sleep(HOUR_MS, alarm);
 			alarm.abort();
@@ -16,7 +16,7 @@
 			expect(alarm.aborted).to.equal(true);
 		});
 
-		it(`lets nobody sleep that comes after it: ${title}`, async () => {
+		it(`ends a later sleep at once: ${title}`, async () => {
 			const alarm = createSleepAlarm();
 			alarm.abort();
 			await createClock().sleep(HOUR_MS, alarm);
@@ -26,16 +26,16 @@
 	doTest('the system clock', createSystemClock);
 	doTest('a virtual clock', () => createVirtualClock());
 
-	it('tells each listener once, and none that was taken away', () => {
+	it('calls each listener once, and none that was removed', () => {
 		const alarm = createSleepAlarm();
-		const told: string[] = [];
-		const tellLeft = () => told.push('left');
-		const tellStayed = () => told.push('stayed');
-		alarm.addEventListener('abort', tellLeft);
-		alarm.addEventListener('abort', tellStayed);
-		alarm.removeEventListener('abort', tellLeft);
+		const called: string[] = [];
+		const callRemoved = () => called.push('removed');
+		const callKept = () => called.push('kept');
+		alarm.addEventListener('abort', callRemoved);
+		alarm.addEventListener('abort', callKept);
+		alarm.removeEventListener('abort', callRemoved);
 		alarm.abort();
 		alarm.abort();
-		expect(told).to.deep.equal(['stayed']);
+		expect(called).to.deep.equal(['kept']);
 	});
 });
