--- a/src/admission/create-admission.ts
+++ b/src/admission/create-admission.ts
@@ -63,8 +63,8 @@
 
 	const hasFreeSlot = () => running < limit.limit && queues.total === 0;
 
-	const predictWaitMs = (workClass: WorkClass, place: number, now: number) =>
-		hasFreeSlot() ? 0 : prediction.predictMs(workClass, place, getQueueState(workClass, now));
+	const predictWaitMs = (workClass: WorkClass, position: number, now: number) =>
+		hasFreeSlot() ? 0 : prediction.predictMs(workClass, position, getQueueState(workClass, now));
 
 	const getLatestStartAt = (req: AdmissionRequest) => req.deadlineAt - serviceTime.getClassMeanMs(req.class);
 
@@ -103,7 +103,7 @@
 
 	const grant = (req: AdmissionRequest, queuedAt: number, now: number): AdmissionAnswer => {
 		const reservation = shares.reserve(req.class, serviceTime.getClassMeanMs(req.class));
-		let held = true;
+		let isHeld = true;
 		running++;
 		progressAt = now;
 		return {
@@ -111,11 +111,11 @@
 			queuedMs: now - queuedAt,
 			release(releasedAt, served) {
 				// A second release would free a slot that another request holds, and more statements than the limit would run.
-				if (!held) {
+				if (!isHeld) {
 					return;
 				}
 
-				held = false;
+				isHeld = false;
 				const heldMs = releasedAt - now;
 				shares.complete(reservation, heldMs);
 				serviceTime.observe(req.class, heldMs, served);
@@ -160,8 +160,8 @@
 		onDue: dispatch,
 	});
 
-	const enqueue = async (req: AdmissionRequest, place: number, now: number) => new Promise<AdmissionAnswer>(resolve => {
-		const modelWaitMs = (place + 1) * prediction.getTurnMs(req.class, getQueueState(req.class, now));
+	const enqueue = async (req: AdmissionRequest, position: number, now: number) => new Promise<AdmissionAnswer>(resolve => {
+		const modelWaitMs = (position + 1) * prediction.getTurnMs(req.class, getQueueState(req.class, now));
 		const queued: QueuedRequest = {
 			req, queuedAt: now, modelWaitMs, resolve,
 		};
@@ -184,8 +184,8 @@
 				return grant(req, now, now);
 			}
 
-			const place = queues.findPosition(req);
-			const waitMs = predictWaitMs(req.class, place, now);
+			const position = queues.findPosition(req);
+			const waitMs = predictWaitMs(req.class, position, now);
 			if (now + waitMs > getLatestStartAt(req)) {
 				return refuseDeadline(req, now, waitMs, now);
 			}
@@ -194,7 +194,7 @@
 				return refuseFull(req, waitMs, now);
 			}
 
-			return enqueue(req, place, now);
+			return enqueue(req, position, now);
 		},
 		getPredictedWaitMs: (workClass, now) => predictWaitMs(workClass, queues.getLength(workClass), now),
 		getLoad: () => ({
--- a/src/admission/latest-start-timer.ts
+++ b/src/admission/latest-start-timer.ts
@@ -5,7 +5,7 @@
  * its deadline.
  */
 export type LatestStartTimer = {
-	/** Takes in the latest start time of a request that was just queued. */
+	/** Starts the timer, or brings it forward, for the latest start time of a request that was just queued. */
 	schedule(at: number): void;
 	/** Fires at once if the timer runs; it then stops where no request waits any more. */
 	fireNow(): void;
@@ -24,18 +24,18 @@
 const MIN_SLEEP_MS = 1;
 
 /** Creates a timer that is stopped while no request waits. */
-export function createLatestStartTimer({clock, getNextAt: getFirstAt, onDue}: LatestStartTimerOptions): LatestStartTimer {
+export function createLatestStartTimer({clock, getNextAt, onDue}: LatestStartTimerOptions): LatestStartTimer {
 	/** Time at which the timer fires; undefined while it is stopped. */
 	let wakeAt: number | undefined;
 	let sleep = new AbortController();
 
 	const run = async () => {
-		wakeAt = getFirstAt();
+		wakeAt = getNextAt();
 		while (wakeAt !== undefined) {
 			sleep = new AbortController();
 			await clock.sleep(Math.max(MIN_SLEEP_MS, Math.ceil(wakeAt - clock.now())), sleep.signal);
 			onDue(clock.now());
-			wakeAt = getFirstAt();
+			wakeAt = getNextAt();
 		}
 	};
 
--- a/src/admission/wait-prediction.ts
+++ b/src/admission/wait-prediction.ts
@@ -5,9 +5,9 @@
 /** Predicts how long requests wait for a slot. */
 export type WaitPrediction = {
 	/** Returns the interval at which the model lets a class have a slot, in milliseconds. */
-	getTurnMs(workClass: WorkClass, situation: QueueState): number;
+	getTurnMs(workClass: WorkClass, state: QueueState): number;
 	/** Returns the wait at a position in the class's queue (from 0), in milliseconds: the model's estimate times the learned correction. */
-	predictMs(workClass: WorkClass, place: number, situation: QueueState): number;
+	predictMs(workClass: WorkClass, position: number, state: QueueState): number;
 	/** Learns from a request that waited `waitedMs` where the model had estimated `modelMs`. */
 	learn(workClass: WorkClass, modelMs: number, waitedMs: number): void;
 };
@@ -61,7 +61,7 @@
 
 	return {
 		getTurnMs,
-		predictMs: (workClass, place, situation) => (place + 1) * getTurnMs(workClass, situation) * getCorrection(workClass),
+		predictMs: (workClass, position, state) => (position + 1) * getTurnMs(workClass, state) * getCorrection(workClass),
 		learn(workClass, modelMs, waitedMs) {
 			const waits = learned[workClass];
 			waits.modelMs += LEARNING_WEIGHT * (modelMs - waits.modelMs);
