--- a/src/placement/catch-up.ts
+++ b/src/placement/catch-up.ts
@@ -26,13 +26,13 @@
 		return 0;
 	}
 
-	const primaryAtHeldAt = samples.getTimeOf(held);
-	const primaryAtFloorAt = samples.getTimeOf(floor);
-	if (primaryAtFloorAt === undefined) {
+	const primaryTimeOfHeld = samples.getTimeOf(held);
+	const primaryTimeOfFloor = samples.getTimeOf(floor);
+	if (primaryTimeOfFloor === undefined) {
 		return 0;
 	}
 
 	// If even the oldest sample is ahead of the replica, its lag exceeds the time for which samples are kept.
-	const lagMs = primaryAtHeldAt === undefined ? Number.POSITIVE_INFINITY : heldAt - primaryAtHeldAt;
-	return Math.max(0, primaryAtFloorAt + lagMs - now);
+	const lagMs = primaryTimeOfHeld === undefined ? Number.POSITIVE_INFINITY : heldAt - primaryTimeOfHeld;
+	return Math.max(0, primaryTimeOfFloor + lagMs - now);
 }
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -45,7 +45,7 @@
 	onRetry?(answer: OwnerAnswer): void;
 };
 
-/** Tries the owners of a group in turn until one completes the request or no further try is allowed. No other layer retries. */
+/** Tries the owners of a group in turn until one completes the request or no further try is allowed, as when its deadline is near. No other layer retries. */
 export async function tryOwners(options: TryOwnersOptions, attempt: OwnerTry): Promise<TriesEnd> {
 	const {clock, random, deadlineAt, group, retries} = options;
 	const selection = createOwnerSelection(options);
--- a/src/workspaces/issuer-hosts.ts
+++ b/src/workspaces/issuer-hosts.ts
@@ -9,7 +9,7 @@
 };
 
 /** Number of hosts ranked for each slot: the issuer, and two fallbacks for when it does not respond. */
-const ISSUERS_PER_SLOT = 3;
+const CANDIDATES_PER_SLOT = 3;
 
 /** Minimum number of slots per square root of the number of live hosts; each slot has one issuer. */
 const SLOTS_PER_SQRT_HOST = 1.5;
@@ -40,7 +40,7 @@
 		cache = new Map();
 	};
 
-	const rankIssuers = (slot: number) => ranking.getOwners(`rate limits ${slot}`, ISSUERS_PER_SLOT, {isUsable: () => true, nearZones: []}).map(({peerAddress}) => peerAddress);
+	const rankIssuers = (slot: number) => ranking.getOwners(`rate limits ${slot}`, CANDIDATES_PER_SLOT, {isUsable: () => true, nearZones: []}).map(({peerAddress}) => peerAddress);
 
 	return {
 		get(workspace) {
