--- /dev/null
+++ b/src/mirror/change-feed-client.ts
@@ -0,0 +1,151 @@
+import type {Log} from '../log/log.js';
+import {isPeerError} from '../peers/peer-errors.js';
+import type {Peers} from '../peers/peers.js';
+import type {ElapsedClock} from '../time/elapsed-clock.js';
+import {EMPTY_ID, isSameContents, type ContentsId} from './contents-id.js';
+import {createContentsReceiver} from './contents-receiver.js';
+import type {StoreUpdateRequest, StoreUpdate, UnfencedGroup} from './mirror-calls.js';
+import type {MirrorCopy} from './mirror-copy.js';
+import {formatPlaced, getGeneration} from './store-generation.js';
+
+/** A host's response, and its effect on the copy. */
+export type PollResult = {
+	readonly update: StoreUpdate;
+	/** Whether the copy was confirmed to be complete at a time after the request. */
+	readonly confirmed: boolean;
+	/** Whether the response held something newer than what was known. */
+	readonly isNew: boolean;
+};
+
+/** Polls other hosts for store updates and applies them to the copy. */
+export type ChangeFeedClient = {
+	/** Requests a host's next update, for which that host holds the request up to `holdMs` milliseconds; undefined if it did not respond. */
+	poll(address: string, holdMs: number): Promise<PollResult | undefined>;
+	/** Has a host read the store before it responds; undefined if it did not respond. */
+	pollUrgently(address: string): Promise<PollResult | undefined>;
+};
+
+/** What the client of the change feed needs. */
+export type ChangeFeedClientOptions = {
+	readonly peers: Peers;
+	readonly copy: MirrorCopy;
+	readonly elapsedClock: ElapsedClock;
+	readonly log: Log;
+	/** Returns the addresses of silent hosts: those that should have polled this one, directly or through others, and did not. */
+	getSilent(): readonly string[];
+	/** Records that a group's endpoints showed no fence when they were queried at the elapsed time `queriedAt`. */
+	noteUnfenced(group: string, epoch: number, queriedAt: number): void;
+};
+
+/** Time allowed for a response beyond the hold time of its request, in milliseconds: about a hundred times the round trip. */
+const NETWORK_ALLOWANCE_MS = 300;
+
+/** Maximum hold time of an urgent request, in milliseconds: the responding host reads the store meanwhile. */
+const URGENT_HOLD_MS = 400;
+
+/** Creates the client. */
+export function createChangeFeedClient({peers, copy, elapsedClock, log, getSilent, noteUnfenced}: ChangeFeedClientOptions): ChangeFeedClient {
+	const receiver = createContentsReceiver(peers, log);
+	/** Whether the last update could not be applied, so that the next request is for the full contents. */
+	let requestsFullUpdate = false;
+
+	const createRequest = (urgent: boolean, holdMs: number): StoreUpdateRequest => {
+		const contents: ContentsId = requestsFullUpdate ? EMPTY_ID : copy.contentsId;
+		return {
+			revision: copy.state.revision,
+			contents,
+			ageMs: copy.confirmedAt === undefined ? undefined : elapsedClock.elapsed() - copy.confirmedAt,
+			urgent,
+			holdMs,
+			unheard: getSilent(),
+		};
+	};
+
+	/**
+	 * Applies the revision of a host that holds the same contents as this one did at its request. Guards against contents that this host has read meanwhile: an entry that was
+	 * added and was removed again by the responding host's revision would stay here for as long as nothing else changes.
+	 */
+	const applyRevision = (revision: number, sentContents: ContentsId) => {
+		const isUnchanged = isSameContents(copy.contentsId, sentContents);
+		if (isUnchanged) {
+			copy.adopt({...copy.state, revision});
+		}
+
+		return isUnchanged;
+	};
+
+	/** Whether the copy holds everything up to `revision`. A revision of an earlier generation proves nothing about the current one. */
+	const covers = (revision: number) => revision <= copy.state.revision && getGeneration(revision) === getGeneration(copy.state.revision);
+
+	/** Applies an update; resolves with whether the copy then holds everything that the responding host's copy does. */
+	const applyContents = async (address: string, {revision, update}: StoreUpdate, sentContents: ContentsId): Promise<boolean> => {
+		if (revision <= copy.state.revision) {
+			return covers(revision);
+		}
+
+		if (!update) {
+			return applyRevision(revision, sentContents);
+		}
+
+		const difference = await receiver.receive(address, update);
+		const isApplied = difference !== undefined && copy.adoptDifference(difference, revision);
+		requestsFullUpdate = difference !== undefined && !isApplied && revision > copy.state.revision;
+		if (requestsFullUpdate) {
+			log.info('a peer\'s update does not match the contents held; the full contents are requested', {peer: address, revision: formatPlaced(revision), held: formatPlaced(copy.state.revision)});
+		}
+
+		return isApplied || covers(revision);
+	};
+
+	/**
+	 * Applies a confirmation and returns its time. The response was sent no earlier than `heldMs` after the request, so ages are subtracted from that earliest time, and
+	 * no confirmation is dated too late.
+	 */
+	const applyConfirmation = ({heldMs, ageMs, withoutStoreMs}: StoreUpdate, requestedAt: number) => {
+		if (ageMs === undefined) {
+			return undefined;
+		}
+
+		const sentAt = requestedAt + heldMs;
+		copy.noteConfirmed(sentAt - ageMs, withoutStoreMs === undefined ? undefined : sentAt - withoutStoreMs);
+		return sentAt - ageMs;
+	};
+
+	const applyUnfenced = (unfenced: readonly UnfencedGroup[], sentAt: number) => {
+		for (const {group, epoch, ageMs} of unfenced) {
+			noteUnfenced(group, epoch, sentAt - ageMs);
+		}
+	};
+
+	const applyUpdate = async (address: string, update: StoreUpdate, requestedAt: number, sentContents: ContentsId): Promise<PollResult> => {
+		const before = copy.confirmedAt ?? Number.NEGATIVE_INFINITY;
+		const isComplete = await applyContents(address, update, sentContents);
+		const confirmedAt = isComplete ? applyConfirmation(update, requestedAt) : undefined;
+		applyUnfenced(update.unfenced, requestedAt + update.heldMs);
+		return {
+			update,
+			confirmed: confirmedAt !== undefined && confirmedAt >= requestedAt,
+			isNew: (confirmedAt !== undefined && confirmedAt > before) || update.unfenced.length > 0,
+		};
+	};
+
+	const sendRequest = async (address: string, request: StoreUpdateRequest) => {
+		const requestedAt = elapsedClock.elapsed();
+		try {
+			const update = await peers.call(address, 'mirror-confirm', request, request.holdMs + NETWORK_ALLOWANCE_MS);
+			return await applyUpdate(address, update, requestedAt, request.contents);
+		} catch (err) {
+			if (!isPeerError(err)) {
+				throw err;
+			}
+
+			log.debug('a peer did not confirm', {peer: address, reason: err.message});
+			return undefined;
+		}
+	};
+
+	return {
+		poll: async (address, holdMs) => sendRequest(address, createRequest(false, holdMs)),
+		pollUrgently: async address => sendRequest(address, createRequest(true, URGENT_HOLD_MS)),
+	};
+}
--- /dev/null
+++ b/src/mirror/change-feed-server.ts
@@ -0,0 +1,118 @@
+import type {Peers} from '../peers/peers.js';
+import type {Clock} from '../time/clock.js';
+import {withinMs} from '../time/deadline.js';
+import type {ElapsedClock} from '../time/elapsed-clock.js';
+import {isSameContents} from './contents-id.js';
+import {createContentsSender} from './contents-sender.js';
+import type {StoreUpdateRequest, StoreUpdate, UnfencedGroup} from './mirror-calls.js';
+import type {MirrorCopy} from './mirror-copy.js';
+
+/** Responds to the hosts that poll this one for store updates. */
+export type ChangeFeedServer = {
+	/** Responds to all held requests. */
+	respond(): void;
+	/** Responds to them after a short delay, so that what is reported meanwhile goes out in the same response. */
+	respondSoon(): void;
+};
+
+/** What the server of the change feed needs. */
+export type ChangeFeedServerOptions = {
+	readonly peers: Peers;
+	readonly copy: MirrorCopy;
+	readonly clock: Clock;
+	readonly elapsedClock: ElapsedClock;
+	getChanging(): readonly string[];
+	/** Returns the groups whose primaries remain valid because their endpoints, queried after the copy was last confirmed, showed no fence. */
+	getUnfenced(now: number): readonly UnfencedGroup[];
+	/** Reads the store for an urgent request. */
+	readAfterNow(): Promise<boolean>;
+	/** Called with each request. */
+	onRequest(from: string, request: StoreUpdateRequest): void;
+};
+
+/** Delay that batches several reports into one response, in milliseconds. */
+const BATCH_DELAY_MS = 50;
+
+/** Minimum by which a confirmation must be younger than the requesting host's to count as an update, in milliseconds: it covers the transmission time of the one that it has. */
+const MIN_AGE_GAIN_MS = 100;
+
+/** Creates the server and registers its handlers. */
+export function createChangeFeedServer(options: ChangeFeedServerOptions): ChangeFeedServer {
+	const {peers, copy, clock, elapsedClock} = options;
+	const sender = createContentsSender();
+	const waiting = new Set<() => void>();
+	let isBatching = false;
+
+	copy.onContents((state, id) => {
+		sender.addContents(state, id);
+	});
+
+	const respond = () => {
+		const held = [...waiting];
+		waiting.clear();
+		for (const resolve of held) {
+			resolve();
+		}
+	};
+
+	const respondAfterDelay = async () => {
+		isBatching = true;
+		await clock.sleep(BATCH_DELAY_MS);
+		isBatching = false;
+		respond();
+	};
+
+	const hasUpdateFor = ({revision, ageMs}: StoreUpdateRequest) => {
+		const isYounger = copy.confirmedAt !== undefined && (ageMs === undefined || elapsedClock.elapsed() - copy.confirmedAt < ageMs - MIN_AGE_GAIN_MS);
+		return isYounger || copy.state.revision > revision;
+	};
+
+	const waitForUpdate = async (holdMs: number) => {
+		let resolveUpdate!: () => void;
+		const updated = new Promise<void>(resolve => {
+			resolveUpdate = resolve;
+		});
+		waiting.add(resolveUpdate);
+		await withinMs(clock, holdMs, updated);
+		waiting.delete(resolveUpdate);
+	};
+
+	const getAge = (at: number | undefined, now: number) => at === undefined ? undefined : Math.max(0, now - at);
+
+	const getUpdate = (request: StoreUpdateRequest, receivedAt: number): StoreUpdate => {
+		const now = elapsedClock.elapsed();
+		const {state, contentsId} = copy;
+		const lacks = state.revision > request.revision && !isSameContents(contentsId, request.contents);
+		return {
+			heldMs: now - receivedAt,
+			ageMs: getAge(copy.confirmedAt, now),
+			withoutStoreMs: getAge(copy.storeConfirmedAt, now),
+			revision: state.revision,
+			...(lacks && {update: sender.getFirstPiece(request.contents)}),
+			changing: options.getChanging(),
+			unfenced: options.getUnfenced(now),
+		};
+	};
+
+	peers.handle('mirror-confirm', async (request, from) => {
+		const receivedAt = elapsedClock.elapsed();
+		options.onRequest(from.address, request);
+		if (request.urgent) {
+			await withinMs(clock, request.holdMs, options.readAfterNow());
+		} else if (!hasUpdateFor(request)) {
+			await waitForUpdate(request.holdMs);
+		}
+
+		return getUpdate(request, receivedAt);
+	});
+	peers.handle('mirror-piece', async ({key, offset}) => ({bytes: sender.getPiece(key, offset)}));
+
+	return {
+		respond,
+		respondSoon() {
+			if (!isBatching) {
+				void respondAfterDelay();
+			}
+		},
+	};
+}
--- a/src/mirror/news-source.ts
+++ b/src/mirror/change-feed-source.ts
@@ -5,28 +5,28 @@
 import type {MirrorCopy} from './mirror-copy.js';
 import {formatPlaced} from './store-generation.js';
 
-/** Knows which host this one asks for news of the store. */
-export type NewsSource = {
-	/** Address of the host to ask at the steady time `now`; undefined where this host reads the store itself. */
+/** Chooses the host that this one polls for store updates. */
+export type ChangeFeedSource = {
+	/** Returns the address of the host to poll at the steady time `now`; undefined if this host reads the store itself. */
 	getParent(now: number): string | undefined;
-	/** Asks another than this one for a while, as it did not answer. */
+	/** Excludes a host that did not respond from the choice for a while. */
 	avoid(address: string, now: number): void;
-	/** The tree of all hosts that live. */
+	/** Returns the tree of all hosts that are not marked as unresponsive. */
 	getTree(): HostTree;
-	/** Addresses of all other hosts that live, or of the seeds where none is known. */
+	/** Returns the addresses of all other hosts that are not marked as unresponsive, or of the other seeds if no host is known. */
 	getOthers(): readonly string[];
 };
 
-/** A host that did not answer is left alone for so long, in milliseconds; the next one in the tree is asked. */
+/** Time for which a host that did not respond is excluded, in milliseconds; the tree without it determines the host to poll. */
 const AVOID_MS = 5000;
 
-/** Creates the choice. */
-export function createNewsSource(copy: MirrorCopy, host: HostRecord, seeds: readonly string[], log: Log): NewsSource {
-	/** By address, in steady time. */
+/** Creates the choice for `host`. */
+export function createChangeFeedSource(copy: MirrorCopy, host: HostRecord, seeds: readonly string[], log: Log): ChangeFeedSource {
+	/** End of each exclusion in steady time, by address. */
 	const avoidedUntil = new Map<string, number>();
 	let known: {readonly hosts: readonly HostRecord[]; readonly living: readonly HostRecord[]; readonly tree: HostTree} | undefined;
 
-	/** The tree without the hosts that are avoided; undefined where none is, or that has changed. */
+	/** The tree without the excluded hosts; undefined until it is needed, and again after a change of hosts or exclusions. */
 	let treeWithoutAvoided: HostTree | undefined;
 
 	const getKnown = () => {
@@ -42,7 +42,7 @@
 
 	const isAvoided = (address: string, now: number) => now < (avoidedUntil.get(address) ?? 0);
 
-	const forgetOld = (now: number) => {
+	const removeExpired = (now: number) => {
 		for (const [address, until] of avoidedUntil) {
 			if (now >= until) {
 				avoidedUntil.delete(address);
@@ -52,7 +52,7 @@
 	};
 
 	const getTreeWithoutAvoided = (now: number) => {
-		forgetOld(now);
+		removeExpired(now);
 		const {living, tree} = getKnown();
 		if (avoidedUntil.size === 0) {
 			return tree;
@@ -62,7 +62,7 @@
 		return treeWithoutAvoided;
 	};
 
-	/** Before any host is known, hosts are spread over the seeds; a seed asks those before it, so that none waits for another in a circle. */
+	/** Returns the seed to poll while no host is known. Hosts are spread over the seeds; a seed polls only those before it in the list, so that seeds do not wait for each other in a cycle. */
 	const getSeed = (now: number) => {
 		const own = seeds.indexOf(host.peerAddress);
 		const usable = seeds.slice(0, own === -1 ? seeds.length : own).filter(address => !isAvoided(address, now));
@@ -72,7 +72,7 @@
 	return {
 		getParent: now => getKnown().living.length === 0 ? getSeed(now) : getTreeWithoutAvoided(now).getParent(host)?.peerAddress,
 		avoid(address, now) {
-			log.info('the host that is asked for news of the store does not answer', {peer: address, revision: formatPlaced(copy.state.revision)});
+			log.info('the host that is polled for store updates does not respond', {peer: address, revision: formatPlaced(copy.state.revision)});
 			avoidedUntil.set(address, now + AVOID_MS);
 			treeWithoutAvoided = undefined;
 		},
--- a/src/mirror/contents-id.ts
+++ b/src/mirror/contents-id.ts
@@ -2,31 +2,31 @@
 import type {MirrorState} from './mirror-state.js';
 
 /**
- * Names the contents of a copy, each part for itself: two copies whose parts have the same names hold the same.
+ * Identifies the contents of a copy, part by part: two copies with equal identifiers hold the same.
  *
- * The store's revision does not do that: lists read one after the other hold changes beyond the revision that all of them are complete up to.
+ * The store's revision does not suffice for that: the lists are read one after the other, so they may hold changes beyond the revision that all of them are complete up to.
  */
 export type ContentsId = {
-	/** Version of the configuration; 0 where there is none. */
+	/** Version of the configuration; 0 if there is none. */
 	readonly routing: number;
 	readonly endpoints: string;
-	/** The groups' records and the duty's. */
+	/** Digest of the groups' leadership records and of the failover lease. */
 	readonly leadership: string;
 	readonly hosts: string;
 };
 
-/** Names a part that holds nothing. */
+/** Identifies a part that holds nothing. */
 export const EMPTY_PART = '';
 
-/** Names contents of which every part is empty. */
+/** Identifies contents of which every part is empty. */
 export const EMPTY_ID: ContentsId = {
 	routing: 0, endpoints: EMPTY_PART, leadership: EMPTY_PART, hosts: EMPTY_PART,
 };
 
-/** Characters of a digest, six bits each: far beyond the chance of two parts that a fleet ever holds. */
+/** Length of a digest in characters of six bits each, which makes a collision between any two parts that a fleet ever holds negligible. */
 const DIGEST_LENGTH = 16;
 
-/** Names what a copy holds. */
+/** Returns the identifier of the contents of a copy. */
 export function getContentsId({routing, endpoints, leadership, duty, hosts}: MirrorState): ContentsId {
 	const records = [...leadership.values()].map(({group, version, epoch}) => `${group} ${version} ${epoch}`);
 	return {
@@ -37,12 +37,12 @@
 	};
 }
 
-/** Whether two copies hold the same. */
+/** Returns whether two identifiers stand for the same contents. */
 export function isSameContents(left: ContentsId, right: ContentsId): boolean {
 	return left.routing === right.routing && left.endpoints === right.endpoints && left.leadership === right.leadership && left.hosts === right.hosts;
 }
 
-/** Writes a name as one string. */
+/** Formats an identifier as one string. */
 export function formatContentsId({routing, endpoints, leadership, hosts}: ContentsId): string {
 	return [routing, endpoints, leadership, hosts].join('/');
 }
--- a/src/mirror/contents-receiver.ts
+++ b/src/mirror/contents-receiver.ts
@@ -5,18 +5,18 @@
 import type {ContentsPiece} from './contents-sender.js';
 import type {StateDifference} from './state-difference.js';
 
-/** Puts together what other hosts send of their contents. */
+/** Reassembles the updates that other hosts send in pieces. */
 export type ContentsReceiver = {
-	/** Fetches what is left of an update whose first piece has come; undefined where the sender has newer contents, or what came cannot be read. Rejects with PeerError. */
+	/** Fetches the remaining pieces of an update and decodes it; undefined if the sender no longer keeps that update, or the update cannot be decoded. Rejects with PeerError. */
 	receive(address: string, first: ContentsPiece): Promise<StateDifference | undefined>;
 };
 
-/** Longest wait for a piece, in milliseconds: some ten times its way over a slow link that is in use. */
+/** Timeout of the call for one piece, in milliseconds: about ten times its transfer time over a slow link that is in use. */
 const PIECE_TIMEOUT_MS = 500;
 
 const unpackr = new Unpackr({useRecords: true});
 
-/** Creates a receiver. */
+/** Creates a receiver that fetches pieces with calls to peers. */
 export function createContentsReceiver(peers: Peers, log: Log): ContentsReceiver {
 	const fetchRest = async (address: string, {key, size, bytes: first}: ContentsPiece) => {
 		const pieces = [first];
--- a/src/mirror/contents-sender.ts
+++ b/src/mirror/contents-sender.ts
@@ -5,45 +5,45 @@
 import {EMPTY_STATE, type MirrorState} from './mirror-state.js';
 import {getStateDifference} from './state-difference.js';
 
-/** A piece of what one copy lacks of another. */
+/** A piece of the encoded difference between two copies. */
 export type ContentsPiece = {
-	/** Names the whole that it is a piece of. */
+	/** Identifies the difference that it is a piece of. */
 	readonly key: string;
-	/** Bytes of the whole. */
+	/** Size of the whole difference, in bytes. */
 	readonly size: number;
 	readonly bytes: Uint8Array;
 };
 
-/** Gives other hosts what their copies lack of this one's. */
+/** Sends other hosts the difference between their copies and this one. */
 export type ContentsSender = {
-	/** Takes over the newest contents. */
-	note(state: MirrorState, id: ContentsId): void;
-	/** The first piece of what a host lacks that holds `held`; whole parts where this copy does not know what that host holds. */
+	/** Records the newest contents. */
+	addContents(state: MirrorState, id: ContentsId): void;
+	/** Returns the first piece of the difference for a host that holds `held`; a part is sent whole if this copy does not know what that host holds of it. */
 	getFirstPiece(held: ContentsId): ContentsPiece;
-	/** A later piece; undefined where what it belongs to is not at hand any more. */
+	/** Returns a later piece; undefined if its difference is no longer kept. */
 	getPiece(key: string, offset: number): Uint8Array | undefined;
 };
 
-/** Contents that differences are taken from: hosts whose questions were under way during some changes hold one of these. */
-const KEPT_CONTENTS = 12;
+/** Number of recent contents that are kept as bases of differences, for hosts whose requests were in flight during a few changes. */
+const MAX_KEPT_CONTENTS = 12;
 
-/** Differences that are kept encoded, for hosts that ask for the same one and for those that fetch its pieces. */
-const KEPT_DIFFERENCES = 16;
+/** Number of encoded differences that are kept, for hosts that request the same one and for those that fetch its pieces. */
+const MAX_ENCODED_DIFFERENCES = 16;
 
-/** Largest piece, in bytes. The next one is sent when it is asked for, so that requests on a slow link wait for no more than one. */
-const PIECE_BYTES = 32_768;
+/** Maximum size of a piece, in bytes. Each piece is sent on request, so that other traffic on a slow link waits for one piece at most. */
+const MAX_PIECE_BYTES = 32_768;
 
-/** Encodes the names of fields once a message and not once an item, of which there may be thousands. */
+/** Encodes the field names once per message instead of once per item, since a message may hold thousands of items. */
 const packr = new Packr({useRecords: true});
 
-/** Creates a sender that holds nothing. */
+/** Creates a sender without contents. */
 export function createContentsSender(): ContentsSender {
 	const kept: Array<{readonly state: MirrorState; readonly id: ContentsId}> = [{state: EMPTY_STATE, id: EMPTY_ID}];
 	const encoded = new Map<string, Uint8Array>();
 
 	const getNewest = () => kept.at(-1)!;
 
-	/** The contents that a host holds, pieced together of parts that this one has held; parts that it does not know are empty. */
+	/** Returns the contents that a host holds, composed of the parts that this one has kept; unknown parts are empty. */
 	const getBase = (held: ContentsId): {readonly state: MirrorState; readonly id: ContentsId} => {
 		const find = (part: keyof ContentsId) => kept.findLast(({id}) => id[part] === held[part]);
 		const [routing, endpoints, leadership, hosts] = [find('routing'), find('endpoints'), find('leadership'), find('hosts')];
@@ -75,7 +75,7 @@
 		const next = getNewest();
 		const bytes = packr.pack(getStateDifference(base.state, base.id, next.state, next.id));
 		encoded.set(key, bytes);
-		for (const oldest of [...encoded.keys()].slice(0, -KEPT_DIFFERENCES)) {
+		for (const oldest of [...encoded.keys()].slice(0, -MAX_ENCODED_DIFFERENCES)) {
 			encoded.delete(oldest);
 		}
 
@@ -83,15 +83,15 @@
 	};
 
 	return {
-		note(state, id) {
+		addContents(state, id) {
 			kept.push({state, id});
-			kept.splice(0, kept.length - KEPT_CONTENTS);
+			kept.splice(0, kept.length - MAX_KEPT_CONTENTS);
 		},
 		getFirstPiece(held) {
 			const key = `${formatContentsId(held)}>${formatContentsId(getNewest().id)}`;
 			const whole = encode(key, held);
-			return {key, size: whole.length, bytes: whole.subarray(0, PIECE_BYTES)};
+			return {key, size: whole.length, bytes: whole.subarray(0, MAX_PIECE_BYTES)};
 		},
-		getPiece: (key, offset) => encoded.get(key)?.subarray(offset, offset + PIECE_BYTES),
+		getPiece: (key, offset) => encoded.get(key)?.subarray(offset, offset + MAX_PIECE_BYTES),
 	};
 }
--- a/src/mirror/guard-generations.ts
+++ b/src/mirror/guard-generations.ts
@@ -3,11 +3,11 @@
 import {getGeneration} from './store-generation.js';
 
 /**
- * Has a store answer in the order of its generations.
+ * Wraps a store so that its responses never go back to an earlier generation.
  *
- * Guards against what was under way while the store came back from a copy: an answer of before that arrives after one of the new generation tells of what is
- * lost, and a condition on a version of before may hold by chance, since its number is given out again. The first counts as no answer and the second as not met; a
- * change that took effect in another generation than the one that it was meant for counts as unanswered, so that its caller looks at what came of it.
+ * Guards against calls that were in flight while the store was restored from a backup. A response of the earlier generation that arrives after one of the new
+ * generation reports state that is lost: the call rejects as unanswered. A condition on a version of the earlier generation may hold by chance, since the store assigns that
+ * number again: the condition counts as not met. A change that took effect in another generation than it was meant for rejects as unanswered, so that its caller checks the outcome.
  */
 export function guardGenerations(store: MetadataStore): MetadataStore {
 	let newest = 0;
--- a/src/mirror/host-tree.ts
+++ b/src/mirror/host-tree.ts
@@ -1,25 +1,25 @@
 import type {HostRecord} from '../leadership/leadership-record.js';
 
-/** What places a host in the tree. */
+/** The part of a host's record that determines its place in the tree. */
 export type TreeHost = Pick<HostRecord, 'name' | 'peerAddress' | 'availabilityZone'>;
 
 /**
- * The tree by which hosts ask each other for news of the store: one host reads it, the first of each availability zone asks that one, and in a zone each host has
- * a few that ask it. So news crosses to a zone once, and no host answers more than a few, however many there are.
+ * The tree along which store updates spread: the root reads the store, the first host of each other availability zone polls the root, and the remaining hosts poll
+ * a host of their own zone. So an update crosses into a zone once, and no host serves more than a few others, however many hosts there are.
  */
 export type HostTree = {
-	/** The host that `host` asks, registered or not; undefined where it reads the store itself. */
+	/** Returns the host that `host` polls; undefined if `host` reads the store itself. `host` need not be registered. */
 	getParent(host: TreeHost): TreeHost | undefined;
-	/** The hosts that ask `host`. */
+	/** Returns the hosts that poll `host`. */
 	getChildren(host: TreeHost): readonly TreeHost[];
 };
 
-/** Hosts of its zone that ask one host. */
+/** Number of hosts of its own zone that poll one host. */
 const CHILDREN_IN_ZONE = 5;
 
 /**
- * Creates the tree of some hosts. Each host computes it from what it holds; where hosts differ in that, an edge still leads to a host that is earlier by name, so
- * that no circle of hosts waits for news from each other.
+ * Creates the tree of the given hosts. Each host computes it from its own copy of the host records. Even where these differ, a parent always precedes its child by
+ * name, so that no cycle of hosts waits for updates from each other.
  */
 export function createHostTree(hosts: readonly TreeHost[]): HostTree {
 	const sorted = hosts.toSorted(byName);
@@ -28,10 +28,10 @@
 
 	const getZone = (host: TreeHost) => zones.get(host.availabilityZone) ?? [];
 
-	/** How many hosts of its zone come before the host. */
+	/** Returns how many hosts of its zone precede the host by name. */
 	const getRank = (host: TreeHost) => countBefore(getZone(host), host.name);
 
-	const getHeads = () => [...zones.values()].map(zone => zone[0]!).filter(head => head !== root);
+	const getZoneHeads = () => [...zones.values()].map(zone => zone[0]!).filter(head => head !== root);
 
 	return {
 		getParent(host) {
@@ -45,7 +45,7 @@
 		getChildren(host) {
 			const first = (getRank(host) * CHILDREN_IN_ZONE) + 1;
 			const inZone = getZone(host).slice(first, first + CHILDREN_IN_ZONE);
-			return host.name === root?.name ? [...getHeads(), ...inZone] : inZone;
+			return host.name === root?.name ? [...getZoneHeads(), ...inZone] : inZone;
 		},
 	};
 }
@@ -65,7 +65,7 @@
 	return left.name < right.name ? -1 : 1;
 }
 
-/** Index of the first host at or after a name, by halving. */
+/** Returns the index of the first host at or after a name, by binary search. */
 function countBefore(sorted: readonly TreeHost[], name: string): number {
 	let low = 0;
 	let high = sorted.length;
--- a/src/mirror/mirror-calls.ts
+++ b/src/mirror/mirror-calls.ts
@@ -1,53 +1,53 @@
 import type {ContentsId} from './contents-id.js';
 import type {ContentsPiece} from './contents-sender.js';
 
-/** A question for news of the store. */
-export type NewsQuestion = {
-	/** Revision that the asking host's copy is complete up to. */
+/** A long-poll request for a store update. */
+export type StoreUpdateRequest = {
+	/** Revision that the requesting host's copy is complete up to. */
 	readonly revision: number;
-	/** What it holds. */
+	/** Identifies the contents of that copy. */
 	readonly contents: ContentsId;
-	/** Age of its last confirmation, in milliseconds; undefined where it has none. Younger ones are news to it. */
+	/** Age of that copy's last confirmation, in milliseconds; undefined if it has none. A younger confirmation is an update. */
 	readonly ageMs?: number;
-	/** The store is to be read for the answer; else the question waits for the next news. */
+	/** Whether the responding host reads the store first; otherwise the request is held until the next update. */
 	readonly urgent: boolean;
-	/** Longest wait for news, in milliseconds; then it is answered without, so that the answering host is not taken to be dead. */
+	/** Maximum time to hold the request, in milliseconds; then it is answered without an update, so that the responding host is not taken to be dead. */
 	readonly holdMs: number;
-	/** Addresses of hosts that should have asked the asking host and did not. */
+	/** Addresses of silent hosts: those that should have polled the requesting host, directly or through others, and did not. */
 	readonly unheard: readonly string[];
 };
 
-/** A group whose primary holds although the store does not confirm: its endpoints showed no fence of a later term. */
+/** A group whose primary remains valid although the store does not confirm it: its endpoints showed no fence of a later term. */
 export type UnfencedGroup = {
 	readonly group: string;
 	readonly epoch: number;
-	/** How long ago the endpoints were asked, in milliseconds. */
+	/** Time since the endpoints were queried, in milliseconds. */
 	readonly ageMs: number;
 };
 
 /**
- * News of the store. All ages are of the moment at which it was sent. The asking host counts them back from a time that was before that moment, its question and
- * the time for which this was held here, so that nothing counts from later than it was true, however long the answer takes.
+ * A store update. All ages refer to the moment at which it is sent. The requesting host subtracts them from a time before that moment, which is the time of its
+ * request plus `heldMs`, so that nothing is dated later than it was true, however long the response takes.
  */
-export type StoreNews = {
-	/** How long the question waited at the answering host, in milliseconds. */
+export type StoreUpdate = {
+	/** Time for which the responding host held the request, in milliseconds. */
 	readonly heldMs: number;
-	/** Age of the confirmation that the answering host's copy is complete; undefined where it has none. */
+	/** Age of the last confirmation that the responding host's copy is complete, in milliseconds; undefined if it has none. */
 	readonly ageMs?: number;
-	/** Age of the last confirmation by the store itself: hosts may have confirmed each other's copies since. */
+	/** Age of the last confirmation by the store itself, in milliseconds: hosts may have confirmed each other's copies since. */
 	readonly withoutStoreMs?: number;
 	readonly revision: number;
-	/** What the asking host lacks of what the answering one holds, its first piece. */
+	/** First piece of the difference between the requesting host's contents and the responding host's; undefined if there is none. */
 	readonly update?: ContentsPiece;
-	/** Groups that the answering host is changing, or whose change it asked for without hearing how that ended. */
+	/** Groups whose record the responding host is changing, or requested to change without receiving the outcome. */
 	readonly changing: readonly string[];
 	readonly unfenced: readonly UnfencedGroup[];
 };
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		'mirror-confirm': {req: NewsQuestion; res: StoreNews};
-		/** Asks for a further piece of an update; answered without one where the answering host has newer contents. */
+		'mirror-confirm': {req: StoreUpdateRequest; res: StoreUpdate};
+		/** Requests a further piece of an update; the response has none if the responding host no longer keeps that update. */
 		'mirror-piece': {req: {readonly key: string; readonly offset: number}; res: {readonly bytes?: Uint8Array}};
 	}
 }
--- a/src/mirror/mirror-copy.ts
+++ b/src/mirror/mirror-copy.ts
@@ -9,25 +9,25 @@
 import {formatPlaced, getGeneration} from './store-generation.js';
 import {applyStateDifference, getStateDifference, type StateDifference} from './state-difference.js';
 
-/** What a host holds of the store, and until when that was complete. */
+/** A host's copy of the store, and the time up to which it was confirmed to be complete. */
 export type MirrorCopy = {
 	readonly state: MirrorState;
 	readonly contentsId: ContentsId;
-	/** Elapsed time at which the last confirmation that the copy was complete had been asked for; undefined before the first. */
+	/** Elapsed time at which the last confirmation that the copy was complete was requested; undefined before the first. */
 	readonly confirmedAt: number | undefined;
-	/** The same, of the last confirmation by the store itself, at this host or a peer. */
+	/** The same for the last confirmation by the store itself, to this host or to a peer. */
 	readonly storeConfirmedAt: number | undefined;
-	/** The same, of the last confirmation by the store that the configuration is the latest. */
+	/** The same for the last confirmation by the store that the configuration is the latest. */
 	readonly routingConfirmedAt: number | undefined;
-	/** Takes over what was read, unless that is older. */
+	/** Applies what was read from the store, unless it is older than the copy. */
 	adopt(read: MirrorState): void;
-	/** Takes over what a peer sent, complete up to `revision`; false where that does not fit to what is held. */
+	/** Applies a difference from a peer whose copy is complete up to `revision`; returns false if it is older than the copy or does not match its contents. */
 	adoptDifference(difference: StateDifference, revision: number): boolean;
-	/** Notes that the copy was complete at the elapsed time `at`, and that the store itself had confirmed it at `storeAt`. */
+	/** Records that the copy was complete at the elapsed time `at`, and that the store itself had confirmed it at `storeAt`. */
 	noteConfirmed(at: number, storeAt?: number): void;
-	/** Called after each change of the contents. */
+	/** Calls `listener` after each change of the contents. */
 	onContents(listener: (state: MirrorState, id: ContentsId) => void): void;
-	/** Called after each confirmation, with what was taken over before. */
+	/** Calls `listener` after each confirmation, once the contents that it confirms are applied. */
 	onChange(listener: () => void): void;
 };
 
@@ -42,22 +42,22 @@
 
 	const routingConfirmation = createRoutingConfirmation();
 
-	const noteGeneration = (before: MirrorState, read: MirrorState) => {
+	const detectRestore = (before: MirrorState, read: MirrorState) => {
 		const isFirst = before.revision === 0;
-		const hasReturned = isFirst ? holdsRecordsOfBefore(read) : getGeneration(read.revision) !== getGeneration(before.revision);
-		if (!hasReturned) {
+		const isRestored = isFirst ? holdsRecordsOfBefore(read) : getGeneration(read.revision) !== getGeneration(before.revision);
+		if (!isRestored) {
 			return;
 		}
 
-		routingConfirmation.noteReturn((isFirst ? read : before).routing?.version ?? 0);
+		routingConfirmation.noteRestore((isFirst ? read : before).routing?.version ?? 0);
 		log.warn('the store has come back from a copy', {
 			generation: getGeneration(read.revision), held: formatPlaced(before.revision), revision: formatPlaced(read.revision), routing: before.routing?.version, routingRead: read.routing?.version,
 		});
 	};
 
-	const take = (read: MirrorState) => {
+	const replaceState = (read: MirrorState) => {
 		const before = state;
-		noteGeneration(before, read);
+		detectRestore(before, read);
 		state = {...read, routing: getLaterRouting(before.routing, read.routing), leadership: getLaterLeadership(before.leadership, read.leadership)};
 		if (state.routing?.version !== before.routing?.version) {
 			log.info('a configuration is in force', {version: state.routing?.version, before: before.routing?.version, revision: formatPlaced(state.revision)});
@@ -93,9 +93,9 @@
 				return;
 			}
 
-			// By way of the difference, so that what has not changed stays the same object: others look only at what is another one.
+			// Applied as a difference, so that unchanged parts stay the same objects: readers of the state detect changes by identity.
 			const difference = getStateDifference(state, contentsId, read, getContentsId(read));
-			take(applyStateDifference(state, contentsId, difference, read.revision) ?? read);
+			replaceState(applyStateDifference(state, contentsId, difference, read.revision) ?? read);
 		},
 		adoptDifference(difference, revision) {
 			if (revision < state.revision) {
@@ -104,7 +104,7 @@
 
 			const next = applyStateDifference(state, contentsId, difference, revision);
 			if (next) {
-				take(next);
+				replaceState(next);
 			}
 
 			return next !== undefined;
--- a/src/mirror/mirror-state.ts
+++ b/src/mirror/mirror-state.ts
@@ -6,12 +6,12 @@
 import type {StoredRecord} from './metadata-store.js';
 import {getGeneration} from './store-generation.js';
 
-/** A record with the version that a conditional update has to name. */
+/** A record with the version that its next conditional update must name. */
 export type Versioned<T> = T & {readonly version: number};
 
-/** All that a proxy holds of the store, complete up to one revision. */
+/** The contents of a proxy's copy of the store, complete up to one revision. */
 export type MirrorState = {
-	/** 0 before the first reading. */
+	/** 0 before the first read. */
 	readonly revision: number;
 	readonly routing?: Routing;
 	readonly endpoints: readonly RegisteredEndpoint[];
@@ -20,17 +20,17 @@
 	readonly hosts: ReadonlyArray<Versioned<HostRecord>>;
 };
 
-/** What is known before anything was read. */
+/** The state before the first read. */
 export const EMPTY_STATE: MirrorState = {
 	revision: 0, endpoints: [], leadership: new Map(), hosts: [],
 };
 
-/** Whether it shows records of an earlier generation that nobody has written again yet: the store came back from a copy not long ago. */
+/** Returns whether the state holds records that have not been rewritten in the current store generation, which is so for a while after a store restore. */
 export function holdsRecordsOfBefore({hosts, leadership, revision}: MirrorState): boolean {
 	return [...hosts, ...leadership.values()].some(record => !isAffirmed(record, revision));
 }
 
-/** Decodes the records of leadership and of the duty; what cannot be read is taken as in {@link getUnreadableLeadership} and {@link getUnreadableDuty}. */
+/** Decodes the leadership records and the failover lease; unreadable ones are replaced by {@link getUnreadableLeadership} and {@link getUnreadableDuty}. */
 export function decodeLeadership(records: readonly StoredRecord[]): Pick<MirrorState, 'leadership' | 'duty'> {
 	const leadership = new Map<string, Versioned<LeadershipRecord>>();
 	let duty: Versioned<DutyRecord> | undefined;
@@ -49,29 +49,29 @@
 	return {leadership, duty};
 }
 
-/** Decodes the hosts' records; one that cannot be read stands for a host that is gone, which may hold evidence and registers anew. */
+/** Decodes the hosts' records; an unreadable one is taken for an unresponsive host, which may still hold primary leases and registers again. */
 export function decodeHosts(records: readonly StoredRecord[]): MirrorState['hosts'] {
 	return records.map(({name, version, value}) => ({...(parseHost(value) ?? getUnreadableHost(name)), version}));
 }
 
-/** The later of two versions of the configuration: what was once in force is never replaced by what came before it. */
+/** Returns the later of two configurations: the one in force is never replaced by an earlier version. */
 export function getLaterRouting(held: Routing | undefined, read: Routing | undefined): Routing | undefined {
 	return held && (!read || read.version < held.version) ? held : read;
 }
 
 /**
- * The groups' records as read, but for those that were held in a later epoch.
+ * Returns the groups' records as read, except for those that are held in a later epoch.
  *
- * Guards against a store that came back from a copy and names a primary which was replaced since. What it lost stays here until a host has written it again; its
- * next update names the version that the store has by now.
+ * Guards against a restored store that names a primary which was replaced after the backup. The records that the store lost are kept here until a host has rewritten
+ * them; their next update names the version that the store has now.
  */
 export function getLaterLeadership(held: MirrorState['leadership'], read: MirrorState['leadership']): MirrorState['leadership'] {
 	const later = [...held.values()].filter(({group, epoch}) => epoch > (read.get(group)?.epoch ?? 0));
-	return later.length === 0 ? read : new Map([...read, ...later.map(record => [record.group, withVersionRead(record, read.get(record.group))] as const)]);
+	return later.length === 0 ? read : new Map([...read, ...later.map(record => [record.group, withLaterVersion(record, read.get(record.group))] as const)]);
 }
 
-/** A record that was read before with what the same generation of the store gave out for it is not older for that: lists are read one after the other. */
-function withVersionRead(record: Versioned<LeadershipRecord>, read: Versioned<LeadershipRecord> | undefined): Versioned<LeadershipRecord> {
+/** Returns a held record with the version that its next update must name. Within one generation the version held may be later than the one read, since lists are read one after the other. */
+function withLaterVersion(record: Versioned<LeadershipRecord>, read: Versioned<LeadershipRecord> | undefined): Versioned<LeadershipRecord> {
 	const version = read?.version ?? 0;
 	const isOfSame = getGeneration(record.version) === getGeneration(version);
 	return {...record, version: isOfSame ? Math.max(record.version, version) : version};
--- a/src/mirror/peer-choice.ts
+++ b/src/mirror/peer-choice.ts
@@ -1,23 +1,23 @@
 /**
- * Most hosts that confirm each other's copies by unanimity. Each asks each: 16 make 240 calls in 700 ms of an outage, 68 would make 4,500 and 900
- * would make 810,000, and one dead host spoils it. Larger fleets go by what endpoints show of fences.
+ * Maximum number of hosts that confirm each other's copies by unanimity. Each calls every other: 16 hosts make 240 calls in 700 ms of an outage, 68 would make 4,500 and 900
+ * would make 810,000, and one dead host prevents unanimity. Larger fleets rely on whether their endpoints show fences instead.
  */
-const MOST_UNANIMOUS_HOSTS = 16;
+const MAX_UNANIMOUS_HOSTS = 16;
 
-/** Peers that a host of a larger fleet asks at a time whether they reach the store. */
-const SOME_PEERS = 3;
+/** Number of peers that a host of a larger fleet asks per round whether they reach the store. */
+const PEERS_PER_ROUND = 3;
 
-/** Creates the choice of the peers that one host asks to confirm its copy: all where they are few enough to be unanimous, else some, by turns. */
+/** Creates the choice of the peers that a host asks to confirm its copy: all if they are few enough for unanimity, otherwise some, in rotation. */
 export function createPeerChoice(ownPeerAddress: string): (others: readonly string[]) => readonly string[] {
-	// Hosts begin with different peers.
-	let turn = [...ownPeerAddress].reduce((sum, letter) => sum + letter.codePointAt(0)!, 0);
+	// Hosts start the rotation at different peers.
+	let round = [...ownPeerAddress].reduce((sum, letter) => sum + letter.codePointAt(0)!, 0);
 
 	return others => {
-		if (others.length < MOST_UNANIMOUS_HOSTS) {
+		if (others.length < MAX_UNANIMOUS_HOSTS) {
 			return others;
 		}
 
-		turn++;
-		return Array.from({length: SOME_PEERS}, (_, i) => others[((turn * SOME_PEERS) + i) % others.length]!);
+		round++;
+		return Array.from({length: PEERS_PER_ROUND}, (_, i) => others[((round * PEERS_PER_ROUND) + i) % others.length]!);
 	};
 }
--- a/src/mirror/routing-confirmation.ts
+++ b/src/mirror/routing-confirmation.ts
@@ -1,48 +1,48 @@
-/** Knows until when the configuration was the latest that the operator has had acknowledged. */
+/** Tracks until when the configuration held was the latest one acknowledged to the operator. */
 export type RoutingConfirmation = {
 	/** Elapsed time; undefined before the first confirmation. */
 	readonly confirmedAt: number | undefined;
-	/** The store has come back from a copy; the configuration in force before has this version. */
-	noteReturn(version: number): void;
-	/** The store itself confirmed the copy at the elapsed time `storeAt`, with a configuration of this version. */
+	/** Records that the store was restored from a backup; `version` is that of the configuration that was in force. */
+	noteRestore(version: number): void;
+	/** Records that the store itself confirmed the copy at the elapsed time `storeAt`, with a configuration of this version. */
 	noteConfirmed(storeAt: number, version: number): void;
 };
 
-/** What the operator wrote is in a store that came back within so long, in milliseconds: as long as entries take that lapsed in an outage. */
-const WRITTEN_AGAIN_MS = 2000;
+/** Time within which the operator's configuration is written again to a restored store, in milliseconds: the same as for entries that expired in an outage. */
+const REWRITE_WINDOW_MS = 2000;
 
 /**
- * Creates the knowledge of a host that has read nothing.
+ * Creates the confirmation of a host that has not read the store yet.
  *
- * Guards against a revoked key that a host honours anew: the store came back without the configuration that took it away, and confirms the one before. Until the operator
- * has written again, which shows as a version above the one held or is awaited, only what was confirmed before the return counts.
+ * Guards against a host that accepts a revoked key again: the store was restored without the configuration that revoked the key, and confirms the one before. Until a version
+ * above the one held shows that the operator has written again, or the time for that has passed, only confirmations from before the restore count.
  */
 export function createRoutingConfirmation(): RoutingConfirmation {
 	let confirmedAt: number | undefined;
-	let open: {readonly version: number; readonly since?: number} | undefined;
+	let rewriteWindow: {readonly version: number; readonly since?: number} | undefined;
 
-	const isOpen = (storeAt: number, version: number) => {
-		if (!open || version > open.version) {
+	const isInRewriteWindow = (storeAt: number, version: number) => {
+		if (!rewriteWindow || version > rewriteWindow.version) {
 			return false;
 		}
 
-		open = {version: open.version, since: open.since ?? storeAt};
-		return storeAt < open.since! + WRITTEN_AGAIN_MS;
+		rewriteWindow = {version: rewriteWindow.version, since: rewriteWindow.since ?? storeAt};
+		return storeAt < rewriteWindow.since! + REWRITE_WINDOW_MS;
 	};
 
 	return {
 		get confirmedAt() {
 			return confirmedAt;
 		},
-		noteReturn(version) {
-			open = {version};
+		noteRestore(version) {
+			rewriteWindow = {version};
 		},
 		noteConfirmed(storeAt, version) {
-			if (isOpen(storeAt, version)) {
+			if (isInRewriteWindow(storeAt, version)) {
 				return;
 			}
 
-			open = undefined;
+			rewriteWindow = undefined;
 			confirmedAt = Math.max(confirmedAt ?? storeAt, storeAt);
 		},
 	};
--- a/src/mirror/state-difference.ts
+++ b/src/mirror/state-difference.ts
@@ -7,20 +7,20 @@
 import {EMPTY_PART, getContentsId, type ContentsId} from './contents-id.js';
 import {EMPTY_STATE, type MirrorState, type Versioned} from './mirror-state.js';
 
-/** What became of a list of items that have names. */
+/** The difference between two lists of named items. */
 export type ItemsDifference<T> = {
-	/** Items that are new or hold something else. */
+	/** Items that are new or have changed. */
 	readonly changed: readonly T[];
-	/** Names of items that are there no more. */
+	/** Names of items that were removed. */
 	readonly removed: readonly string[];
 };
 
-/** A part of a difference, with the name of the part that it was taken from. */
+/** A part of a difference, with the identifier of the part that it is relative to. */
 type FromPart<T, Id = string> = T & {readonly from: Id};
 
-/** What turns one copy's contents into another's; a part that is the same in both is left out. */
+/** The difference that turns one copy's contents into another's; parts that are equal are omitted. */
 export type StateDifference = {
-	/** Name of the contents that come out. */
+	/** Identifier of the resulting contents. */
 	readonly to: ContentsId;
 	readonly routing?: FromPart<{
 		readonly version: number;
@@ -39,7 +39,7 @@
 const getEndpointName = ({id}: RegisteredEndpoint) => id;
 const getGroup = ({group}: LeadershipRecord) => group;
 
-/** Takes the difference part by part; where one has the same name in both, it is left out. */
+/** Returns the difference between two states, part by part; parts with equal identifiers are omitted. */
 export function getStateDifference(base: MirrorState, baseId: ContentsId, next: MirrorState, to: ContentsId): StateDifference {
 	return {
 		to,
@@ -53,9 +53,9 @@
 }
 
 /**
- * Applies a difference, which then holds up to `revision`; undefined where it was taken from other contents, or does not lead to those that it names.
+ * Applies a difference and returns a state that is complete up to `revision`; undefined if the difference is relative to other contents, or its result does not match the identifier in `to`.
  *
- * Guards against a copy that is put together of parts of two: what a lost, doubled or late message would leave has another name.
+ * Guards against a copy that mixes parts of two states: after a lost, duplicated or late message the identifiers do not match.
  */
 export function applyStateDifference(base: MirrorState, baseId: ContentsId, difference: StateDifference, revision: number): MirrorState | undefined {
 	const parts = [
--- a/src/mirror/store-generation.ts
+++ b/src/mirror/store-generation.ts
@@ -1,33 +1,33 @@
 /**
- * A store that comes back from a copy begins a new generation: its last changes are lost, and it gives their revisions out again. Numbers that must not go back
- * with it (revisions, versions of records, epochs, fencing tokens) carry the generation in their upper part, so that comparing them orders the states of the store
- * across any number of returns, and none is used twice. In generation 0 they are what the store gives out.
+ * A store that is restored from a backup begins a new generation: its last changes are lost, and it assigns their revisions again. Numbers that must never decrease
+ * (revisions, versions of records, epochs, fencing tokens) carry the generation in their upper part, so that comparing them orders the states of the store
+ * across any number of restores, and none is used twice. In generation 0 they equal the numbers that the store assigns.
  */
 
-/** Numbers of one generation: more changes than a store sees in a century at a thousand a second lie below, and two million generations fit into a safe integer. */
-const SPAN = 2 ** 32;
+/** Count of the numbers in one generation: enough for a century of one change a second, or 49 days of a thousand, and two million generations fit into a safe integer. */
+const NUMBERS_PER_GENERATION = 2 ** 32;
 
-/** Places a number that the store gave out in a generation among those of all generations. */
+/** Qualifies a number that the store assigned by its generation, so that it can be compared across generations. */
 export function placeInGeneration(generation: number, number: number): number {
-	return (generation * SPAN) + number;
+	return (generation * NUMBERS_PER_GENERATION) + number;
 }
 
-/** The generation of a number. */
+/** Returns the generation of a qualified number. */
 export function getGeneration(placed: number): number {
-	return Math.floor(placed / SPAN);
+	return Math.floor(placed / NUMBERS_PER_GENERATION);
 }
 
-/** The number as the store gave it out. */
+/** Returns a qualified number as the store assigned it. */
 export function getWithinGeneration(placed: number): number {
-	return placed % SPAN;
+	return placed % NUMBERS_PER_GENERATION;
 }
 
-/** The number that follows the last one that is known, above all that were given in earlier generations, known or lost. */
+/** Returns the number that follows the last known one and is above all numbers assigned in earlier generations, known or lost. */
 export function getNextInGeneration(generation: number, last: number): number {
-	return Math.max(last, generation * SPAN) + 1;
+	return Math.max(last, generation * NUMBERS_PER_GENERATION) + 1;
 }
 
-/** Writes a number for a log line, the generation first where there is one. */
+/** Formats a qualified number for the log, with the generation first unless that is 0. */
 export function formatPlaced(placed: number): string {
 	const generation = getGeneration(placed);
 	return generation === 0 ? String(placed) : `${generation}.${getWithinGeneration(placed)}`;
--- a/src/mirror/store-mirror.ts
+++ b/src/mirror/store-mirror.ts
@@ -10,42 +10,42 @@
 import type {MetadataStore} from './metadata-store.js';
 import type {UnfencedGroup} from './mirror-calls.js';
 import type {MirrorState} from './mirror-state.js';
-import {createNewsAnswers} from './news-answers.js';
-import {createNewsQuestions} from './news-questions.js';
-import {createNewsSource} from './news-source.js';
-import {createPeerHelp} from './peer-help.js';
-import {createReadPermit} from './read-permit.js';
+import {createChangeFeedServer} from './change-feed-server.js';
+import {createChangeFeedClient} from './change-feed-client.js';
+import {createChangeFeedSource} from './change-feed-source.js';
+import {createPeerConfirmation} from './peer-help.js';
+import {createReadRateLimiter} from './read-rate-limiter.js';
 import {createStoreReader} from './store-reader.js';
-import {createUnheardHosts} from './unheard-hosts.js';
+import {createSilentHosts} from './silent-hosts.js';
 
-/** A copy of the store's contents that knows until when it was complete. */
+/** A copy of the store's contents, with the time up to which it was confirmed to be complete. */
 export type StoreMirror = {
 	readonly state: MirrorState;
-	/** Elapsed time at which the last confirmation that the copy was complete had been asked for; undefined before the first. */
+	/** Elapsed time at which the last confirmation that the copy was complete was requested; undefined before the first. */
 	readonly confirmedAt: number | undefined;
-	/** The same, of the last confirmation by the store itself, at this host or a peer. */
+	/** The same for the last confirmation by the store itself, to this host or to a peer. */
 	readonly storeConfirmedAt: number | undefined;
-	/** The same, of the last confirmation by the store that the configuration is the latest. */
+	/** The same for the last confirmation by the store that the configuration is the latest. */
 	readonly routingConfirmedAt: number | undefined;
-	/** Reads the store, or asks peers; true where the copy was found complete at a time after the call. */
+	/** Reads the store, or asks peers; resolves with whether the copy was confirmed to be complete at a time after the call. */
 	confirm(): Promise<boolean>;
-	/** Has the copy confirmed soon, without waiting. */
+	/** Requests a confirmation without waiting for it. */
 	confirmSoon(): void;
-	/** Confirms by one peer alone, as it told of a change. */
+	/** Has one peer, which reported a change, read the store, and applies its response; resolves with whether that confirmed the copy. */
 	confirmBy(peerAddress: string): Promise<boolean>;
-	/** Resolves with the next confirmation that comes by itself. */
+	/** Resolves at the next confirmation, without requesting one. */
 	nextConfirmation(): Promise<void>;
-	/** Tells the hosts that ask this one of groups whose endpoints showed no fence. */
+	/** Notifies the hosts that poll this one of the groups whose endpoints showed no fence. */
 	tellUnfenced(): void;
-	/** This host reads the store for all. */
+	/** Whether this host reads the store for all others. */
 	readonly readsForAll: boolean;
-	/** Steady time at which a peer last asked this host for news; undefined where it never did. */
+	/** Returns the steady time at which a peer last polled this host; undefined if it never did. */
 	getHeardAt(peerAddress: string): number | undefined;
-	/** Addresses of hosts that nobody heard for `quietMs`, as far as those that ask this host tell. */
-	getUnheard(quietMs: number): readonly string[];
-	/** Called after each change of the copy and after each confirmation. */
+	/** Returns the addresses of hosts that have polled nobody for `silentAfterMs` milliseconds, as far as this host and those that poll it know. */
+	getUnheard(silentAfterMs: number): readonly string[];
+	/** Calls `listener` after each confirmation, once the contents that it confirms are applied. */
 	onChange(listener: () => void): void;
-	/** Confirms at an interval until stopped: one host reads the store, the others have its news along a tree. */
+	/** Confirms the copy at an interval until stopped: one host reads the store, and the others receive its updates along a tree. */
 	start(): Promise<void>;
 	stop(): Promise<void>;
 };
@@ -57,44 +57,44 @@
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
 	readonly log: Log;
-	/** This host as it registers itself. */
+	/** The record under which this host registers. */
 	readonly host: HostRecord;
 	/** Peers to ask before any host is known. */
 	readonly seeds: readonly string[];
-	/** Groups that this host is changing, or may have changed without knowing. */
+	/** Returns the groups that this host is changing, or may have changed without knowing. */
 	getChanging(): readonly string[];
-	/** Groups whose primaries hold, by what their endpoints showed after the copy was last confirmed. */
+	/** Returns the groups whose primaries remain valid because their endpoints, queried after the copy was last confirmed, showed no fence. */
 	getUnfenced(now: number): readonly UnfencedGroup[];
-	/** Takes over from a peer that a group's endpoints showed no fence, as asked at the elapsed time `askedAt`. */
-	noteUnfenced(group: string, epoch: number, askedAt: number): void;
+	/** Records a peer's report that a group's endpoints showed no fence when they were queried at the elapsed time `queriedAt`. */
+	noteUnfenced(group: string, epoch: number, queriedAt: number): void;
 };
 
 /**
- * Pause between confirmations, in milliseconds. A confirmation costs one call to the store, which is priced, and how
- * old evidence may get bounds it from above: four tries fit into that bound.
+ * Interval between confirmations, in milliseconds. Each costs one call to the store, and calls are billed; the maximum
+ * age of a primary lease bounds the interval from above, and four attempts fit into that age.
  */
 export const CONFIRM_INTERVAL_MS = 700;
 
-/** A host that is asked for news answers after so long at the latest, in milliseconds: an interval and a reading. */
-const HOLD_MS = CONFIRM_INTERVAL_MS + 200;
+/** Maximum time for which a poll is held, in milliseconds: one interval and the time for a read of the store. */
+const POLL_HOLD_MS = CONFIRM_INTERVAL_MS + 200;
 
-/** The same for a host whose news is overdue, in milliseconds: it is to find out soon whether the one that it asks is still there. */
+/** The same for a host whose confirmation is overdue, in milliseconds: it has to detect soon whether the host that it polls is still alive. */
 const OVERDUE_HOLD_MS = 200;
 
-/** The store is given this long before peers are asked too, in milliseconds; some forty times its usual answer. */
-const PEER_HELP_AFTER_MS = 250;
+/** Time for which the store may take to respond before peers are asked too, in milliseconds: about forty times its usual response time. */
+const ASK_PEERS_AFTER_MS = 250;
 
-/** A confirmation that is older is overdue, in milliseconds: two intervals. */
+/** Age above which a confirmation is overdue, in milliseconds: two intervals. */
 const OVERDUE_MS = 2 * CONFIRM_INTERVAL_MS;
 
-/** A host whose confirmation is overdue waits so long for the host that it asks before it looks for itself, in milliseconds. */
+/** Time for which a host whose confirmation is overdue waits for the host that it polls before it reads the store itself, in milliseconds. */
 const OVERDUE_WAIT_MS = 250;
 
-/** Pause after an answer that told nothing, in milliseconds. */
-const NOTHING_NEW_PAUSE_MS = 100;
+/** Pause after a response without anything new, in milliseconds. */
+const NO_UPDATE_PAUSE_MS = 100;
 
-/** A host is told to its parent as silent after so long, in milliseconds: four of its questions. */
-const QUIET_MS = 3000;
+/** Time without a poll after which a host is reported to the parent as silent, in milliseconds: about four polls. */
+const SILENT_AFTER_MS = 3000;
 
 /** Creates a mirror. */
 export function createStoreMirror(options: StoreMirrorOptions): StoreMirror {
@@ -102,9 +102,9 @@
 	const log = options.log.part('mirror: ');
 	const stopping = createSleepAlarm();
 	const copy = createMirrorCopy(log);
-	const source = createNewsSource(copy, host, options.seeds, log);
-	const unheard = createUnheardHosts(clock.now());
-	const permit = createReadPermit();
+	const source = createChangeFeedSource(copy, host, options.seeds, log);
+	const silentHosts = createSilentHosts(clock.now());
+	const readRateLimiter = createReadRateLimiter();
 	let running: Promise<boolean> | undefined;
 	let queued: Promise<boolean> | undefined;
 	let wake = createSleepAlarm();
@@ -121,11 +121,11 @@
 			copy.noteConfirmed(askedAt, askedAt);
 		},
 	});
-	const getUnheard = (quietMs: number) => unheard.getUnheard(source.getTree(), host, quietMs, clock.now());
-	const questions = createNewsQuestions({
-		peers, copy, elapsedClock, log, getUnheard: () => getUnheard(QUIET_MS), noteUnfenced: options.noteUnfenced,
+	const getSilent = (silentAfterMs: number) => silentHosts.getSilent(source.getTree(), host, silentAfterMs, clock.now());
+	const feedClient = createChangeFeedClient({
+		peers, copy, elapsedClock, log, getSilent: () => getSilent(SILENT_AFTER_MS), noteUnfenced: options.noteUnfenced,
 	});
-	const answers = createNewsAnswers({
+	const feedServer = createChangeFeedServer({
 		peers,
 		copy,
 		clock,
@@ -133,45 +133,45 @@
 		getChanging: options.getChanging,
 		getUnfenced: options.getUnfenced,
 		readAfterNow: reader.readAfterNow,
-		onQuestion(from, question) {
-			unheard.note(from, question.unheard, clock.now());
+		onRequest(from, request) {
+			silentHosts.noteRequest(from, request.unheard, clock.now());
 		},
 	});
-	const help = createPeerHelp({
+	const peerConfirmation = createPeerConfirmation({
 		copy,
 		elapsedClock,
 		log,
 		ownPeerAddress: host.peerAddress,
 		getChanging: options.getChanging,
 		getOthers: source.getOthers,
-		askPeer: questions.askUrgently,
+		askPeer: feedClient.pollUrgently,
 	});
 
-	/** What was last told to those that ask this host. */
-	let told: {readonly revision: number; readonly confirmedAt?: number} = {revision: 0};
+	/** What the hosts that poll this one were last notified of. */
+	let lastSent: {readonly revision: number; readonly confirmedAt?: number} = {revision: 0};
 
 	copy.onChange(() => {
-		if (told.revision !== copy.state.revision || told.confirmedAt !== copy.confirmedAt) {
-			told = {revision: copy.state.revision, confirmedAt: copy.confirmedAt};
-			answers.tell();
+		if (lastSent.revision !== copy.state.revision || lastSent.confirmedAt !== copy.confirmedAt) {
+			lastSent = {revision: copy.state.revision, confirmedAt: copy.confirmedAt};
+			feedServer.respond();
 		}
 
-		const woken = confirmationWaiters;
+		const waiters = confirmationWaiters;
 		confirmationWaiters = [];
-		for (const resolve of woken) {
+		for (const resolve of waiters) {
 			resolve();
 		}
 	});
 
 	const confirmOnce = async () => {
 		const own = reader.readAfterNow();
-		const first = await withinMs(clock, PEER_HELP_AFTER_MS, own);
+		const first = await withinMs(clock, ASK_PEERS_AFTER_MS, own);
 		if (!first.timedOut && first.value) {
 			return true;
 		}
 
-		const helped = help.ask();
-		const either = await Promise.race([helped, own.then(async confirmed => confirmed || helped)]);
+		const confirmedByPeers = peerConfirmation.confirm();
+		const either = await Promise.race([confirmedByPeers, own.then(async confirmed => confirmed || confirmedByPeers)]);
 		return either || own;
 	};
 
@@ -190,30 +190,30 @@
 		return queued;
 	};
 
-	/** Reads the store out of turn, as far as all hosts together may; has nobody read for this host, since the one that reads for all has that done. */
+	/** Reads the store outside the schedule, within the rate that all hosts share. It asks no peers to read in its place, since the host that reads for all does that. */
 	const readOutOfTurn = () => {
-		if (permit.take(source.getOthers().length + 1, clock.now())) {
+		if (readRateLimiter.take(source.getOthers().length + 1, clock.now())) {
 			void reader.readAfterNow();
 		}
 	};
 
 	const isOverdue = () => copy.confirmedAt === undefined || elapsedClock.elapsed() - copy.confirmedAt > OVERDUE_MS;
 
-	const askParent = async (parent: string) => {
+	const pollParent = async (parent: string) => {
 		const overdue = isOverdue();
-		const asked = questions.ask(parent, overdue ? OVERDUE_HOLD_MS : HOLD_MS);
+		const polled = feedClient.poll(parent, overdue ? OVERDUE_HOLD_MS : POLL_HOLD_MS);
 		if (overdue) {
-			const first = await withinMs(clock, OVERDUE_WAIT_MS, asked);
+			const first = await withinMs(clock, OVERDUE_WAIT_MS, polled);
 			if (first.timedOut || !first.value?.isNew) {
 				readOutOfTurn();
 			}
 		}
 
-		const answer = await asked;
-		if (!answer) {
+		const result = await polled;
+		if (!result) {
 			source.avoid(parent, clock.now());
-		} else if (!answer.isNew) {
-			await clock.sleep(NOTHING_NEW_PAUSE_MS, stopping);
+		} else if (!result.isNew) {
+			await clock.sleep(NO_UPDATE_PAUSE_MS, stopping);
 		}
 	};
 
@@ -225,7 +225,7 @@
 				await confirm();
 				await clock.sleep(CONFIRM_INTERVAL_MS, wake);
 			} else {
-				await askParent(parent);
+				await pollParent(parent);
 			}
 
 			await nextTurn();
@@ -256,20 +256,20 @@
 			}
 		},
 		async confirmBy(address) {
-			const answer = await questions.askUrgently(address);
-			return answer?.confirmed ?? false;
+			const result = await feedClient.pollUrgently(address);
+			return result?.confirmed ?? false;
 		},
 		async nextConfirmation() {
 			return new Promise(resolve => {
 				confirmationWaiters.push(resolve);
 			});
 		},
-		tellUnfenced: answers.tellSoon,
+		tellUnfenced: feedServer.respondSoon,
 		get readsForAll() {
 			return readsForAll();
 		},
-		getHeardAt: unheard.getHeardAt,
-		getUnheard,
+		getHeardAt: silentHosts.getLastPolledAt,
+		getUnheard: getSilent,
 		onChange: copy.onChange,
 		async start() {
 			void run();
--- a/src/mirror/store-reader.ts
+++ b/src/mirror/store-reader.ts
@@ -8,7 +8,7 @@
 
 /** Reads the store for the mirror. */
 export type StoreReader = {
-	/** Reads once more after now, shared by all who ask meanwhile; true where the copy was found complete. */
+	/** Reads the store once after this call, shared by all that call meanwhile; resolves with whether the copy was confirmed to be complete. */
 	readAfterNow(): Promise<boolean>;
 };
 
@@ -18,24 +18,24 @@
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
 	readonly log: Log;
-	/** Revision that the copy is complete up to. */
+	/** Returns the revision that the copy is complete up to. */
 	getRevision(): number;
-	/** Takes over what was read. */
+	/** Applies what was read. */
 	adopt(read: MirrorState): void;
-	/** The copy was complete at the elapsed time of asking. */
+	/** Called when the copy is confirmed to have been complete at the elapsed time `askedAt` of the request. */
 	onConfirmed(askedAt: number): void;
 };
 
-/** Longest call to the store, in milliseconds: the store at a hundred times its usual 4 ms still answers in time. */
+/** Timeout of a call to the store, in milliseconds: a store that takes a hundred times its usual 4 ms still responds in time. */
 const STORE_TIMEOUT_MS = 900;
 
 /**
- * A store that did not answer is left alone for so long, in milliseconds. Guards against an outage in which it refuses at once: whoever waits for
- * evidence asks again and again, each time a priced call, which finds the store's return no sooner.
+ * Pause after a call to the store that failed, in milliseconds. Guards against an outage in which the store refuses at once: whoever waits for a
+ * primary lease would request read after read, each a billed call, without detecting any sooner that the store has recovered.
  */
 const PAUSE_AFTER_FAILURE_MS = 200;
 
-/** Creates a reader. */
+/** Creates a reader that keeps one read in progress at a time. */
 export function createStoreReader({store, clock, elapsedClock, log, getRevision, adopt, onConfirmed}: StoreReaderOptions): StoreReader {
 	let reading: Promise<boolean> | undefined;
 	let queued: Promise<boolean> | undefined;
@@ -56,7 +56,7 @@
 		}
 	};
 
-	/** Whether the copy lacks what the store has by now. Throws PlatformError where the answer is of an earlier generation than the copy, which a peer had read. */
+	/** Returns whether the store is ahead of the copy. Throws PlatformError if the response is of an earlier generation than the copy, which then came from a peer. */
 	const isBehind = (answered: number) => {
 		if (getGeneration(answered) < getGeneration(getRevision())) {
 			throwPlatformSilent('get the revision', new Error('the answer is of an earlier generation of the store'));
@@ -94,7 +94,7 @@
 		try {
 			const held = getRevision();
 			const answered = held === 0 ? undefined : await store.getRevision(STORE_TIMEOUT_MS);
-			// A revision not above the copy's proves the copy complete at the time of asking: each change of anything raises it, and so does each return from a copy.
+			// A revision not above the copy's proves that the copy was complete at the time of the request: each change raises it, and so does each store restore.
 			if (answered === undefined || isBehind(answered)) {
 				await readAll();
 			}
@@ -109,7 +109,7 @@
 		}
 	};
 
-	/** One reading at a time; whoever asks meanwhile shares the next one, which begins after the question. */
+	/** Runs one read at a time; callers that come meanwhile share the next one, which begins after their call. */
 	const readAfterNow = async (): Promise<boolean> => {
 		if (!reading) {
 			reading = readStore().finally(() => {
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -147,12 +147,12 @@
 	{
 		name: 'tell-changing',
 		without: 'a change under way told to others',
-		changes: [{file: 'src/mirror/news-answers.ts', from: 'changing: options.getChanging(),', to: 'changing: [],'}],
+		changes: [{file: 'src/mirror/change-feed-server.ts', from: 'changing: options.getChanging(),', to: 'changing: [],'}],
 	},
 	{
 		name: 'all-hosts',
 		without: 'the word of every host: a few suffice where the store does not confirm',
-		changes: [{file: 'src/mirror/peer-help.ts', from: '&& answers.every(answer => answer?.revision === revision', to: '&& answers.some(answer => answer?.revision === revision'}],
+		changes: [{file: 'src/mirror/peer-help.ts', from: '&& responses.every(response => response?.revision === revision', to: '&& responses.some(response => response?.revision === revision'}],
 	},
 	{
 		name: 'after-wait',
--- a/tests/mirror/news-questions-tests.ts
+++ b/tests/mirror/change-feed-client-tests.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
 import {createSilentLog} from '../../src/log/silent-log.js';
-import type {StoreNews} from '../../src/mirror/mirror-calls.js';
+import type {StoreUpdate} from '../../src/mirror/mirror-calls.js';
 import {createMirrorCopy} from '../../src/mirror/mirror-copy.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
-import {createNewsQuestions} from '../../src/mirror/news-questions.js';
+import {createChangeFeedClient} from '../../src/mirror/change-feed-client.js';
 import {placeInGeneration} from '../../src/mirror/store-generation.js';
 import type {Peers} from '../../src/peers/peers.js';
 
@@ -14,11 +14,11 @@
 });
 
 /** Asks one host, which answers with `news` 40 ms after the question; meanwhile something may happen here. */
-async function ask(news: Partial<StoreNews>, meanwhile?: MirrorState) {
+async function ask(news: Partial<StoreUpdate>, meanwhile?: MirrorState) {
 	let now = 1000;
 	const copy = createMirrorCopy(createSilentLog());
 	copy.adopt(createState(10, ['a']));
-	const questions = createNewsQuestions({
+	const questions = createChangeFeedClient({
 		peers: {
 			async call() {
 				now += 40;
@@ -34,15 +34,15 @@
 		copy,
 		elapsedClock: {elapsed: () => now},
 		log: createSilentLog(),
-		getUnheard: () => [],
+		getSilent: () => [],
 		noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	});
-	const answer = await questions.ask('b:7000', 900);
+	const answer = await questions.poll('b:7000', 900);
 	return {copy, answer};
 }
 
 describe('what a host takes from an answer', () => {
-	function doTest(what: string, news: Partial<StoreNews>, confirmedAt: number | undefined) {
+	function doTest(what: string, news: Partial<StoreUpdate>, confirmedAt: number | undefined) {
 		it(what, async () => {
 			const {copy} = await ask(news);
 			expect(copy.confirmedAt).to.equal(confirmedAt);
--- a/tests/mirror/contents-tests.ts
+++ b/tests/mirror/contents-tests.ts
@@ -73,7 +73,7 @@
 	function createLarge() {
 		const sender = createContentsSender();
 		const state = createState(5, {a: 1}, 1852);
-		sender.note(state, getContentsId(state));
+		sender.addContents(state, getContentsId(state));
 		return {sender, state, first: sender.getFirstPiece(EMPTY_ID)};
 	}
 
@@ -88,7 +88,7 @@
 	it('are small where only a little has changed', () => {
 		const {sender, state} = createLarge();
 		const next = {...state, revision: 6, hosts: createState(6, {a: 2}).hosts};
-		sender.note(next, getContentsId(next));
+		sender.addContents(next, getContentsId(next));
 		expect(sender.getFirstPiece(getContentsId(state)).size).to.be.lessThan(500);
 	});
 
--- a/tests/mirror/read-permit-tests.ts
+++ b/tests/mirror/read-rate-limiter-tests.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
-import {createReadPermit} from '../../src/mirror/read-permit.js';
+import {createReadRateLimiter} from '../../src/mirror/read-rate-limiter.js';
 
 describe('the permit to read the store out of turn', () => {
 	function doTest(hosts: number, afterMs: number, expected: boolean) {
 		it(`is ${expected ? '' : 'not '}given again ${afterMs} ms later to one of ${hosts} hosts`, () => {
-			const permit = createReadPermit();
+			const permit = createReadRateLimiter();
 			expect(permit.take(hosts, 1000)).to.equal(true);
 			expect(permit.take(hosts, 1000 + afterMs)).to.equal(expected);
 		});
