--- a/src/membership/create-hosts.ts
+++ b/src/membership/create-hosts.ts
@@ -7,48 +7,48 @@
 import {createLeavingHosts} from './leaving-hosts.js';
 import {createUnreachableHosts} from './unreachable-hosts.js';
 
-/** What membership needs. */
+/** What the membership of hosts needs. */
 export type HostsOptions = {
-	/** This host as its settings have it. */
+	/** This host as its settings describe it. */
 	readonly self: PlatformHost;
 	readonly platform: Platform;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Log;
-	/** Shortest time between two readings of the list, in milliseconds. */
+	/** Minimum time between two reads of the list, in milliseconds. */
 	readonly intervalMs?: number;
 };
 
 /** Membership with its life cycle. */
 export type LiveHosts = Hosts & Required<Service> & {
-	/** When the list was last read, on the clock's `now`; undefined before the first time. */
+	/** Time at which the list was last read, on the clock's `now`; undefined before the first read. */
 	readonly listReadAt: number | undefined;
 };
 
 const DEFAULT_INTERVAL_MS = 2000;
 
 /**
- * The platform's reads a second that all proxies together spend on the list, whatever their number.
+ * Reads per second that all proxies together spend on the list, however many they are.
  *
- * Of its 2,000 this leaves the rest to watches of the configuration. 900 proxies then read every 3 s, 9 every 2 s.
+ * The platform allows 2,000 reads a second; the rest is left to watches of the configuration. 900 proxies read every 3 s, 9 every 2 s.
  * With 900 proxies and 3,300 endpoints the list is 494 KB of JSON, 29 KB compressed: 165 KB a second for each proxy if
- * it came whole each time. The platform's client must therefore ask for it compressed and on condition that it changed,
- * and give the same array again where it did not; about 1,000 changes a day then cost 0.4 KB a second.
+ * it were sent in full each time. The platform's client must therefore request it compressed and only if it has changed,
+ * and return the same array if it has not; about 1,000 changes a day then cost 0.4 KB a second.
  */
 const FLEET_READS_PER_SECOND = 300;
 
-/** Share of the interval by which a reading may come earlier or later, so that hosts started together spread out. */
+/** Fraction of the interval by which a read may come earlier or later, so that the reads of hosts that start together spread out. */
 const JITTER = 0.1;
 
 const LIST_TIMEOUT_MS = 2000;
 
-/** Time between two readings of the list in milliseconds, for so many proxies and a number from 0 to 1. */
-export function getPollIntervalMs(proxies: number, shortestMs: number, fraction: number): number {
-	const intervalMs = Math.max(shortestMs, proxies / FLEET_READS_PER_SECOND * 1000);
+/** Returns the time between two reads of the list, in milliseconds, for a number of proxies; `fraction` from 0 to 1 determines the jitter. */
+export function getPollIntervalMs(proxies: number, minMs: number, fraction: number): number {
+	const intervalMs = Math.max(minMs, proxies / FLEET_READS_PER_SECOND * 1000);
 	return intervalMs * (1 - JITTER + (2 * JITTER * fraction));
 }
 
-/** Creates membership from the platform's list, which is read once in a while, and from this host's own links. */
+/** Creates the membership from the platform's list, which is read at an interval, and from what this host observes on its own links. */
 export function createHosts(options: HostsOptions): LiveHosts {
 	const {self, platform, clock, random} = options;
 	const log = options.log.part('hosts: ');
@@ -59,14 +59,14 @@
 	let proxies: readonly PlatformHost[] = [self];
 	let leavingEndpoints: ReadonlySet<string> = new Set();
 	let listReadAt: number | undefined;
-	let outage = false;
+	let isFailing = false;
 	let usable: readonly PlatformHost[] | undefined;
 	let usableUntil = 0;
 	let polling: Promise<void> | undefined;
 
-	const take = (next: readonly PlatformHost[]) => {
+	const applyList = (next: readonly PlatformHost[]) => {
 		const listed = next.filter(host => host.role === 'proxy');
-		// A list without a single proxy is a fault of the platform, since this host asks for it: the last list stands.
+		// A list without any proxy is a fault of the platform, since a proxy requests it: the last list remains in use.
 		if (next === list || listed.length === 0) {
 			return;
 		}
@@ -80,16 +80,16 @@
 
 	const read = async () => {
 		try {
-			take(await platform.hosts(LIST_TIMEOUT_MS));
+			applyList(await platform.hosts(LIST_TIMEOUT_MS));
 			listReadAt = clock.now();
-			if (outage) {
-				outage = false;
-				log.info('the list is read again');
+			if (isFailing) {
+				isFailing = false;
+				log.info('the list can be read again');
 			}
 		} catch (err) {
-			if (!outage) {
-				outage = true;
-				log.warn('the list cannot be read, the last one stands', {err: (err as Error).message});
+			if (!isFailing) {
+				isFailing = true;
+				log.warn('the list cannot be read; the last one remains in use', {err: (err as Error).message});
 			}
 		}
 	};
@@ -145,7 +145,7 @@
 	};
 }
 
-/** The list lags: it may lack this host, and have an address of its former life. */
+/** Adds this host to the list, which lags: it may lack this host, or hold the address of an earlier process of it. */
 function includeSelf(listed: readonly PlatformHost[], self: PlatformHost): readonly PlatformHost[] {
 	const own = listed.find(host => host.name === self.name);
 	const others = listed.filter(host => host.name !== self.name);
--- a/src/membership/create-owning.ts
+++ b/src/membership/create-owning.ts
@@ -2,31 +2,31 @@
 import {createHostRanking, type HostRanking} from './host-ranking.js';
 import type {Hosts, Owning} from './hosts.js';
 
-/** What the choice of owners needs. */
+/** What the selection of owners needs. */
 export type OwningOptions = {
 	readonly hosts: Hosts;
-	/** The availability zones of a group's endpoints, whose hosts own it before all others; empty where unknown. */
+	/** Returns the availability zones of a group's endpoints, whose hosts rank before all others; empty if unknown. */
 	getGroupZones?(group: string): readonly string[];
 };
 
-type Owners = {
+type CachedOwners = {
 	readonly count: number;
 	readonly nearZones: string;
 	readonly hosts: readonly PlatformHost[];
 };
 
 /**
- * Creates the choice of owners.
+ * Creates the selection of owners.
  *
- * Rankings last as long as the list of hosts, the owners of a group as long as the same hosts are usable. Hosts whose
- * lists differ for a moment may choose different owners: that costs connections and a second try, nothing else.
+ * Rankings are cached until the list of hosts changes, and the owners of a group until the set of usable hosts changes. Hosts whose
+ * lists differ for a moment may select different owners, which costs connections and a second try, nothing else.
  */
 export function createOwning({hosts, getGroupZones}: OwningOptions): Owning {
 	let rankedHosts: readonly PlatformHost[] | undefined;
 	let ranking: HostRanking<PlatformHost> = createHostRanking([]);
 	let usableHosts: readonly PlatformHost[] | undefined;
 	let usableNames: ReadonlySet<string> = new Set();
-	const ownersByGroup = new Map<string, Owners>();
+	const ownersByGroup = new Map<string, CachedOwners>();
 
 	const refresh = (now: number) => {
 		const all = hosts.getAll();
--- a/src/membership/host-ranking.ts
+++ b/src/membership/host-ranking.ts
@@ -1,25 +1,25 @@
 import {hashName} from './rendezvous.js';
 import {
-	compareWeighedHosts, createZoneRanking, type HashedHost, type RankableHost, type ZoneRanking,
+	compareByWeight, createZoneRanking, type HashedHost, type RankableHost, type ZoneRanking,
 } from './zone-ranking.js';
 
-/** The hosts of one list, ranked for any group. */
+/** Ranks the hosts of one list for any group. */
 export type HostRanking<T extends RankableHost> = {
 	/**
-	 * The first `count` usable hosts: the best-ranked host, then the best-ranked one of each further availability zone,
-	 * then each zone's second, and so on. Zones in `nearZones` go before all others.
+	 * Returns the first `count` usable hosts: the best-ranked host, then the best-ranked one of each further availability zone,
+	 * then each zone's second, and so on. Zones in `nearZones` precede all others.
 	 */
 	getOwners(group: string, count: number, options: RankingOptions<T>): readonly T[];
 };
 
-/** What a ranking takes into account beside the group's name. */
+/** What a ranking takes into account besides the group's name. */
 export type RankingOptions<T extends RankableHost> = {
 	isUsable(host: T): boolean;
-	/** Zones that hold the group's endpoints; empty where unknown. */
+	/** Zones that hold the group's endpoints; empty if unknown. */
 	readonly nearZones: readonly string[];
 };
 
-/** Prepares a list of hosts for ranking; a group is ranked when it is first asked for. */
+/** Prepares a list of hosts for ranking; a group's ranking is computed on its first use. */
 export function createHostRanking<T extends RankableHost>(hosts: readonly T[]): HostRanking<T> {
 	const zones = groupByZone(hosts);
 	const rankings = new Map<string, ReadonlyMap<string, ZoneRanking<T>>>();
@@ -41,19 +41,19 @@
 			const ranked = [...getRankings(group)];
 			const near = ranked.filter(([zone]) => nearZones.includes(zone));
 			const far = ranked.filter(([zone]) => !nearZones.includes(zone));
-			const owners = spread(near, count, isUsable);
-			return [...owners, ...spread(far, count - owners.length, isUsable)];
+			const owners = selectAcrossZones(near, count, isUsable);
+			return [...owners, ...selectAcrossZones(far, count - owners.length, isUsable)];
 		},
 	};
 }
 
-function spread<T extends RankableHost>(zones: ReadonlyArray<[string, ZoneRanking<T>]>, count: number, isUsable: RankingOptions<T>['isUsable']): readonly T[] {
+function selectAcrossZones<T extends RankableHost>(zones: ReadonlyArray<[string, ZoneRanking<T>]>, count: number, isUsable: RankingOptions<T>['isUsable']): readonly T[] {
 	const owners: T[] = [];
 	for (let rank = 0; owners.length < count; rank++) {
 		const round = zones
 			.map(([, ranking]) => ranking.getUsable(rank, isUsable))
-			.filter(weighed => weighed !== undefined)
-			.toSorted(compareWeighedHosts);
+			.filter(weighted => weighted !== undefined)
+			.toSorted(compareByWeight);
 		if (round.length === 0) {
 			break;
 		}
--- a/src/membership/hosts.ts
+++ b/src/membership/hosts.ts
@@ -1,26 +1,26 @@
 import type {PlatformHost} from '../object-store/platform.js';
 
-/** Which proxy hosts there are, from the platform's lagging list and from this host's own links. */
+/** The proxy hosts, as known from the platform's lagging list and from this host's own links. */
 export type Hosts = {
 	/** This host. */
 	readonly self: PlatformHost;
-	/** Every host on the last list seen, this one always among them. */
+	/** Returns every host on the last list read, always including this one. */
 	getAll(): readonly PlatformHost[];
-	/** Hosts that may be given work: live on the list and not found unreachable of late by this host. */
+	/** Returns the hosts that may be given work: live on the list, not stopping, and not recently found unreachable by this host. */
 	getUsable(now: number): readonly PlatformHost[];
-	/** Notes that a call to the host at that address failed to reach it. */
+	/** Records that a call failed to reach the host at that address. */
 	reportUnreachable(address: string, now: number): void;
-	/** Notes that the host at that address answered. */
+	/** Records that the host at that address responded. */
 	reportReachable(address: string): void;
-	/** Notes that the proxy at that address said that it is stopping: it owns nothing from now on, until it is long gone. */
+	/** Records that the proxy at that address reported that it is stopping: it is not usable as an owner until that report expires. */
 	reportLeaving(address: string, now: number): void;
-	/** Tells whether the list calls the host of the database server at that address leaving. */
+	/** Returns whether the list has the host of the database server at that address as leaving. */
 	isEndpointLeaving(address: string): boolean;
 };
 
-/** Ranks hosts as owners of groups. */
+/** Selects hosts as owners of groups. */
 export type Owning = {
-	/** The owners of a group in order of rank, `count` at most, spread over availability zones. */
+	/** Returns the owners of a group in order of rank, at most `count`, spread over availability zones. */
 	getOwners(group: string, count: number, now: number): readonly PlatformHost[];
 };
 
--- a/src/membership/is-host-alive.ts
+++ b/src/membership/is-host-alive.ts
@@ -3,12 +3,12 @@
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		/** Answered by a host that runs. */
+		/** Heartbeat request; any running host responds. */
 		'host-alive': {req: Record<string, never>; res: {readonly alive: true}};
 	}
 }
 
-/** Whether the host at `ip:port` gives a sign of life within `timeoutMs` milliseconds. */
+/** Returns whether the host at `ip:port` responds to a heartbeat request within `timeoutMs` milliseconds. */
 export async function isHostAlive(peers: Peers, address: string, timeoutMs: number): Promise<boolean> {
 	try {
 		await peers.call(address, 'host-alive', {}, timeoutMs);
--- a/src/membership/leaving-hosts.ts
+++ b/src/membership/leaving-hosts.ts
@@ -1,18 +1,18 @@
-/** The proxies that said of late that they are stopping, by address. */
+/** The proxies that recently reported that they are stopping, by address. */
 export type LeavingHosts = {
 	has(address: string, now: number): boolean;
 	add(address: string, now: number): void;
-	/** When the next word lapses, Infinity where there is none. */
+	/** Returns the time at which the next report expires; Infinity if there is none. */
 	getNextEnd(now: number): number;
 };
 
 /**
- * How long a proxy's word that it is stopping counts, in milliseconds.
+ * Time for which a proxy's report that it is stopping is valid, in milliseconds.
  *
- * Longer than a stop takes by default, so that the gap until its links break is bridged; bounded, since another process
+ * Longer than a stop takes by default, to cover the time until the proxy's links break; limited, since another process
  * may start at the same address before the platform's list has shown a change.
  */
-export const LEAVING_WORD_MS = 15_000;
+export const LEAVING_TTL_MS = 15_000;
 
 /** Creates an empty set. */
 export function createLeavingHosts(): LeavingHosts {
@@ -21,7 +21,7 @@
 	return {
 		has: (address, now) => now < (endsAt.get(address) ?? -Infinity),
 		add(address, now) {
-			endsAt.set(address, now + LEAVING_WORD_MS);
+			endsAt.set(address, now + LEAVING_TTL_MS);
 		},
 		getNextEnd(now) {
 			for (const [address, end] of endsAt) {
--- a/src/membership/rendezvous.ts
+++ b/src/membership/rendezvous.ts
@@ -1,38 +1,38 @@
 import xxhash from 'xxhashjs';
 
-/** The hash of a name, made once and mixed with many others; two signed integers of 32 bits. */
+/** The hash of a name, computed once and mixed with many others: two signed 32-bit integers. */
 export type NameHash = {
 	readonly high: number;
 	readonly low: number;
 };
 
-/** Names whose hashes are remembered: hosts are ranked anew with each change of one of them. */
-const REMEMBERED = 10_000;
+/** Maximum number of names whose hashes are cached: all hosts are ranked again whenever one of them changes. */
+const MAX_CACHED_HASHES = 10_000;
 
-const remembered = new Map<string, NameHash>();
+const cachedHashes = new Map<string, NameHash>();
 
 /** Hashes a name with xxHash64. */
 export function hashName(name: string): NameHash {
-	const known = remembered.get(name);
+	const known = cachedHashes.get(name);
 	if (known) {
 		return known;
 	}
 
-	if (remembered.size >= REMEMBERED) {
-		remembered.clear();
+	if (cachedHashes.size >= MAX_CACHED_HASHES) {
+		cachedHashes.clear();
 	}
 
 	const hash = BigInt(`0x${xxhash.h64(name, 0).toString(16)}`);
-	const made = {high: Number(BigInt.asIntN(32, hash >> 32n)), low: Number(BigInt.asIntN(32, hash))};
-	remembered.set(name, made);
-	return made;
+	const nameHash = {high: Number(BigInt.asIntN(32, hash >> 32n)), low: Number(BigInt.asIntN(32, hash))};
+	cachedHashes.set(name, nameHash);
+	return nameHash;
 }
 
 /**
- * The weight of a host for a group, an integer of 53 bits: the host with the highest weight ranks first.
+ * Returns the weight of a host for a group (rendezvous hashing), a 53-bit integer: the host with the highest weight ranks first.
  *
- * Every host computes the same, and a host that comes or goes changes no other's weight, so it moves only its own groups.
- * Two hashes are mixed in place of hashing both names together for each pair: a change of hosts costs no string work.
+ * Every host computes the same weights, and a host that is added or removed changes no other's weight, so only its own groups move.
+ * Two hashes are mixed instead of hashing both names together for each pair, so that a change of hosts needs no string operations.
  */
 export function getWeight(group: NameHash, host: NameHash): number {
 	const high = mix(group.high ^ host.high ^ mix(group.low ^ host.low));
--- a/src/membership/unreachable-hosts.ts
+++ b/src/membership/unreachable-hosts.ts
@@ -1,14 +1,14 @@
-/** The hosts that this host failed to reach of late, by address. */
+/** The hosts that this host recently failed to reach, by address. */
 export type UnreachableHosts = {
-	/** Tells whether the host is to be left alone at `now`. */
+	/** Returns whether the host's backoff runs at `now`, so that it is not to be called. */
 	has(address: string, now: number): boolean;
-	/** Notes a failure; tells whether it changed what `has` answers. */
+	/** Records a failure; returns whether that changed the result of `has`. */
 	add(address: string, now: number): boolean;
-	/** Forgets a host that answered; tells whether it was held. */
+	/** Removes a host that responded; returns whether it was in the set. */
 	delete(address: string): boolean;
-	/** When the next backoff ends, Infinity where none runs. */
+	/** Returns the time at which the next backoff ends; Infinity if none runs. */
 	getNextEnd(now: number): number;
-	/** Forgets every host that is not at one of these addresses. */
+	/** Removes every host that is not at one of these addresses. */
 	keepOnly(addresses: ReadonlySet<string>): void;
 };
 
@@ -18,10 +18,10 @@
 };
 
 /** First backoff, in milliseconds; each further failure doubles it. */
-const FIRST_BACKOFF_MS = 250;
+const INITIAL_BACKOFF_MS = 250;
 
-/** Longest backoff, in milliseconds. */
-const LONGEST_BACKOFF_MS = 5000;
+/** Maximum backoff, in milliseconds. */
+const MAX_BACKOFF_MS = 5000;
 
 /** Creates an empty set. */
 export function createUnreachableHosts(): UnreachableHosts {
@@ -35,13 +35,13 @@
 	return {
 		has,
 		add(address, now) {
-			// All calls on a broken link fail at once: together they are one failure.
+			// All calls on a broken link fail at once and count as one failure.
 			if (has(address, now)) {
 				return false;
 			}
 
 			const before = backoffs.get(address);
-			const ms = before ? Math.min(before.ms * 2, LONGEST_BACKOFF_MS) : FIRST_BACKOFF_MS;
+			const ms = before ? Math.min(before.ms * 2, MAX_BACKOFF_MS) : INITIAL_BACKOFF_MS;
 			backoffs.set(address, {ms, endsAt: now + ms});
 			return true;
 		},
--- a/src/membership/zone-ranking.ts
+++ b/src/membership/zone-ranking.ts
@@ -1,6 +1,6 @@
 import {getWeight, type NameHash} from './rendezvous.js';
 
-/** What a host is ranked by. */
+/** The properties by which a host is ranked. */
 export type RankableHost = {
 	readonly name: string;
 	readonly availabilityZone: string;
@@ -13,32 +13,32 @@
 };
 
 /** A host with its weight for one group. */
-export type WeighedHost<T extends RankableHost> = {
+export type WeightedHost<T extends RankableHost> = {
 	readonly host: T;
 	readonly weight: number;
 };
 
-/** The hosts of one availability zone as one group ranks them. */
+/** The ranking of one availability zone's hosts for one group. */
 export type ZoneRanking<T extends RankableHost> = {
-	/** The usable host at that rank, from 0; undefined past the last. */
-	getUsable(rank: number, isUsable: (host: T) => boolean): WeighedHost<T> | undefined;
+	/** Returns the usable host at that rank, from 0; undefined past the last. */
+	getUsable(rank: number, isUsable: (host: T) => boolean): WeightedHost<T> | undefined;
 };
 
-/** Hosts kept of each ranking: 1,100 groups would otherwise hold a million entries on a large fleet. */
-const KEPT = 4;
+/** Number of hosts kept per ranking: on a large fleet 1,100 groups would otherwise hold a million entries. */
+const KEPT_HOSTS = 4;
 
-/** Orders by weight, the heaviest first; names settle a tie the same way on every host. */
-export function compareWeighedHosts(left: WeighedHost<RankableHost>, right: WeighedHost<RankableHost>): number {
+/** Compares by weight, the highest first; ties are broken by name, so that every host has the same order. */
+export function compareByWeight(left: WeightedHost<RankableHost>, right: WeightedHost<RankableHost>): number {
 	return right.weight - left.weight || (left.host.name < right.host.name ? -1 : 1);
 }
 
-/** Ranks the hosts of a zone for a group when they are first asked for. */
+/** Creates the ranking of a zone's hosts for a group, which is computed on its first use. */
 export function createZoneRanking<T extends RankableHost>(zone: ReadonlyArray<HashedHost<T>>, group: NameHash): ZoneRanking<T> {
-	let kept: ReadonlyArray<WeighedHost<T>> | undefined;
+	let kept: ReadonlyArray<WeightedHost<T>> | undefined;
 
 	return {
 		getUsable(rank, isUsable) {
-			kept ??= rankHosts(zone, group, KEPT);
+			kept ??= rankHosts(zone, group, KEPT_HOSTS);
 			const usable = kept.filter(({host}) => isUsable(host));
 			if (rank < usable.length || kept.length === zone.length) {
 				return usable[rank];
@@ -49,9 +49,9 @@
 	};
 }
 
-/** The heaviest `count` hosts in order, by insertion: only few of many are wanted. */
-function rankHosts<T extends RankableHost>(hosts: ReadonlyArray<HashedHost<T>>, group: NameHash, count: number): ReadonlyArray<WeighedHost<T>> {
-	const ranked: Array<WeighedHost<T>> = [];
+/** Returns the `count` hosts of the highest weights in order, by insertion, since only a few of many are needed. */
+function rankHosts<T extends RankableHost>(hosts: ReadonlyArray<HashedHost<T>>, group: NameHash, count: number): ReadonlyArray<WeightedHost<T>> {
+	const ranked: Array<WeightedHost<T>> = [];
 	for (const {host, hash} of hosts) {
 		const weight = getWeight(group, hash);
 		if (ranked.length < count || weight >= ranked[count - 1]!.weight) {
@@ -63,11 +63,11 @@
 	return ranked;
 }
 
-function insert<T extends RankableHost>(ranked: Array<WeighedHost<T>>, weighed: WeighedHost<T>): void {
-	let place = ranked.length;
-	while (place > 0 && compareWeighedHosts(weighed, ranked[place - 1]!) < 0) {
-		place--;
+function insert<T extends RankableHost>(ranked: Array<WeightedHost<T>>, weighted: WeightedHost<T>): void {
+	let index = ranked.length;
+	while (index > 0 && compareByWeight(weighted, ranked[index - 1]!) < 0) {
+		index--;
 	}
 
-	ranked.splice(place, 0, weighed);
+	ranked.splice(index, 0, weighted);
 }
--- a/src/peers/create-peers.ts
+++ b/src/peers/create-peers.ts
@@ -2,7 +2,7 @@
 import type {Log} from '../log/log.js';
 import type {Random} from '../random/random.js';
 import type {Clock} from '../time/clock.js';
-import {authenticateWithin, createAnsweringLink, type AnsweringLink} from './answering-link.js';
+import {authenticateWithin, createIncomingLink, type IncomingLink} from './incoming-link.js';
 import type {PeerCredentials} from './peer-authentication.js';
 import {throwPeersStopped, throwPeerUnreachable} from './peer-errors.js';
 import {createPeerFigures, type PeerFigures} from './peer-figures.js';
@@ -13,7 +13,7 @@
 import type {PeerChannel, PeerTransport} from './peer-transport.js';
 import type {Peers} from './peers.js';
 
-/** What peers need. */
+/** What the links between proxies need. */
 export type PeersOptions = {
 	readonly transport: PeerTransport;
 	/** Keys that authenticate links, current first. */
@@ -24,9 +24,9 @@
 	readonly limits?: Partial<PeerLimits>;
 };
 
-/** Peers with their life cycle and figures. */
+/** Peers with their life cycle and counters. */
 export type LivePeers = Peers & Required<Service> & {
-	/** Own `ip:port`; with port 0, known once started. */
+	/** This host's `ip:port`; with port 0, known once started. */
 	readonly address: string;
 	readonly figures: Readonly<PeerFigures>;
 };
@@ -34,8 +34,8 @@
 /**
  * Creates the links between proxies.
  *
- * Each host opens a link of its own for its calls: two hosts that call each other hold two. That costs a second
- * connection, and spares a rule for which of two links opened at once survives, during which calls could be lost.
+ * Each host opens a link of its own for its calls, so two hosts that call each other hold two. That costs a second
+ * connection, and avoids a rule for which of two links opened at the same time is kept, in which calls could be lost.
  */
 export function createPeers(options: PeersOptions): LivePeers {
 	const {transport, clock} = options;
@@ -43,10 +43,10 @@
 	const log = options.log.part('peers: ');
 	const figures = createPeerFigures();
 	const handlers = createPeerHandlers();
-	/** The link for the next call to a peer; one whose peer is leaving is none. */
+	/** The link for the next call to each peer, by address; links to peers that are stopping are removed. */
 	const links = new Map<string, PeerLink>();
-	const openLinks = new Set<PeerLink>();
-	const answering = new Set<AnsweringLink>();
+	const outgoingLinks = new Set<PeerLink>();
+	const incomingLinks = new Set<IncomingLink>();
 	let handshakes = 0;
 	let accepting = true;
 	let calling = true;
@@ -54,7 +54,7 @@
 	const getCredentials = (): PeerCredentials => ({address: transport.address, peerKeys: options.peerKeys, random: options.random});
 
 	const openLink = (peerAddress: string) => {
-		const forget = () => {
+		const removeLink = () => {
 			if (links.get(peerAddress) === link) {
 				links.delete(peerAddress);
 			}
@@ -67,15 +67,15 @@
 			limits,
 			clock,
 			figures,
-			onLeaving: forget,
+			onLeaving: removeLink,
 			onClose(reason) {
-				forget();
-				openLinks.delete(link);
+				removeLink();
+				outgoingLinks.delete(link);
 				log.debug('a link was closed', {peer: peerAddress, reason});
 			},
 		});
 		figures.linksOpened++;
-		openLinks.add(link);
+		outgoingLinks.add(link);
 		links.set(peerAddress, link);
 		return link;
 	};
@@ -105,13 +105,13 @@
 			return;
 		}
 
-		const link = createAnsweringLink({
+		const link = createIncomingLink({
 			channel, peer, handlers, limits, clock, onClose() {
-				answering.delete(link);
+				incomingLinks.delete(link);
 			},
 		});
-		answering.add(link);
-		// A link whose handshake ended after the stop began: its calls are refused, and it is waited for by the transport.
+		incomingLinks.add(link);
+		// The handshake ended after the stop began: the link's calls are refused, and the transport waits for it to close.
 		if (!accepting) {
 			await link.drain();
 		}
@@ -144,9 +144,9 @@
 		},
 		async stop() {
 			accepting = false;
-			await Promise.all([...answering].map(async link => link.drain()));
+			await Promise.all([...incomingLinks].map(async link => link.drain()));
 			calling = false;
-			for (const link of openLinks) {
+			for (const link of outgoingLinks) {
 				link.close('this host ends its links');
 			}
 
--- a/src/peers/frame-writer.ts
+++ b/src/peers/frame-writer.ts
@@ -1,33 +1,33 @@
 import {Buffer} from 'node:buffer';
 import type {PeerChannel} from './peer-transport.js';
 
-/** An encoded frame on its way out. */
+/** An encoded frame that waits to be sent. */
 export type OutgoingFrame = {
 	readonly bytes: Uint8Array;
-	/** Called just before the frame is sent; a frame that answers false is left out. */
+	/** Called just before the frame is sent; the frame is dropped if this returns false. */
 	claim(): boolean;
 };
 
-/** Sends the frames written in one turn of the event loop as one message, or as few as their size allows. */
+/** Sends the frames written in one turn of the event loop as one message, or as few messages as their sizes allow. */
 export type FrameWriter = {
-	/** Bytes that wait here and in the channel. */
+	/** Bytes that are buffered here and in the channel. */
 	readonly bufferedBytes: number;
-	/** Takes a frame; it is sent at the end of the turn, or once the writer was opened. */
+	/** Queues a frame; it is sent at the end of the turn, or once the writer is open. */
 	write(frame: OutgoingFrame): void;
-	/** Lets frames out; those that waited go first. */
+	/** Starts to send frames, the queued ones first. */
 	open(): void;
-	/** Sends what waits at once. */
+	/** Sends the queued frames at once, if the writer is open. */
 	flush(): void;
-	/** Drops what waits; nothing is sent any more. */
+	/** Drops the queued frames; nothing is sent any more. */
 	close(): void;
 };
 
-/** A message is sent before a further frame would take it over this size, or over the largest frame, in bytes. */
-const MESSAGE_BYTES = 65_536;
+/** Maximum size of a message of several frames, in bytes, unless the maximum size of a frame is lower. */
+const MAX_MESSAGE_BYTES = 65_536;
 
-/** Creates a writer on a channel whose handshake may be still under way. */
+/** Creates a writer on a channel whose handshake may still be in progress. */
 export function createFrameWriter(channel: PeerChannel, maxFrameBytes: number): FrameWriter {
-	const messageBytes = Math.min(MESSAGE_BYTES, maxFrameBytes);
+	const maxMessageBytes = Math.min(MAX_MESSAGE_BYTES, maxFrameBytes);
 	let waiting: OutgoingFrame[] = [];
 	let waitingBytes = 0;
 	let opened = false;
@@ -43,7 +43,7 @@
 		const frames = waiting;
 		waiting = [];
 		waitingBytes = 0;
-		for (const message of packMessages(frames, messageBytes)) {
+		for (const message of packMessages(frames, maxMessageBytes)) {
 			channel.send(message);
 		}
 	};
@@ -77,11 +77,11 @@
 	};
 }
 
-function * packMessages(frames: readonly OutgoingFrame[], messageBytes: number): Iterable<Uint8Array> {
+function * packMessages(frames: readonly OutgoingFrame[], maxMessageBytes: number): Iterable<Uint8Array> {
 	let parts: Uint8Array[] = [];
 	let bytes = 0;
 	for (const frame of frames) {
-		if (bytes > 0 && bytes + frame.bytes.length > messageBytes) {
+		if (bytes > 0 && bytes + frame.bytes.length > maxMessageBytes) {
 			yield joinParts(parts);
 			parts = [];
 			bytes = 0;
--- a/src/peers/answering-link.ts
+++ b/src/peers/incoming-link.ts
@@ -2,7 +2,7 @@
 import {withinMs} from '../time/deadline.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import {createFrameWriter} from './frame-writer.js';
-import {authenticateCaller, type PeerCredentials} from './peer-authentication.js';
+import {authenticateAsResponder, type PeerCredentials} from './peer-authentication.js';
 import {throwNotAuthenticated} from './peer-errors.js';
 import {
 	decodeFrames, encodeFrame, FrameType, type CallFrame, type PeerFrame,
@@ -13,16 +13,16 @@
 import type {PeerIdentity} from './peers.js';
 
 /** A link on which a peer calls this host. */
-export type AnsweringLink = {
+export type IncomingLink = {
 	/**
-	 * Takes no more calls, lets those being answered end for `drainMs` at most, then waits `callerCloseMs` at most for the caller
-	 * to close the link, and ends it.
+	 * Takes no more calls, lets running ones complete for at most `drainMs`, then waits at most `callerCloseMs` for the caller
+	 * to close the link, and closes it.
 	 */
 	drain(): Promise<void>;
 };
 
-/** What an answering link needs. */
-export type AnsweringLinkOptions = {
+/** What an incoming link needs. */
+export type IncomingLinkOptions = {
 	readonly channel: PeerChannel;
 	readonly peer: PeerIdentity;
 	readonly handlers: PeerHandlers;
@@ -32,30 +32,30 @@
 	onClose(): void;
 };
 
-/** Characters of an error's message that are passed on. */
+/** Maximum number of characters of an error's message that are sent to the caller. */
 const MAX_REASON_LENGTH = 500;
 
-/** The answering end gives an idle link up after this many times the caller's bound, for a caller that died unseen. */
+/** The responder closes an idle link after this many times the caller's limit, in case the caller died without closing it. */
 const IDLE_FACTOR = 2;
 
-/** Runs the answerer's part of the handshake within the time for opening. */
+/** Runs the responder's part of the handshake; rejects with PeerError if it takes longer than `openTimeoutMs`. */
 export async function authenticateWithin(channel: PeerChannel, credentials: PeerCredentials, limits: PeerLimits, clock: Clock): Promise<PeerIdentity> {
-	const outcome = await withinMs(clock, limits.openTimeoutMs, authenticateCaller(channel, credentials));
+	const outcome = await withinMs(clock, limits.openTimeoutMs, authenticateAsResponder(channel, credentials));
 	return outcome.timedOut ? throwNotAuthenticated(`no proof within ${limits.openTimeoutMs} ms`) : {address: outcome.value};
 }
 
-/** Answers the calls that come on an authenticated link. */
-export function createAnsweringLink(options: AnsweringLinkOptions): AnsweringLink {
+/** Handles the calls that arrive on an authenticated link. */
+export function createIncomingLink(options: IncomingLinkOptions): IncomingLink {
 	const {channel, peer, handlers, limits, clock} = options;
 	const writer = createFrameWriter(channel, limits.maxFrameBytes);
 	const closed = createSleepAlarm();
 	let running = 0;
 	let draining = false;
-	let heardAt = clock.now();
-	let onQuiet: (() => void) | undefined;
+	let lastReceivedAt = clock.now();
+	let onIdle: (() => void) | undefined;
 
 	const write = (frame: PeerFrame) => {
-		// A caller that reads no answers would otherwise fill this host's memory.
+		// A caller that reads no responses would otherwise fill this host's memory.
 		if (writer.bufferedBytes > limits.maxBufferedBytes) {
 			channel.terminate();
 			return;
@@ -64,7 +64,7 @@
 		writer.write({bytes: encodeFrame(frame, limits.maxFrameBytes), claim: () => true});
 	};
 
-	const answer = async (call: CallFrame) => {
+	const respond = async (call: CallFrame) => {
 		const handler = draining ? undefined : handlers.get(call.kind);
 		if (!handler) {
 			const reason = draining ? 'the host ends its links' : 'no handler for this kind of call';
@@ -75,24 +75,24 @@
 		running++;
 		try {
 			const res = await handler(call.req, peer);
-			write({type: FrameType.Answer, id: call.id, res});
+			write({type: FrameType.Response, id: call.id, res});
 		} catch (err) {
-			// Also for an answer that cannot be encoded: its caller would wait for its whole timeout.
+			// Also for a response that cannot be encoded, since its caller would otherwise wait for its whole timeout.
 			write({type: FrameType.Failure, id: call.id, reason: getReason(err)});
 		} finally {
 			running--;
 			if (running === 0) {
-				onQuiet?.();
+				onIdle?.();
 			}
 		}
 	};
 
 	const onMessage = (message: Uint8Array) => {
-		heardAt = clock.now();
+		lastReceivedAt = clock.now();
 		try {
 			for (const frame of decodeFrames(message)) {
 				if (frame.type === FrameType.Call) {
-					void answer(frame);
+					void respond(frame);
 				}
 			}
 		} catch {
@@ -104,7 +104,7 @@
 		const idleMs = limits.idleMs * IDLE_FACTOR;
 		while (!closed.aborted) {
 			await clock.sleep(idleMs, closed);
-			if (running === 0 && clock.now() >= heardAt + idleMs) {
+			if (running === 0 && clock.now() >= lastReceivedAt + idleMs) {
 				channel.terminate();
 			}
 		}
@@ -122,24 +122,24 @@
 	void watchIdle();
 
 	/**
-	 * Guards against a call that is on its way when the link ends: its caller would take it for sent, and be left unsure of
-	 * a write that nobody read. Only the calling end knows when all it sent has its answer, so it ends the link.
+	 * Guards against a call that is in transit when the link closes: its caller would count it as sent, and not know the outcome of
+	 * a write that nobody received. Only the caller knows when every call that it sent has its response, so it closes the link.
 	 */
-	const waitForCaller = async () => clock.sleep(limits.callerCloseMs, closed);
+	const waitForCallerClose = async () => clock.sleep(limits.callerCloseMs, closed);
 
 	return {
 		async drain() {
 			draining = true;
 			write({type: FrameType.Leaving, id: 0});
 			if (running > 0) {
-				const quiet = new Promise<void>(resolve => {
-					onQuiet = resolve;
+				const idle = new Promise<void>(resolve => {
+					onIdle = resolve;
 				});
-				await withinMs(clock, limits.drainMs, quiet);
+				await withinMs(clock, limits.drainMs, idle);
 			}
 
 			writer.flush();
-			await waitForCaller();
+			await waitForCallerClose();
 			writer.flush();
 			channel.close();
 		},
--- a/src/peers/peer-authentication.ts
+++ b/src/peers/peer-authentication.ts
@@ -8,13 +8,13 @@
 /**
  * The handshake by which both ends of a link prove that they hold a peer key, before any call.
  *
- * Four messages: hello (caller's nonce), challenge (answerer's nonce), proof (one HMAC for each key of the caller),
- * welcome (an HMAC with the key that matched). Fresh nonces of both ends make a recorded handshake useless, so no
- * clocks are compared; the role and both addresses are part of each HMAC, so that a proof cannot be sent back to its
- * maker or passed on to a third host.
+ * It has four messages: hello (caller's nonce), challenge (responder's nonce), proof (one HMAC for each key of the caller),
+ * welcome (an HMAC with the key that matched). Fresh nonces of both ends prevent replay of a recorded handshake without
+ * comparing clocks; the role and both addresses are part of each HMAC, so that a proof can neither be reflected to its
+ * sender nor relayed to a third host.
  */
 
-/** What an end of a link brings to its handshake. */
+/** What one end of a link needs for its handshake. */
 export type PeerCredentials = {
 	/** This host's own `ip:port`. */
 	readonly address: string;
@@ -28,12 +28,12 @@
 const PROOF_BYTES = 32;
 const MAX_KEYS = 4;
 
-/** Largest handshake message, in bytes: nothing larger is decoded for a peer that has proved nothing. */
+/** Maximum size of a handshake message, in bytes: nothing larger is decoded for a peer that is not authenticated. */
 const MAX_HANDSHAKE_BYTES = 1024;
 
 const Role = {
 	Caller: 'caller',
-	Answerer: 'answerer',
+	Responder: 'answerer',
 } as const;
 
 type Role = typeof Role[keyof typeof Role];
@@ -57,16 +57,16 @@
 	| z.infer<typeof proofSchema>
 	| z.infer<typeof welcomeSchema>;
 
-/** What both ends know of a handshake before anything is proved. */
+/** What both ends know of a handshake before any proof is exchanged. */
 type Handshake = {
 	readonly callerNonce: Uint8Array;
-	readonly answererNonce: Uint8Array;
+	readonly responderNonce: Uint8Array;
 	readonly from: string;
 	readonly to: string;
 };
 
-/** Runs the caller's part on a link to `to`; rejects with PeerError where the answerer does not prove a key. */
-export async function authenticateToAnswerer(channel: PeerChannel, credentials: PeerCredentials, to: string): Promise<void> {
+/** Runs the caller's part on a link to `to`; rejects with PeerError if the responder does not prove a key. */
+export async function authenticateAsCaller(channel: PeerChannel, credentials: PeerCredentials, to: string): Promise<void> {
 	const nonce = credentials.random.bytes(NONCE_BYTES);
 	const from = credentials.address;
 	send(channel, {
@@ -75,18 +75,18 @@
 	const challenge = await receive(channel, challengeSchema);
 
 	const handshake = {
-		callerNonce: nonce, answererNonce: challenge.nonce, from, to,
+		callerNonce: nonce, responderNonce: challenge.nonce, from, to,
 	};
 	const proofs = credentials.peerKeys.slice(0, MAX_KEYS).map(key => prove(key, Role.Caller, handshake));
 	send(channel, {proofs});
 	const welcome = await receive(channel, welcomeSchema);
-	if (!findKey(credentials.peerKeys, [welcome.proof], Role.Answerer, handshake)) {
+	if (!findKey(credentials.peerKeys, [welcome.proof], Role.Responder, handshake)) {
 		throwNotAuthenticated(`${to} proved no key that this host holds`);
 	}
 }
 
-/** Runs the answerer's part; resolves with the caller's `ip:port`, rejects with PeerError where it proves no key. */
-export async function authenticateCaller(channel: PeerChannel, credentials: PeerCredentials): Promise<string> {
+/** Runs the responder's part; resolves with the caller's `ip:port`, and rejects with PeerError if the caller proves no key. */
+export async function authenticateAsResponder(channel: PeerChannel, credentials: PeerCredentials): Promise<string> {
 	const hello = await receive(channel, helloSchema);
 	if (hello.to !== credentials.address) {
 		throwNotAuthenticated(`${hello.from} looks for ${hello.to} here`);
@@ -97,21 +97,21 @@
 	const {proofs} = await receive(channel, proofSchema);
 
 	const handshake = {
-		callerNonce: hello.nonce, answererNonce: nonce, from: hello.from, to: hello.to,
+		callerNonce: hello.nonce, responderNonce: nonce, from: hello.from, to: hello.to,
 	};
 	const key = findKey(credentials.peerKeys, proofs, Role.Caller, handshake);
 	if (key === undefined) {
 		throwNotAuthenticated(`${hello.from} proved no key that this host holds`);
 	}
 
-	send(channel, {proof: prove(key, Role.Answerer, handshake)});
+	send(channel, {proof: prove(key, Role.Responder, handshake)});
 	return hello.from;
 }
 
 function prove(key: string, role: Role, handshake: Handshake): Uint8Array {
 	return createHmac('sha256', key)
 		.update(handshake.callerNonce)
-		.update(handshake.answererNonce)
+		.update(handshake.responderNonce)
 		.update(JSON.stringify([role, handshake.from, handshake.to]))
 		.digest();
 }
--- a/src/peers/peer-calls.ts
+++ b/src/peers/peer-calls.ts
@@ -1,5 +1,5 @@
 /**
- * The kinds of call between proxies, with the shapes of question and answer.
+ * The kinds of call between proxies, with the types of their requests and responses.
  *
  * Each domain adds its own by declaration merging, next to the types it sends.
  */
--- a/src/peers/peer-errors.ts
+++ b/src/peers/peer-errors.ts
@@ -1,11 +1,11 @@
 import ModernError from 'modern-errors';
 
-/** A call to another proxy that brought no answer. `sent` tells whether the peer may have acted on it. */
+/** A call to another proxy that got no response. `sent` is true if the peer may have acted on it. */
 export const PeerError = ModernError.subclass('PeerError', {
 	props: {sent: false},
 });
 
-/** Narrows to a PeerError. */
+/** Returns whether an error is a PeerError. */
 export function isPeerError(err: unknown): err is InstanceType<typeof PeerError> & {sent: boolean} {
 	return err instanceof PeerError;
 }
@@ -45,7 +45,7 @@
 	throw new PeerError(`not authenticated: ${why}`, {props: {sent: false}});
 }
 
-/** @internal Made, not thrown: it rejects a call that waits elsewhere. */
+/** @internal Created, not thrown: it rejects a pending call. */
 export function createCallError(address: string, kind: string, reason: string, sent: boolean) {
 	return new PeerError(`${address} gave no answer to ${kind}: ${reason}`, {props: {sent}});
 }
--- a/src/peers/peer-figures.ts
+++ b/src/peers/peer-figures.ts
@@ -1,24 +1,24 @@
-/** Counts of what happened on the links of this host since it started. */
+/** Counters of events on the links of this host since it started. */
 export type PeerFigures = {
 	/** Calls made by this host. */
 	calls: number;
-	/** Calls that were not answered within their timeout. */
+	/** Calls without a response within their timeout. */
 	timeouts: number;
-	/** Answers dropped because their call had timed out. */
+	/** Responses dropped because their call had timed out. */
 	lateAnswers: number;
-	/** Answers dropped because their call had been answered. */
+	/** Responses dropped because their call already had one. */
 	duplicateAnswers: number;
-	/** Answers dropped because their id was never used on the link. */
+	/** Responses dropped because their id was never used on the link. */
 	unknownAnswers: number;
 	/** Outgoing links opened. */
 	linksOpened: number;
-	/** Outgoing links given up because nothing was received with calls in flight. */
+	/** Outgoing links closed because nothing was received after a call. */
 	linksSilent: number;
 	/** Incoming links closed because they did not authenticate. */
 	linksRefused: number;
 };
 
-/** Creates figures that stand at zero. */
+/** Creates counters that start at zero. */
 export function createPeerFigures(): PeerFigures {
 	return {
 		calls: 0,
--- a/src/peers/peer-handlers.ts
+++ b/src/peers/peer-handlers.ts
@@ -1,13 +1,13 @@
 import type {PeerIdentity, Peers} from './peers.js';
 
-/** A handler as a link sees it: the kind's types are checked where it is registered. */
+/** A handler without the types of its kind, which are checked where it is registered. */
 export type AnyPeerHandler = (req: unknown, from: PeerIdentity) => Promise<unknown>;
 
-/** The handlers of a host by kind of call. */
+/** The handlers of a host, by kind of call. */
 export type PeerHandlers = {
-	/** Registers the handler of a kind; replaces the one before it. */
+	/** Registers the handler of a kind, and replaces the previous one. */
 	readonly handle: Peers['handle'];
-	/** The handler of a kind, undefined where nobody answers it. */
+	/** Returns the handler of a kind; undefined if there is none. */
 	get(kind: string): AnyPeerHandler | undefined;
 };
 
--- a/src/peers/peer-limits.ts
+++ b/src/peers/peer-limits.ts
@@ -1,29 +1,29 @@
-/** Bounds of the links between proxies. */
+/** Limits of the links between proxies. */
 export type PeerLimits = {
-	/** Time for connecting and authenticating, in milliseconds. */
+	/** Timeout for connecting and authenticating, in milliseconds. */
 	readonly openTimeoutMs: number;
-	/** A link without a call for so long is closed, in milliseconds. */
+	/** Time without a call after which a link is closed, in milliseconds. */
 	readonly idleMs: number;
-	/** With calls in flight and nothing received for so long, a ping is sent, in milliseconds. */
+	/** Time from a call, with nothing received since, until a ping is sent, in milliseconds. */
 	readonly pingAfterMs: number;
-	/** With calls in flight and nothing received for so long, the link is given up, in milliseconds. */
+	/** Time from a call, with nothing received since, until the link is terminated, in milliseconds. */
 	readonly silentAfterMs: number;
-	/** Time for calls being answered to end when this host stops, in milliseconds. */
+	/** Time for running calls to complete when this host stops, in milliseconds. */
 	readonly drainMs: number;
 	/**
-	 * Time for the callers' ends to close their links when this host stops, in milliseconds. It takes them a round trip; the
-	 * rest is for one that is late, by what `peer-link.ts` takes for a stall.
+	 * Time for callers to close their links when this host stops, in milliseconds. That takes a round trip; the rest is for
+	 * a caller that is late, up to what `peer-link.ts` regards as a stall.
 	 */
 	readonly callerCloseMs: number;
-	/** Largest frame, in bytes. */
+	/** Maximum size of a frame, in bytes. */
 	readonly maxFrameBytes: number;
-	/** Bytes that may wait to be sent on one link. */
+	/** Maximum number of bytes that wait to be sent on one link. */
 	readonly maxBufferedBytes: number;
-	/** Incoming links that may be in their handshake at once. */
+	/** Maximum number of incoming links in their handshake at once. */
 	readonly maxHandshakes: number;
 };
 
-/** The bounds in force where a caller of `createWsPeers` states no others. */
+/** The limits that apply unless `createWsPeers` is given others. */
 export const DEFAULT_PEER_LIMITS: PeerLimits = {
 	openTimeoutMs: 1000,
 	idleMs: 60_000,
--- a/src/peers/peer-link.ts
+++ b/src/peers/peer-link.ts
@@ -1,21 +1,21 @@
 import type {Clock} from '../time/clock.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
-import {createAwaitedCalls, type AwaitedCall} from './awaited-calls.js';
+import {createPendingCalls, type PendingCall} from './pending-calls.js';
 import {createFrameWriter} from './frame-writer.js';
-import {authenticateToAnswerer, type PeerCredentials} from './peer-authentication.js';
+import {authenticateAsCaller, type PeerCredentials} from './peer-authentication.js';
 import {createCallError, throwPeerBusy} from './peer-errors.js';
 import type {PeerFigures} from './peer-figures.js';
 import {
-	decodeFrames, encodeFrame, FrameType, type AnswerFrame, type FailureFrame, type PeerFrame,
+	decodeFrames, encodeFrame, FrameType, type ResponseFrame, type FailureFrame, type PeerFrame,
 } from './peer-frame.js';
 import type {PeerLimits} from './peer-limits.js';
 import type {PeerChannel} from './peer-transport.js';
 
-/** A link on which this host calls one peer; the peer's calls come on a link of its own. */
+/** A link on which this host calls one peer; the peer's calls use a link of their own. */
 export type PeerLink = {
-	/** Calls the peer; rejects with PeerError, whose `sent` tells whether the frame may have reached it. */
+	/** Calls the peer; rejects with PeerError, whose `sent` is true if the frame may have reached the peer. */
 	call<T>(kind: string, req: unknown, timeoutMs: number): Promise<T>;
-	/** Ends the link in order; calls in flight reject. */
+	/** Closes the link gracefully; pending calls reject. */
 	close(reason: string): void;
 };
 
@@ -23,45 +23,45 @@
 export type PeerLinkOptions = {
 	/** The peer's `ip:port`. */
 	readonly address: string;
-	/** A channel to it that is being opened. */
+	/** The channel to the peer, which is being opened. */
 	readonly channel: PeerChannel;
 	readonly credentials: PeerCredentials;
 	readonly limits: PeerLimits;
 	readonly clock: Clock;
 	readonly figures: PeerFigures;
-	/** Called when the peer takes no more calls: those in flight go on, others are for another link. */
+	/** Called when the peer takes no more calls: pending calls continue, and later ones need another link. */
 	onLeaving(): void;
-	/** Called once when the link has ended. */
+	/** Called once when the link has closed. */
 	onClose(reason: string): void;
 };
 
 const LinkState = {
 	Opening: 'opening',
 	Open: 'open',
-	/** Lasts until all in flight has its answer. */
+	/** The peer takes no more calls; lasts until no call is pending. */
 	Leaving: 'leaving',
 	Closed: 'closed',
 } as const;
 
 type LinkState = typeof LinkState[keyof typeof LinkState];
 
-/** A link that wakes this much after its time was itself stopped, in milliseconds, so what it heard last proves nothing. */
+/** Delay of a wake-up after which this process itself has stalled, in milliseconds, so that the time of the last message proves nothing. */
 const OWN_STALL_MS = 500;
 
-/** Opens a link; it takes calls at once and sends them when both ends are authenticated. */
+/** Opens a link, which takes calls at once and sends them when both ends are authenticated. */
 export function openPeerLink(options: PeerLinkOptions): PeerLink {
 	const {address, channel, limits, clock, figures} = options;
 	const writer = createFrameWriter(channel, limits.maxFrameBytes);
-	const awaited = createAwaitedCalls(figures);
+	const pending = createPendingCalls(figures);
 	const openBy = clock.now() + limits.openTimeoutMs;
 	let state: LinkState = LinkState.Opening;
-	/** When something was received last. */
-	let heardAt = clock.now();
-	/** Since when the peer owes a sign of life: the first call after something was received last; Infinity where it owes none. */
-	let owedSince = Infinity;
+	/** Time at which something was last received. */
+	let lastReceivedAt = clock.now();
+	/** Time since which a sign that the peer is alive is due: that of the last receipt while calls are pending, otherwise of the first call after it; Infinity if none is due. */
+	let heartbeatDueSince = Infinity;
 	let pingedAt = -Infinity;
 	let wakeAt = Infinity;
-	let sleeper = createSleepAlarm();
+	let wakeAlarm = createSleepAlarm();
 
 	const close = (reason: string, end: () => void) => {
 		if (state === LinkState.Closed) {
@@ -72,23 +72,23 @@
 		options.onClose(reason);
 		writer.close();
 		end();
-		sleeper.abort();
-		for (const call of awaited.takeAll()) {
+		wakeAlarm.abort();
+		for (const call of pending.takeAll()) {
 			rejectCall(call, reason);
 		}
 	};
 
-	const rejectCall = (call: AwaitedCall, reason: string) => {
+	const rejectCall = (call: PendingCall, reason: string) => {
 		call.reject(createCallError(address, call.kind, reason, call.written));
 	};
 
-	const breakOff = (reason: string) => {
+	const terminate = (reason: string) => {
 		close(reason, () => {
 			channel.terminate();
 		});
 	};
 
-	const closeInOrder = (reason: string) => {
+	const closeGracefully = (reason: string) => {
 		close(reason, () => {
 			channel.close();
 		});
@@ -96,31 +96,31 @@
 
 	const open = async () => {
 		await channel.opened;
-		await authenticateToAnswerer(channel, options.credentials, address);
+		await authenticateAsCaller(channel, options.credentials, address);
 		if (state === LinkState.Opening) {
 			state = LinkState.Open;
-			onHeard();
-			channel.listen({onMessage, onPong: onHeard, onClose: breakOff});
+			onReceived();
+			channel.listen({onMessage, onPong: onReceived, onClose: terminate});
 			writer.open();
-			sleeper.abort();
+			wakeAlarm.abort();
 		}
 	};
 
-	const onHeard = () => {
-		heardAt = clock.now();
-		owedSince = awaited.size > 0 ? heardAt : Infinity;
+	const onReceived = () => {
+		lastReceivedAt = clock.now();
+		heartbeatDueSince = pending.size > 0 ? lastReceivedAt : Infinity;
 	};
 
 	const isOpen = () => state === LinkState.Open || state === LinkState.Leaving;
 
-	const closeIfLeft = () => {
-		if (state === LinkState.Leaving && awaited.size === 0) {
-			closeInOrder('the peer takes no more calls');
+	const closeIfDrained = () => {
+		if (state === LinkState.Leaving && pending.size === 0) {
+			closeGracefully('the peer takes no more calls');
 		}
 	};
 
 	const onMessage = (message: Uint8Array) => {
-		// A link that was given up may still hand over what it had received: its calls have had their last word.
+		// A closed link may still deliver what it had received, but its calls have been rejected already.
 		if (!isOpen()) {
 			return;
 		}
@@ -130,27 +130,27 @@
 				onFrame(frame);
 			}
 
-			onHeard();
-			closeIfLeft();
+			onReceived();
+			closeIfDrained();
 		} catch (err) {
-			breakOff((err as Error).message);
+			terminate((err as Error).message);
 		}
 	};
 
 	const onFrame = (frame: PeerFrame) => {
 		if (frame.type === FrameType.Call) {
-			breakOff('the answering end made a call');
+			terminate('the answering end made a call');
 		} else if (frame.type === FrameType.Leaving) {
 			state = LinkState.Leaving;
 			options.onLeaving();
 		} else {
-			onAnswer(frame);
+			onResponse(frame);
 		}
 	};
 
-	const onAnswer = (frame: AnswerFrame | FailureFrame) => {
-		const call = awaited.take(frame.id);
-		if (frame.type === FrameType.Answer) {
+	const onResponse = (frame: ResponseFrame | FailureFrame) => {
+		const call = pending.take(frame.id);
+		if (frame.type === FrameType.Response) {
 			call?.resolve(frame.res);
 		} else {
 			call?.reject(createCallError(address, call.kind, frame.reason, frame.type === FrameType.Failure));
@@ -158,78 +158,78 @@
 	};
 
 	const expireCalls = (now: number) => {
-		for (const call of awaited.takeExpired(now)) {
+		for (const call of pending.takeExpired(now)) {
 			rejectCall(call, 'the timeout passed');
 		}
 
-		closeIfLeft();
+		closeIfDrained();
 	};
 
 	const checkOpening = (now: number) => {
 		if (now >= openBy) {
-			breakOff(`not open within ${limits.openTimeoutMs} ms`);
+			terminate(`not open within ${limits.openTimeoutMs} ms`);
 		}
 
 		return openBy;
 	};
 
 	/**
-	 * Guards against a link that something between the ends has lost track of: nothing is received and no error comes,
-	 * so every call on it would wait for its whole timeout. A ping makes a living peer show itself. Calls that have timed
-	 * out count as well: a host that asks every 400 ms and waits for 200 ms would never find out by those in flight.
+	 * Guards against a link whose connection was lost silently between the ends: nothing is received and no error occurs,
+	 * so every call on it would wait for its whole timeout. A live peer responds to the ping. Calls that have timed
+	 * out count as well: a host that calls every 400 ms with a timeout of 200 ms would never detect the loss by pending calls alone.
 	 */
 	const checkSilence = (now: number) => {
 		if (now >= wakeAt + OWN_STALL_MS) {
-			owedSince = now;
+			heartbeatDueSince = now;
 		}
 
-		if (now >= owedSince + limits.silentAfterMs) {
+		if (now >= heartbeatDueSince + limits.silentAfterMs) {
 			figures.linksSilent++;
-			breakOff(`silent for ${limits.silentAfterMs} ms`);
-		} else if (now >= owedSince + limits.pingAfterMs && pingedAt < owedSince) {
+			terminate(`silent for ${limits.silentAfterMs} ms`);
+		} else if (now >= heartbeatDueSince + limits.pingAfterMs && pingedAt < heartbeatDueSince) {
 			pingedAt = now;
 			channel.ping();
 		}
 
-		return owedSince + (pingedAt < owedSince ? limits.pingAfterMs : limits.silentAfterMs);
+		return heartbeatDueSince + (pingedAt < heartbeatDueSince ? limits.pingAfterMs : limits.silentAfterMs);
 	};
 
 	const checkIdle = (now: number) => {
-		if (now >= heardAt + limits.idleMs) {
-			closeInOrder('idle');
+		if (now >= lastReceivedAt + limits.idleMs) {
+			closeGracefully('idle');
 		}
 
-		return heardAt + limits.idleMs;
+		return lastReceivedAt + limits.idleMs;
 	};
 
-	/** Looks after what is due and returns when to look again. */
+	/** Performs what is due and returns the time of the next check. */
 	const check = (now: number) => {
 		expireCalls(now);
 		if (state === LinkState.Opening) {
-			return Math.min(checkOpening(now), awaited.getNextDeadline());
+			return Math.min(checkOpening(now), pending.getNextDeadline());
 		}
 
-		return owedSince === Infinity ? checkIdle(now) : Math.min(checkSilence(now), awaited.getNextDeadline());
+		return heartbeatDueSince === Infinity ? checkIdle(now) : Math.min(checkSilence(now), pending.getNextDeadline());
 	};
 
 	const watch = async () => {
 		while (state !== LinkState.Closed) {
 			const now = clock.now();
 			wakeAt = check(now);
-			sleeper = createSleepAlarm();
-			await clock.sleep(Math.max(1, Math.ceil(wakeAt - now)), sleeper);
+			wakeAlarm = createSleepAlarm();
+			await clock.sleep(Math.max(1, Math.ceil(wakeAt - now)), wakeAlarm);
 		}
 	};
 
 	const wakeBy = (at: number) => {
 		if (at < wakeAt) {
 			wakeAt = at;
-			sleeper.abort();
+			wakeAlarm.abort();
 		}
 	};
 
 	open().catch((err: unknown) => {
-		breakOff((err as Error).message);
+		terminate((err as Error).message);
 	});
 	void watch();
 
@@ -242,8 +242,8 @@
 
 			return new Promise<T>((resolve, reject) => {
 				const now = clock.now();
-				owedSince = Math.min(owedSince, now);
-				const call = awaited.add({
+				heartbeatDueSince = Math.min(heartbeatDueSince, now);
+				const call = pending.add({
 					kind, deadlineAt: now + timeoutMs, resolve, reject,
 				});
 				try {
@@ -252,22 +252,22 @@
 					}, limits.maxFrameBytes);
 					writer.write({bytes, claim: () => claim(call)});
 				} catch (err) {
-					awaited.take(call.id)?.reject(createCallError(address, kind, (err as Error).message, false));
+					pending.take(call.id)?.reject(createCallError(address, kind, (err as Error).message, false));
 					return;
 				}
 
 				wakeBy(Math.min(call.deadlineAt, now + limits.pingAfterMs));
 			});
 		},
-		close: closeInOrder,
+		close: closeGracefully,
 	};
 
 	/**
-	 * Guards against a call that runs after its caller was told that it was never sent: the frame of a call that
-	 * timed out while it waited for the link stays behind.
+	 * Guards against a call that runs although its caller was told that it was never sent: the frame of a call that
+	 * timed out while it waited for the link is dropped.
 	 */
-	function claim(call: AwaitedCall): boolean {
-		call.written = awaited.has(call.id);
+	function claim(call: PendingCall): boolean {
+		call.written = pending.has(call.id);
 		return call.written;
 	}
 }
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -1,40 +1,40 @@
-/** The seam under the links: `ws-transport.ts` carries messages over WebSocket, tests plug in an in-memory network. */
+/** The transport of the links: `ws-transport.ts` implements it over WebSocket, and tests use an in-memory network. */
 
-/** What a channel tells whoever uses it. */
+/** The callbacks of a channel. */
 export type ChannelListener = {
-	/** A whole message came; a message that was cut never does. */
+	/** Called with each complete message; a truncated message is never delivered. */
 	onMessage(message: Uint8Array): void;
-	/** The other end answered a ping. */
+	/** Called when the other end responds to a ping. */
 	onPong?(): void;
-	/** The channel is closed; nothing comes after it. Called at once where it was closed before. */
+	/** Called when the channel has closed, as the last callback; called at once if it was closed before. */
 	onClose(reason: string): void;
 };
 
 /** A connection that carries whole messages in order. */
 export type PeerChannel = {
-	/** Resolves once messages can be sent; rejects where the channel closes before. */
+	/** Resolves once messages can be sent; rejects if the channel closes before. */
 	readonly opened: Promise<void>;
 	/** Bytes that wait to be sent. */
 	readonly bufferedBytes: number;
 	send(message: Uint8Array): void;
-	/** Asks the other end to show that it lives. */
+	/** Requests a pong, which shows that the other end is alive. */
 	ping(): void;
-	/** Closes after what was sent has gone out. */
+	/** Closes the channel after everything that was sent has been transmitted. */
 	close(): void;
-	/** Cuts the connection at once. */
+	/** Terminates the connection at once. */
 	terminate(): void;
-	/** Sets who is told from now on. */
+	/** Sets the callbacks; the previous ones are no longer called. */
 	listen(listener: ChannelListener): void;
 };
 
-/** Opens channels to other hosts and takes theirs. */
+/** Opens channels to other hosts and accepts theirs. */
 export type PeerTransport = {
-	/** Own `ip:port`; where the port is chosen at the start, known from then on. */
+	/** This host's `ip:port`; if the port is chosen at the start, known from then on. */
 	readonly address: string;
-	/** Begins to take channels. */
+	/** Starts to accept channels. */
 	start(onChannel: (channel: PeerChannel) => void): Promise<void>;
 	/** Opens a channel to the host at `ip:port`. */
 	connect(address: string): PeerChannel;
-	/** Takes no more channels and ends those left, by force after `ms`. */
+	/** Accepts no more channels, waits up to `ms` milliseconds for the open ones to close, and terminates the rest. */
 	stop(ms: number): Promise<void>;
 };
--- a/src/peers/ws-peers.ts
+++ b/src/peers/ws-peers.ts
@@ -2,9 +2,9 @@
 import {DEFAULT_PEER_LIMITS} from './peer-limits.js';
 import {createWsTransport} from './ws-transport.js';
 
-/** What peers over WebSocket need: the first two are the settings of the same names. */
+/** What peers over WebSocket need: `hostAddress` and `peerPort` are the settings of the same names. */
 export type WsPeersOptions = Omit<PeersOptions, 'transport'> & {
-	/** IP number to listen on and to be reached at. */
+	/** IP address to listen on, at which other hosts reach this one. */
 	readonly hostAddress: string;
 	/** Port to listen on; 0 takes a free one. */
 	readonly peerPort: number;
--- a/src/peers/ws-transport.ts
+++ b/src/peers/ws-transport.ts
@@ -8,11 +8,11 @@
 
 /** What the transport needs. */
 export type WsTransportOptions = {
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	readonly hostAddress: string;
 	/** Port to listen on; 0 takes a free one. */
 	readonly port: number;
-	/** A larger message closes its channel, in bytes. */
+	/** Maximum size of a message, in bytes; a larger one closes its channel. */
 	readonly maxMessageBytes: number;
 	readonly clock: Clock;
 };
@@ -38,7 +38,7 @@
 			webSockets.on('connection', socket => {
 				onChannel(createWsChannel(socket));
 			});
-			// The server's errors come here too; those of the start reject below.
+			// The server's errors are emitted here too; those of the start reject below.
 			webSockets.on('error', () => undefined);
 			server.listen(options.port, options.hostAddress);
 			await once(server, 'listening');
