--- a/tests/mirror/change-feed-client-tests.ts
+++ b/tests/mirror/change-feed-client-tests.ts
@@ -13,12 +13,12 @@
 	})),
 });
 
-/** Asks one host, which answers with `news` 40 ms after the question; meanwhile something may happen here. */
-async function ask(news: Partial<StoreUpdate>, meanwhile?: MirrorState) {
+/** Polls one host, which responds with `update` after 40 ms; the copy takes over `meanwhile`, if given, before that. */
+async function poll(update: Partial<StoreUpdate>, meanwhile?: MirrorState) {
 	let now = 1000;
 	const copy = createMirrorCopy(createSilentLog());
 	copy.adopt(createState(10, ['a']));
-	const questions = createChangeFeedClient({
+	const client = createChangeFeedClient({
 		peers: {
 			async call() {
 				now += 40;
@@ -27,7 +27,7 @@
 				}
 
 				return {
-					heldMs: 0, revision: 10, changing: [], unfenced: [], ...news,
+					heldMs: 0, revision: 10, changing: [], unfenced: [], ...update,
 				};
 			},
 		} as unknown as Peers,
@@ -37,35 +37,35 @@
 		getSilent: () => [],
 		noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	});
-	const answer = await questions.poll('b:7000', 900);
+	const answer = await client.poll('b:7000', 900);
 	return {copy, answer};
 }
 
-describe('what a host takes from an answer', () => {
-	function doTest(what: string, news: Partial<StoreUpdate>, confirmedAt: number | undefined) {
+describe('what a host applies of a response', () => {
+	function doTest(what: string, update: Partial<StoreUpdate>, confirmedAt: number | undefined) {
 		it(what, async () => {
-			const {copy} = await ask(news);
+			const {copy} = await poll(update);
 			expect(copy.confirmedAt).to.equal(confirmedAt);
 		});
 	}
 
-	doTest('nothing where the other host was never confirmed', {}, undefined);
-	doTest('a confirmation as of its question, where that had not waited', {ageMs: 0}, 1000);
-	doTest('one as of later, by as much as the question had waited', {heldMs: 30, ageMs: 0}, 1030);
-	doTest('one as of before, by what its age is beyond that', {heldMs: 30, ageMs: 200}, 830);
+	doTest('nothing if the other host was never confirmed', {}, undefined);
+	doTest('a confirmation as of its request, if that was not held', {ageMs: 0}, 1000);
+	doTest('a confirmation as of later, by the time for which the request was held', {heldMs: 30, ageMs: 0}, 1030);
+	doTest('a confirmation as of earlier, by its age beyond that time', {heldMs: 30, ageMs: 200}, 830);
 
 	/**
-	 * While the question is under way this host reads the store itself and sees an entry that is gone again by the time of the answer. The other host says that it holds what this
-	 * one did when it asked; taken for what it holds now, the entry would stay.
+	 * While the request is in flight this host reads the store itself and sees an entry that is removed again before the response. The other host reports that it holds what this
+	 * one did at its request; if that were taken for what this host holds now, the entry would stay.
 	 */
-	it('no later revision for contents that have changed since it asked', async () => {
-		const {copy, answer} = await ask({revision: 20, ageMs: 0}, createState(15, ['a', 'b']));
+	it('no later revision if the contents have changed since the request', async () => {
+		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(15, ['a', 'b']));
 		expect([copy.state.revision, copy.confirmedAt, answer?.confirmed]).to.deep.equal([15, undefined, false]);
 	});
 
-	/** Guards against a copy of a store that came back which counts as confirmed because others, who still hold what is lost, confirm each other. */
+	/** Guards against a copy of a restored store that counts as confirmed because other hosts, which still hold what was lost, confirm each other. */
 	it('no confirmation of an earlier generation', async () => {
-		const {copy, answer} = await ask({revision: 20, ageMs: 0}, createState(placeInGeneration(1, 8), ['a']));
+		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(placeInGeneration(1, 8), ['a']));
 		expect([copy.confirmedAt, answer?.confirmed]).to.deep.equal([undefined, false]);
 	});
 });
--- a/tests/mirror/change-feed-schedules-tests.ts
+++ b/tests/mirror/change-feed-schedules-tests.ts
@@ -6,24 +6,24 @@
 import type {Random} from '../../src/random/random.js';
 
 /*
- * Story: an operator takes a route away and is told that this is in force. A host that counts its copy of the store as confirmed from a later time than it was complete goes on
- * serving the route, and uses a primary that has been replaced meanwhile: the question was asked before the change, or the answer was long under way.
+ * Guards against a host that regards its copy of the store as confirmed at a later time than it was complete, because the request was sent before a change or the response was
+ * long in transit. It would go on serving a route whose removal was acknowledged to the operator, and use a primary that has been replaced meanwhile.
  */
 
 const HOSTS = 24;
 const ZONES = 4;
 
-const TROUBLE_MS = 9000;
+const FAULTS_MS = 9000;
 const STEP_MS = 50;
 
-/** Once all has healed, nobody is left behind for longer, in milliseconds: hosts that did not answer are asked again after 5 s. */
-const BEHIND_MS = 6500;
+/** Maximum time for which a host may lag once all faults have ended, in milliseconds: hosts that did not respond are polled again after 5 s. */
+const MAX_BEHIND_MS = 6500;
 
-type Trouble = (fleet: NewsFleet, random: Random) => void;
+type Fault = (fleet: NewsFleet, random: Random) => void;
 
 const pick = (hosts: readonly NewsHost[], random: Random) => hosts[Math.floor(random.fraction() * hosts.length)]!;
 
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
 	freezeHost({network, hosts, clock}, random) {
 		const {address} = random.fraction() < 0.4 ? hosts[0]! : pick(hosts, random);
 		network.pause(address);
@@ -42,7 +42,7 @@
 			}
 		}
 	},
-	mendNetwork({network}) {
+	healNetwork({network}) {
 		network.heal();
 	},
 	silenceStore({store, hosts}, random) {
@@ -52,23 +52,23 @@
 	slowStore({store}, random) {
 		store.setTrouble(undefined, {answerMs: 800 * random.fraction()});
 	},
-	mendStore({store}) {
+	healStore({store}) {
 		store.heal();
 	},
 };
 
-const pickTrouble = (random: Random) => Object.values(TROUBLES)[Math.floor(random.fraction() * Object.keys(TROUBLES).length)]!;
+const pickFault = (random: Random) => Object.values(FAULTS)[Math.floor(random.fraction() * Object.keys(FAULTS).length)]!;
 
-/** Versions of the configuration, with the times from which they were in the store. */
+/** Versions of the configuration, with the times at which they were written to the store. */
 type Written = ReadonlyArray<{readonly at: number; readonly version: number}>;
 
 function getVersionAt(written: Written, at: number): number {
 	return written.findLast(each => each.at <= at)?.version ?? 0;
 }
 
-describe('random schedules of news among hosts', () => {
+describe('random schedules of store updates among hosts', () => {
 	function doTest(seed: number) {
-		it(`never show a copy older than it is confirmed, nor one that goes back: seed ${seed}`, async () => {
+		it(`never show a copy older than its confirmation, nor one that goes back: seed ${seed}`, async () => {
 			const random = createSeededRandom(seed);
 			const fleet = createNewsFleet({hostCount: HOSTS, zoneCount: ZONES});
 			const startedAt = fleet.clock.now();
@@ -81,26 +81,26 @@
 			write(1);
 			await fleet.settle();
 			const seen = new Map<NewsHost, number>();
-			const faults: string[] = [];
-			const judge = () => {
+			const violations: string[] = [];
+			const check = () => {
 				for (const host of fleet.hosts) {
 					const {state, confirmedAt} = host.mirror;
 					const version = state.routing?.version ?? 0;
 					if (confirmedAt !== undefined && version < getVersionAt(written, confirmedAt)) {
-						faults.push(`${host.name} holds ${version}, confirmed at ${confirmedAt}, when it was ${getVersionAt(written, confirmedAt)}`);
+						violations.push(`${host.name} holds ${version}, confirmed at ${confirmedAt}, when it was ${getVersionAt(written, confirmedAt)}`);
 					}
 
 					if (version < (seen.get(host) ?? 0)) {
-						faults.push(`${host.name} went back to ${version}`);
+						violations.push(`${host.name} went back to ${version}`);
 					}
 
 					seen.set(host, version);
 				}
 			};
 
-			for (let ms = 0; ms < TROUBLE_MS; ms += STEP_MS) {
+			for (let ms = 0; ms < FAULTS_MS; ms += STEP_MS) {
 				if (random.fraction() < 0.12) {
-					pickTrouble(random)(fleet, random);
+					pickFault(random)(fleet, random);
 				}
 
 				if (random.fraction() < 0.08) {
@@ -108,7 +108,7 @@
 				}
 
 				await fleet.clock.advance(STEP_MS);
-				judge();
+				check();
 			}
 
 			fleet.network.heal();
@@ -117,8 +117,8 @@
 			const last = written.at(-1)!.version;
 			const behindMs = await fleet.awaitVersion(fleet.hosts, last);
 			fleet.stop();
-			expect(faults.slice(0, 3)).to.deep.equal([]);
-			expect(behindMs).to.be.lessThan(BEHIND_MS - 3000);
+			expect(violations.slice(0, 3)).to.deep.equal([]);
+			expect(behindMs).to.be.lessThan(MAX_BEHIND_MS - 3000);
 		});
 	}
 
--- a/tests/mirror/change-feed-spread-tests.ts
+++ b/tests/mirror/change-feed-spread-tests.ts
@@ -6,49 +6,49 @@
 const HOSTS = 195;
 const ZONES = 6;
 
-/** A fleet in which every host is registered and has news of the store. */
-async function createCalmFleet(hostCount = HOSTS): Promise<NewsFleet> {
+/** Creates a fleet in which every host is registered and has received a store update. */
+async function createSteadyFleet(hostCount = HOSTS): Promise<NewsFleet> {
 	const bench = createNewsFleet({hostCount, zoneCount: ZONES});
 	bench.store.setRouting(createRouting(1, 34));
 	await bench.settle();
 	return bench;
 }
 
-const getMostSent = ({hosts}: NewsFleet) => Math.max(...hosts.map(({sentBytes}) => sentBytes));
+const getMaxSentBytes = ({hosts}: NewsFleet) => Math.max(...hosts.map(({sentBytes}) => sentBytes));
 
-describe('news of the store among hundreds of hosts', () => {
+describe('store updates among hundreds of hosts', () => {
 	/**
-	 * An operator changes one setting. Where the host that reads the store sends the whole of its copy to each other host, 195 hosts have 6 MB to wait for on
-	 * one link of 14 Mbit/s; its answers are late, each host takes it to be dead and goes to the store, and callers' requests wait behind all that.
+	 * An operator changes one setting. If the host that reads the store sent its whole copy to each other host, 195 hosts would wait for 6 MB on
+	 * one link of 14 Mbit/s: its responses would be late, each host would take it to be dead and read the store, and callers' requests would wait behind that traffic.
 	 */
-	it('brings a change of one setting everywhere within a second, and no host sends much for it', async () => {
-		const bench = await createCalmFleet();
+	it('carry a change of one setting to every host within a second, and no host sends much for it', async () => {
+		const bench = await createSteadyFleet();
 		bench.store.setRouting(createRouting(2, 34, 900));
 		expect(await bench.awaitVersion(bench.hosts, 2)).to.be.lessThan(1000);
-		expect(getMostSent(bench)).to.be.lessThan(200_000);
+		expect(getMaxSentBytes(bench)).to.be.lessThan(200_000);
 		bench.stop();
 	});
 
-	it('brings many new routes everywhere within the same time, piece by piece', async () => {
-		const bench = await createCalmFleet();
+	it('carry many new routes to every host within 2 s, in pieces', async () => {
+		const bench = await createSteadyFleet();
 		bench.store.setRouting(createRouting(2, 1852));
 		expect(await bench.awaitVersion(bench.hosts, 2)).to.be.lessThan(2000);
 		expect(bench.hosts.every(({mirror}) => mirror.state.routing!.routes.size === 1852)).to.equal(true);
 		bench.stop();
 	});
 
-	it('costs the store the same in calm times however many hosts there are, and each host a few bytes', async () => {
-		const bench = await createCalmFleet();
+	it('cost the store the same while nothing changes, however many hosts there are, and each host a few bytes', async () => {
+		const bench = await createSteadyFleet();
 		const before = bench.store.calls;
 		await bench.clock.advance(7000);
 		expect(bench.store.calls - before).to.be.at.most(11);
-		expect(getMostSent(bench) / 7).to.be.lessThan(5000);
+		expect(getMaxSentBytes(bench) / 7).to.be.lessThan(5000);
 		bench.stop();
 	});
 
-	/** A question goes up the tree level by level. Were its age counted from each host's answer, evidence would outlast what whoever replaces a primary waits for. */
-	it('never counts from later than the store was asked', async () => {
-		const bench = await createCalmFleet(60);
+	/** Updates pass through the tree level by level. If their age were counted from each host's response, a primary lease would outlast the time that a replacement of the primary waits for. */
+	it('never date a confirmation later than the store was read', async () => {
+		const bench = await createSteadyFleet(60);
 		bench.store.setTrouble(undefined, {silent: true});
 		const cutAt = bench.clock.now();
 		await bench.clock.advance(2500);
@@ -59,9 +59,9 @@
 		bench.stop();
 	});
 
-	/** The host that reads for all freezes. Hundreds of hosts that go to the store at once are more than the outage that they fear. */
-	it('goes on when the host that reads for all is gone, without a rush on the store', async () => {
-		const bench = await createCalmFleet();
+	/** The host that reads the store for all others freezes. Hundreds of hosts that read the store at once would be worse than the outage. */
+	it('continue when the host that reads for all others fails, without overloading the store', async () => {
+		const bench = await createSteadyFleet();
 		const before = bench.store.calls;
 		bench.network.pause(bench.hosts[0]!.address);
 		await bench.clock.advance(4000);
@@ -74,8 +74,8 @@
 		bench.stop();
 	});
 
-	it('reaches every host while a third of them are cut off from the store', async () => {
-		const bench = await createCalmFleet();
+	it('reach every host while a third of them are cut off from the store', async () => {
+		const bench = await createSteadyFleet();
 		for (const [i, {name}] of bench.hosts.entries()) {
 			if (i % 3 === 0) {
 				bench.store.setTrouble(name, {silent: true});
@@ -87,8 +87,8 @@
 		bench.stop();
 	});
 
-	/** Hosts that start know nobody. If each reads the store until it sees the others, a start of 195 hosts costs a thousand calls. */
-	it('is found by hosts that all start at once, by way of seeds', async () => {
+	/** Hosts that start know no other host. If each read the store until it saw the others, a start of 195 hosts would cost a thousand calls. */
+	it('reach hosts that all start at once by way of seeds', async () => {
 		const bench = createNewsFleet({hostCount: HOSTS, zoneCount: ZONES, seeds: 3});
 		bench.store.setRouting(createRouting(1, 34));
 		for (const {mirror} of bench.hosts) {
--- a/tests/mirror/contents-tests.ts
+++ b/tests/mirror/contents-tests.ts
@@ -10,7 +10,7 @@
 import type {Peers} from '../../src/peers/peers.js';
 import {createRouting} from '../../src/bench/news-spread/news-fleet.js';
 
-/** A state of some hosts, records and routes, each by a number that its version or contents come from. */
+/** Creates a state of some hosts, endpoints and routes; each host's number determines its version and its endpoint's contents. */
 function createState(revision: number, hosts: Readonly<Record<string, number>>, routeCount = 3): MirrorState {
 	return {
 		revision,
@@ -28,13 +28,13 @@
 const stateArbitrary = fc.tuple(fc.dictionary(fc.constantFrom('a', 'b', 'c', 'd'), fc.integer({min: 1, max: 4})), fc.integer({min: 1, max: 4}))
 	.map(([hosts, routes]) => createState(1, hosts, routes));
 
-/** Peers that answer for the pieces of one sender, as the test changes them. */
+/** Creates peers that respond with the pieces that `getPiece` returns. */
 function createPiecePeers(getPiece: (key: string, offset: number) => Uint8Array | undefined): Peers {
 	return {call: async (_address: string, _kind: string, {key, offset}: {readonly key: string; readonly offset: number}) => ({bytes: getPiece(key, offset)})} as unknown as Peers;
 }
 
-describe('contents as differences', () => {
-	it('come to the same, whatever both ends hold', () => {
+describe('differences between contents', () => {
+	it('lead to the contents they were computed for, whatever both ends hold', () => {
 		fc.assert(fc.property(stateArbitrary, stateArbitrary, (base, next) => {
 			const difference = getStateDifference(base, getContentsId(base), next, getContentsId(next));
 			const applied = applyStateDifference(base, getContentsId(base), difference, 9);
@@ -42,8 +42,8 @@
 		}), {seed: 3});
 	});
 
-	/** A host that puts a difference onto other contents than it was taken from holds what no host ever held. */
-	it('are not applied to other contents than they were taken from', () => {
+	/** Guards against a copy that no host ever held: a difference applied to other contents than it was computed from. */
+	it('are not applied to other contents than they were computed from', () => {
 		const base = createState(1, {a: 1, b: 1});
 		const next = createState(2, {a: 1, b: 2});
 		const other = createState(1, {a: 3, b: 1});
@@ -51,7 +51,7 @@
 		expect(applyStateDifference(other, getContentsId(other), difference, 2)).to.equal(undefined);
 	});
 
-	it('are not applied where they do not lead to what they name', () => {
+	it('are not applied if the result does not match its identifier', () => {
 		const base = createState(1, {a: 1});
 		const next = createState(2, {a: 2, b: 1});
 		const difference = getStateDifference(base, getContentsId(base), next, getContentsId(next));
@@ -59,7 +59,7 @@
 		expect(applyStateDifference(base, getContentsId(base), cut, 2)).to.equal(undefined);
 	});
 
-	it('leave what has not changed the same object', () => {
+	it('keep the identity of unchanged parts', () => {
 		const copy = createMirrorCopy(createSilentLog());
 		copy.adopt(createState(1, {a: 1, b: 1}));
 		const before = copy.state;
@@ -68,8 +68,8 @@
 	});
 });
 
-describe('contents on their way', () => {
-	/** A sender that holds a large configuration, and what it first answers to a host that holds nothing. */
+describe('transfer of contents', () => {
+	/** Creates a sender that holds a large configuration, and its first piece for a host that holds nothing. */
 	function createLarge() {
 		const sender = createContentsSender();
 		const state = createState(5, {a: 1}, 1852);
@@ -77,7 +77,7 @@
 		return {sender, state, first: sender.getFirstPiece(EMPTY_ID)};
 	}
 
-	it('come in pieces that leave a link free between them', async () => {
+	it('splits them into pieces, between which a link is free', async () => {
 		const {sender, state, first} = createLarge();
 		expect(first.bytes.length).to.be.lessThan(40_000);
 		const difference = await createContentsReceiver(createPiecePeers(sender.getPiece), createSilentLog()).receive('a:7000', first);
@@ -85,20 +85,20 @@
 		expect(applied?.routing?.routes.size).to.equal(state.routing!.routes.size);
 	});
 
-	it('are small where only a little has changed', () => {
+	it('sends little if little has changed', () => {
 		const {sender, state} = createLarge();
 		const next = {...state, revision: 6, hosts: createState(6, {a: 2}).hosts};
 		sender.addContents(next, getContentsId(next));
 		expect(sender.getFirstPiece(getContentsId(state)).size).to.be.lessThan(500);
 	});
 
-	it('are whole only in the part that the other host holds differently', () => {
+	it('sends only those parts whole that the other host holds differently', () => {
 		const {sender, state} = createLarge();
 		expect(sender.getFirstPiece({...getContentsId(state), hosts: 'unknown'}).size).to.be.lessThan(500);
 	});
 
 	function doTest(what: string, spoil: (bytes: Uint8Array | undefined, offset: number) => Uint8Array | undefined) {
-		it(`are dropped where a piece is ${what}`, async () => {
+		it(`drops an update if a piece is ${what}`, async () => {
 			const {sender, first} = createLarge();
 			const receiver = createContentsReceiver(createPiecePeers((key, offset) => spoil(sender.getPiece(key, offset), offset)), createSilentLog());
 			const difference = await receiver.receive('a:7000', first);
@@ -106,8 +106,8 @@
 		});
 	}
 
-	doTest('not at hand any more', () => undefined);
+	doTest('no longer available', () => undefined);
 	doTest('empty', () => new Uint8Array(0));
 	doTest('damaged', bytes => bytes?.map(byte => byte ^ 0x55));
-	doTest('the first one once more', () => createLarge().first.bytes);
+	doTest('the first one again', () => createLarge().first.bytes);
 });
--- a/tests/mirror/guard-generations-tests.ts
+++ b/tests/mirror/guard-generations-tests.ts
@@ -28,8 +28,8 @@
 	}
 }
 
-describe('a store that comes back from a copy, as a host asks it', () => {
-	it('has a higher revision than before, though it gives out lower ones', async () => {
+describe('a restored store, as seen by a host', () => {
+	it('has a higher revision than before, although the store itself reports a lower one', async () => {
 		const {clock, store, client, put} = createBench();
 		const copy = store.takeCopy();
 		await clock.runUntil(put(0, 'a'));
@@ -38,8 +38,8 @@
 		expect([before, await clock.runUntil(client.getRevision(TIMEOUT_MS))]).to.deep.equal([2, placeInGeneration(1, 1)]);
 	});
 
-	/** Guards against an update whose condition holds by chance: the version that it names was given out again, to another host's change. */
-	it('takes no change under a version of before', async () => {
+	/** Guards against an update whose condition holds by chance, because the store assigned the version that it names again, to another host's change. */
+	it('rejects a change under a version of the earlier generation', async () => {
 		const {clock, store, client, put} = createBench();
 		const copy = store.takeCopy();
 		const {version} = await clock.runUntil(put(0, 'a'));
@@ -50,7 +50,7 @@
 		expect(store.getRecord(RecordKind.Leadership, 'group.nights')?.value).to.equal('b');
 	});
 
-	it('takes no deletion under a version of before', async () => {
+	it('rejects a deletion under a version of the earlier generation', async () => {
 		const {clock, store, client, put} = createBench();
 		const {version} = await clock.runUntil(put(0, 'a'));
 		store.restore(store.takeCopy());
@@ -59,8 +59,8 @@
 		expect(await clock.runUntil(deleted)).to.be.instanceOf(PlatformConflictError);
 	});
 
-	/** Guards against a host that takes a change for done in the store that it knew, when it was done in the one that came back. */
-	it('leaves a change open that was meant for the store of before', async () => {
+	/** Guards against a host that takes a change to have been made in the generation that it knows, when it was made in the restored store. */
+	it('reports no outcome for a change that was meant for the earlier generation', async () => {
 		const {clock, store, put} = createBench();
 		const {version} = await clock.runUntil(put(0, 'a'));
 		store.restore(store.takeCopy());
@@ -68,8 +68,8 @@
 		expect([err instanceof PlatformError, store.getRecord(RecordKind.Leadership, 'group.nights')?.value]).to.deep.equal([true, 'c']);
 	});
 
-	/** Guards against an answer that was on its way while the store came back, and arrives after one of the new generation. */
-	it('is not heard with an answer of before', async () => {
+	/** Guards against a response that was in transit during the restore and arrives after one of the new generation. */
+	it('rejects a late response of the earlier generation', async () => {
 		const {clock, store, client} = createBench();
 		store.setTrouble('entry-1', {answerMs: 200});
 		const late = getError(client.getRevision(TIMEOUT_MS));
--- a/tests/mirror/read-rate-limiter-tests.ts
+++ b/tests/mirror/read-rate-limiter-tests.ts
@@ -1,12 +1,12 @@
 import {expect} from 'chai';
 import {createReadRateLimiter} from '../../src/mirror/read-rate-limiter.js';
 
-describe('the permit to read the store out of turn', () => {
+describe('the limit of reads outside the schedule', () => {
 	function doTest(hosts: number, afterMs: number, expected: boolean) {
-		it(`is ${expected ? '' : 'not '}given again ${afterMs} ms later to one of ${hosts} hosts`, () => {
-			const permit = createReadRateLimiter();
-			expect(permit.take(hosts, 1000)).to.equal(true);
-			expect(permit.take(hosts, 1000 + afterMs)).to.equal(expected);
+		it(`${expected ? 'permits' : 'refuses'} another read of one of ${hosts} hosts after ${afterMs} ms`, () => {
+			const limiter = createReadRateLimiter();
+			expect(limiter.take(hosts, 1000)).to.equal(true);
+			expect(limiter.take(hosts, 1000 + afterMs)).to.equal(expected);
 		});
 	}
 
--- a/tests/mirror/routing-confirmation-tests.ts
+++ b/tests/mirror/routing-confirmation-tests.ts
@@ -10,32 +10,32 @@
 		});
 	}
 
-	doTest('is none before the store was read', () => undefined, undefined);
-	doTest('is the last one of the store', confirmation => {
+	doTest('is undefined before the store was read', () => undefined, undefined);
+	doTest('is the latest one by the store', confirmation => {
 		confirmation.noteConfirmed(100, 3);
 		confirmation.noteConfirmed(800, 3);
 		confirmation.noteConfirmed(700, 3);
 	}, 800);
-	doTest('stays that of before a return until the operator has had time to write again', confirmation => {
+	doTest('stays as of before a store restore until the operator has had time to write again', confirmation => {
 		confirmation.noteConfirmed(100, 3);
 		confirmation.noteRestore(3);
 		confirmation.noteConfirmed(3000, 3);
 		confirmation.noteConfirmed(4900, 3);
 	}, 100);
-	doTest('is taken again after that time', confirmation => {
+	doTest('advances again after that time', confirmation => {
 		confirmation.noteConfirmed(100, 3);
 		confirmation.noteRestore(3);
 		confirmation.noteConfirmed(3000, 3);
 		confirmation.noteConfirmed(5000, 3);
 	}, 5000);
-	doTest('is taken again with a version above the one that was held', confirmation => {
+	doTest('advances again with a version above the one that was held', confirmation => {
 		confirmation.noteConfirmed(100, 3);
 		confirmation.noteRestore(3);
 		confirmation.noteConfirmed(3000, 3);
 		confirmation.noteConfirmed(3700, 5);
 		confirmation.noteConfirmed(4400, 5);
 	}, 4400);
-	doTest('waits anew where the store comes back once more', confirmation => {
+	doTest('waits again after another store restore', confirmation => {
 		confirmation.noteRestore(3);
 		confirmation.noteConfirmed(3000, 3);
 		confirmation.noteRestore(3);
--- a/tests/mirror/silent-hosts-tests.ts
+++ b/tests/mirror/silent-hosts-tests.ts
@@ -6,48 +6,48 @@
 const TREE = createHostTree(HOSTS);
 const ROOT = HOSTS[0]!;
 
-describe('hosts that were not heard', () => {
-	it('are those below that have not asked for long', () => {
-		const unheard = createSilentHosts(0);
-		unheard.getSilent(TREE, ROOT, 3000, 0);
-		unheard.noteRequest('b:7000', [], 2500);
-		expect(unheard.getSilent(TREE, ROOT, 3000, 4000)).to.deep.equal(['c:7000']);
+describe('silent hosts', () => {
+	it('are those below this host that have not polled for a while', () => {
+		const silentHosts = createSilentHosts(0);
+		silentHosts.getSilent(TREE, ROOT, 3000, 0);
+		silentHosts.noteRequest('b:7000', [], 2500);
+		expect(silentHosts.getSilent(TREE, ROOT, 3000, 4000)).to.deep.equal(['c:7000']);
 	});
 
 	/**
-	 * The zone of the host that reads for all is cut off. It hears nothing of five other zones, of which it knows the first hosts only; taken for five dead hosts of 195 these
-	 * were marked, and lost their evidence while they served callers.
+	 * The zone of the host that reads for all others is cut off. That host receives nothing from five other zones, of which only the first hosts poll it. When these were taken for five dead
+	 * hosts of 195, they were marked as unresponsive and lost their primary leases while they served callers.
 	 */
-	it('are all hosts behind one that is not heard', () => {
+	it('are all hosts below a silent one', () => {
 		const zones = ['a', 'b', 'c', 'd', 'e', 'f'];
 		const hosts = zones.flatMap(zone => Array.from({length: 30}, (_, i) => ({name: `${zone}-${i + 10}`, peerAddress: `${zone}-${i + 10}:7000`, availabilityZone: zone})));
 		const tree = createHostTree(hosts);
-		const unheard = createSilentHosts(0);
+		const silentHosts = createSilentHosts(0);
 		const root = hosts[0]!;
-		unheard.getSilent(tree, root, 3000, 0);
+		silentHosts.getSilent(tree, root, 3000, 0);
 		for (const child of tree.getChildren(root).filter(({availabilityZone}) => availabilityZone === 'a')) {
-			unheard.noteRequest(child.peerAddress, [], 3500);
+			silentHosts.noteRequest(child.peerAddress, [], 3500);
 		}
 
-		expect(unheard.getSilent(tree, root, 3000, 4000)).to.have.lengthOf(150);
+		expect(silentHosts.getSilent(tree, root, 3000, 4000)).to.have.lengthOf(150);
 	});
 
-	it('are told upwards by those that ask', () => {
-		const unheard = createSilentHosts(0);
-		unheard.noteRequest('b:7000', ['x:7000'], 100);
-		expect(unheard.getSilent(TREE, ROOT, 3000, 200)).to.deep.equal(['x:7000']);
+	it('are reported upwards by the hosts that poll', () => {
+		const silentHosts = createSilentHosts(0);
+		silentHosts.noteRequest('b:7000', ['x:7000'], 100);
+		expect(silentHosts.getSilent(TREE, ROOT, 3000, 200)).to.deep.equal(['x:7000']);
 	});
 
-	it('are told no longer than those that tell of them are heard', () => {
-		const unheard = createSilentHosts(0);
-		unheard.noteRequest('x:7000', ['y:7000'], 100);
-		expect(unheard.getSilent(TREE, ROOT, 3000, 3200)).to.not.include('y:7000');
+	it('are reported only as long as the reporting host polls', () => {
+		const silentHosts = createSilentHosts(0);
+		silentHosts.noteRequest('x:7000', ['y:7000'], 100);
+		expect(silentHosts.getSilent(TREE, ROOT, 3000, 3200)).to.not.include('y:7000');
 	});
 
-	/** The tree changes as a host goes: one that moves below another has not asked there yet. */
-	it('are given their time anew where they come below this host only now', () => {
-		const unheard = createSilentHosts(0);
-		unheard.getSilent(createHostTree([ROOT]), ROOT, 3000, 0);
-		expect(unheard.getSilent(TREE, ROOT, 3000, 60_000)).to.deep.equal([]);
+	/** The tree changes when a host fails: a host that moves below another one has not polled it yet. */
+	it('are counted from the time at which they moved below this host', () => {
+		const silentHosts = createSilentHosts(0);
+		silentHosts.getSilent(createHostTree([ROOT]), ROOT, 3000, 0);
+		expect(silentHosts.getSilent(TREE, ROOT, 3000, 60_000)).to.deep.equal([]);
 	});
 });
--- a/tests/mirror/store-generation-tests.ts
+++ b/tests/mirror/store-generation-tests.ts
@@ -7,21 +7,21 @@
 const generations = fc.integer({min: 0, max: 1_000_000});
 const numbers = fc.integer({min: 0, max: 2 ** 31});
 
-describe('a number placed in a generation', () => {
-	it('gives back both', () => {
+describe('a number qualified by its generation', () => {
+	it('yields the generation and the number', () => {
 		fc.assert(fc.property(generations, numbers, (generation, number) => {
 			const placed = placeInGeneration(generation, number);
 			expect([getGeneration(placed), getWithinGeneration(placed)]).to.deep.equal([generation, number]);
 		}));
 	});
 
-	it('is above all of earlier generations', () => {
+	it('is above all numbers of earlier generations', () => {
 		fc.assert(fc.property(generations, numbers, numbers, (generation, number, earlier) => {
 			expect(placeInGeneration(generation + 1, number)).to.be.greaterThan(placeInGeneration(generation, earlier));
 		}));
 	});
 
-	it('is the store\'s own number before it first came back', () => {
+	it('is the store\'s own number before the first store restore', () => {
 		expect(placeInGeneration(0, 29)).to.equal(29);
 	});
 
@@ -35,6 +35,6 @@
 	doNextTest(2, 7, placeInGeneration(2, 1));
 	doNextTest(2, placeInGeneration(1, 7), placeInGeneration(2, 1));
 	doNextTest(2, placeInGeneration(2, 7), placeInGeneration(2, 8));
-	// What a host read in a later generation than the one that it knows of.
+	// The last number comes from a later generation than the one given.
 	doNextTest(1, placeInGeneration(2, 7), placeInGeneration(2, 8));
 });
--- a/tests/mirror/store-mirror-tests.ts
+++ b/tests/mirror/store-mirror-tests.ts
@@ -7,7 +7,7 @@
 import {createPeerNetwork} from '../../src/stand-ins/peers/in-memory-peers.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** Three hosts that mirror one store, all registered; each may be said to change groups. */
+/** Creates three registered hosts that mirror one store; `changing` holds the groups that each is changing. */
 async function createBench() {
 	const clock = createVirtualClock();
 	const startedAt = clock.now();
@@ -46,10 +46,10 @@
 
 describe('the copy of the store', () => {
 	/**
-	 * The store is slow. Between its reading and the answer's arrival a primary may be replaced: a copy that counted from the answer would be
-	 * relied on for longer than whoever replaces the primary waits.
+	 * The store is slow, and a primary may be replaced between its read and the arrival of the response. A copy whose confirmation were dated by the response would be
+	 * relied on for longer than the replacement of the primary waits.
 	 */
-	it('is confirmed as of the asking, not of the answer', async () => {
+	it('is confirmed as of the request, not of the response', async () => {
 		const {store, confirm, mirrors, elapsedClock} = await createBench();
 		store.setTrouble(undefined, {answerMs: 200});
 		const askedAt = elapsedClock.elapsed();
@@ -57,28 +57,28 @@
 		expect([mirrors.a.confirmedAt, elapsedClock.elapsed() >= askedAt + 200]).to.deep.equal([askedAt, true]);
 	});
 
-	it('takes over what has changed', async () => {
+	it('applies changes', async () => {
 		const {confirm, mirrors, register} = await createBench();
 		await register('d');
 		await confirm('a');
 		expect(mirrors.a.state.hosts.map(({name}) => name)).to.deep.equal(['a', 'b', 'c', 'd']);
 	});
 
-	it('costs one call where nothing has changed', async () => {
+	it('costs one call if nothing has changed', async () => {
 		const {store, confirm} = await createBench();
 		const before = store.calls;
 		await confirm('a');
 		expect(store.calls - before).to.equal(1);
 	});
 
-	it('is confirmed by a peer where the store turns this host away, with what is new', async () => {
+	it('is confirmed and updated by a peer if the store does not respond to this host', async () => {
 		const {store, confirm, mirrors, register} = await createBench();
 		store.setTrouble('a', {silent: true});
 		await register('d');
 		expect([await confirm('a'), mirrors.a.state.hosts.length]).to.deep.equal([true, 4]);
 	});
 
-	it('is confirmed by all hosts together where the store is down', async () => {
+	it('is confirmed by all hosts together if the store is down', async () => {
 		const {store, confirm, mirrors, elapsedClock} = await createBench();
 		store.setTrouble(undefined, {refused: true});
 		const askedAt = elapsedClock.elapsed();
@@ -86,16 +86,16 @@
 		expect(mirrors.a.confirmedAt).to.be.at.least(askedAt);
 	});
 
-	/** The store goes down while a host replaces a primary: what the others hold may be out of date already. */
-	it('is not confirmed while one of them changes a group', async () => {
+	/** The store goes down while a host replaces a primary: the other hosts' copies may be outdated already. */
+	it('is not confirmed while one of them is changing a group', async () => {
 		const {store, confirm, changing} = await createBench();
 		store.setTrouble(undefined, {refused: true});
 		changing.set('b', ['g']);
 		expect(await confirm('a')).to.equal(false);
 	});
 
-	/** A host that is marked as gone may live and read the store; nobody asks it, so it could be replacing a primary. */
-	it('is not confirmed by all together while one is marked as gone', async () => {
+	/** A host that is marked as unresponsive may be alive and read the store; no host asks it, so it could be replacing a primary. */
+	it('is not confirmed by all together while one is marked as unresponsive', async () => {
 		const {store, confirm, clock} = await createBench();
 		const {version, value} = store.getRecord(RecordKind.Hosts, 'c')!;
 		await clock.runUntil(store.getClient('a').putRecord(RecordKind.Hosts, {name: 'c', version, value: {...value as Record<string, unknown>, gone: true}}, 900));
@@ -106,7 +106,7 @@
 		expect(await confirm('a')).to.equal(false);
 	});
 
-	/** Without the store for long, hosts may have registered that this one does not know and cannot ask. */
+	/** After a long outage, hosts may have registered that this one does not know and cannot ask. */
 	it('is not confirmed by all together for longer than a new host waits', async () => {
 		const {store, confirm, clock} = await createBench();
 		store.setTrouble(undefined, {refused: true});
@@ -116,14 +116,14 @@
 		expect(await confirm('a')).to.equal(false);
 	});
 
-	it('is not confirmed where one of them does not answer', async () => {
+	it('is not confirmed if one of them does not respond', async () => {
 		const {store, confirm, network} = await createBench();
 		store.setTrouble(undefined, {refused: true});
 		network.setFaultsBetween('a:7000', 'c:7000', {cut: true});
 		expect(await confirm('a')).to.equal(false);
 	});
 
-	it('never goes back to an earlier configuration', async () => {
+	it('never returns to an earlier configuration', async () => {
 		const {store, confirm, mirrors} = await createBench();
 		const routing = {
 			version: 7, routes: new Map(), groups: new Map(), workspaces: new Map(), idleTransactionMs: 1,
@@ -136,10 +136,10 @@
 	});
 
 	/**
-	 * The store refuses every call at once for some seconds, and statements wait for evidence: each asks for a confirmation again. Every call is priced, and all of
-	 * them are refused.
+	 * The store refuses every call at once for some seconds, and statements that wait for a primary lease request one confirmation after another. Every call is billed,
+	 * and all of them are refused.
 	 */
-	it('leaves a store that refuses alone for a while', async () => {
+	it('pauses its calls to a store that refuses them', async () => {
 		const {clock, store, mirrors} = await createBench();
 		store.setTrouble(undefined, {refused: true});
 		const before = store.calls;
@@ -148,14 +148,14 @@
 			await clock.advance(10);
 		}
 
-		// Three hosts, since a host that is refused has its peers look as well.
+		// Three hosts, since a host that is refused has its peers read the store as well.
 		expect(store.calls - before).to.be.lessThan(3 * 20);
 	});
 
 	/**
-	 * Twenty hosts lose the store. If each asked each other one whether all agree, an outage would make 380 calls in each round, and 810,000 among 900 hosts.
+	 * Twenty hosts cannot reach the store. If each asked every other one for unanimity, an outage would cause 380 calls in each round, and 810,000 among 900 hosts.
 	 */
-	it('is asked of a few peers where there are many', async () => {
+	it('is confirmed through a few peers only if there are many', async () => {
 		const {clock, store, network, register} = await createBench();
 		for (let i = 0; i < 17; i++) {
 			await register(`h${i}`);
--- a/tests/mirror/store-reader-tests.ts
+++ b/tests/mirror/store-reader-tests.ts
@@ -5,13 +5,13 @@
 import {createStoreReader} from '../../src/mirror/store-reader.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-const OF_BEFORE = 9;
-const OF_NOW = placeInGeneration(1, 5);
+const EARLIER_GENERATION = 9;
+const CURRENT_GENERATION = placeInGeneration(1, 5);
 
-/** Revisions of what a store answers. */
+/** Revisions of a store's responses. */
 type Revisions = {readonly store: number; readonly routing?: number; readonly hosts?: number};
 
-/** Reads a store once that answers under these revisions, for a copy of another. */
+/** Reads a store once that responds with these revisions, for a copy that is complete up to `held`. */
 async function read(held: number, {store: revision, routing = revision, hosts = revision}: Revisions) {
 	const clock = createVirtualClock();
 	const adopted: number[] = [];
@@ -38,18 +38,18 @@
 	return {adopted, confirmed};
 }
 
-describe('a reading of the store', () => {
+describe('a read of the store', () => {
 	function doTest(name: string, held: number, revisions: Revisions, expected: Awaited<ReturnType<typeof read>>) {
 		it(name, async () => {
 			expect(await read(held, revisions)).to.deep.equal(expected);
 		});
 	}
 
-	doTest('confirms a copy of the same revision', OF_BEFORE, {store: OF_BEFORE}, {adopted: [], confirmed: true});
-	doTest('takes over what is later', OF_BEFORE, {store: OF_BEFORE + 1}, {adopted: [OF_BEFORE + 1], confirmed: true});
-	doTest('takes over what a store holds that came back with a lower revision', OF_BEFORE, {store: OF_NOW}, {adopted: [OF_NOW], confirmed: true});
-	// A peer had read the store that came back already.
-	doTest('confirms nothing by an answer of an earlier generation', OF_NOW, {store: OF_BEFORE + 90}, {adopted: [], confirmed: false});
-	doTest('takes no lists of two generations', OF_BEFORE, {store: OF_NOW, routing: OF_BEFORE + 1}, {adopted: [], confirmed: false});
-	doTest('takes none where the last one shows the return', OF_BEFORE, {store: OF_BEFORE + 1, hosts: OF_NOW}, {adopted: [], confirmed: false});
+	doTest('confirms a copy of the same revision', EARLIER_GENERATION, {store: EARLIER_GENERATION}, {adopted: [], confirmed: true});
+	doTest('applies a later revision', EARLIER_GENERATION, {store: EARLIER_GENERATION + 1}, {adopted: [EARLIER_GENERATION + 1], confirmed: true});
+	doTest('applies what a restored store holds under a lower revision', EARLIER_GENERATION, {store: CURRENT_GENERATION}, {adopted: [CURRENT_GENERATION], confirmed: true});
+	// The copy came from a peer that had read the restored store already.
+	doTest('confirms nothing by a response of an earlier generation', CURRENT_GENERATION, {store: EARLIER_GENERATION + 90}, {adopted: [], confirmed: false});
+	doTest('applies no lists of two generations', EARLIER_GENERATION, {store: CURRENT_GENERATION, routing: EARLIER_GENERATION + 1}, {adopted: [], confirmed: false});
+	doTest('applies none if the last one shows a store restore', EARLIER_GENERATION, {store: EARLIER_GENERATION + 1, hosts: CURRENT_GENERATION}, {adopted: [], confirmed: false});
 });
