--- a/tests/membership/hosts-tests.ts
+++ b/tests/membership/hosts-tests.ts
@@ -39,7 +39,7 @@
 
 	const getUsable = () => hosts.getUsable(clock.now()).map(host => host.name).join(' ');
 
-	/** The list becomes what `change` gives, is read again, and leaves these hosts known and usable. */
+	/** Replaces the list with the result of `change`, and checks which hosts are known and usable after the next read. */
 	const doTestList = (title: string, change: () => PlatformHost[] | undefined, known: string, usable: string) => {
 		it(title, async () => {
 			list = change();
@@ -49,25 +49,25 @@
 		});
 	};
 
-	doTestList('takes a host that is new', () => [...list!, createHost('four')], 'two three four one', 'two three four one');
-	doTestList('drops a host that is gone', () => [self, createHost('two')], 'two one', 'two one');
-	doTestList('gives no work to a host that leaves', () => [self, createHost('two', {state: 'leaving'})], 'two one', 'one');
-	doTestList('gives itself no work when it leaves', () => [createHost('one', {state: 'leaving'}), createHost('two')], 'two one', 'two');
-	doTestList('counts itself while the list lags', () => [createHost('two')], 'two one', 'two one');
-	doTestList('passes over endpoints', () => [self, createHost('db', {role: 'endpoint'})], 'one', 'one');
+	doTestList('adds a new host', () => [...list!, createHost('four')], 'two three four one', 'two three four one');
+	doTestList('removes a host that is no longer on the list', () => [self, createHost('two')], 'two one', 'two one');
+	doTestList('gives no work to a host that is leaving', () => [self, createHost('two', {state: 'leaving'})], 'two one', 'one');
+	doTestList('gives itself no work while it is leaving', () => [createHost('one', {state: 'leaving'}), createHost('two')], 'two one', 'two');
+	doTestList('includes itself while the list lags', () => [createHost('two')], 'two one', 'two one');
+	doTestList('ignores endpoints', () => [self, createHost('db', {role: 'endpoint'})], 'one', 'one');
 	doTestList('keeps the last list while the store is down', () => undefined, 'two three one', 'two three one');
 	doTestList('keeps the last list when the platform shows no proxy at all', () => [], 'two three one', 'two three one');
 
-	it('tells which endpoints leave', async () => {
+	it('knows which endpoints are leaving', async () => {
 		list = [self, createHost('db', {role: 'endpoint', state: 'leaving'}), createHost('db-two', {role: 'endpoint'})];
 		await clock.advance(2200);
 		const leaving = ['db:7000', 'db-two:7000', 'gone:7000'].map(address => hosts.isEndpointLeaving(address));
 		expect(leaving).to.deep.equal([true, false, false]);
 	});
 
-	// A host dies and stays on the lagging list: requests sent to it fail one after the other unless it is left alone
-	// for a while; all calls on its broken link fail together and count once.
-	it('leaves an unreachable host alone for longer and longer, and at once no more when it answers', async () => {
+	// A host dies and stays on the lagging list. Without a backoff, each request sent to it would fail.
+	// All calls on its broken link fail together and count as one failure.
+	it('doubles the backoff of an unreachable host up to a limit, and ends it when the host responds', async () => {
 		const backoffs: number[] = [];
 		for (let failure = 0; failure < 7; failure++) {
 			hosts.reportUnreachable('two:7000', clock.now());
@@ -87,12 +87,12 @@
 		expect(getUsable()).to.equal('two three one');
 	});
 
-	it('never leaves itself alone', () => {
+	it('never applies a backoff to itself', () => {
 		hosts.reportUnreachable(self.address, clock.now());
 		expect(getUsable()).to.equal('two three one');
 	});
 
-	it('reads the list again every 2 s, about', async () => {
+	it('reads the list about every 2 s', async () => {
 		await clock.advance(60_000);
 		expect(reads).to.be.within(28, 34);
 	});
--- a/tests/membership/owning-tests.ts
+++ b/tests/membership/owning-tests.ts
@@ -13,7 +13,7 @@
 
 const createFleet = (size: number) => Array.from({length: size}, (_, i) => createHost(`host-${i}`, ZONES[i % ZONES.length]!));
 
-/** Owners as a host with this list chooses them, by name. */
+/** Creates a function that returns the names of the owners that a host with this list selects. */
 const createChooser = (all: readonly PlatformHost[], unusable: readonly string[] = [], groupZones: readonly string[] = []) => {
 	const usable = all.filter(host => !unusable.includes(host.name));
 	const hosts: Partial<Hosts> = {getAll: () => all, getUsable: () => usable};
@@ -30,14 +30,14 @@
 		});
 	};
 
-	// Fixed by the hash: a change here moves every group in a rolling upgrade.
+	// The hash determines these results: a change here would move every group in a rolling upgrade.
 	doTest('ranks three of nine', createChooser(createFleet(9)), 3, 'host-2 host-1 host-0');
-	doTest('passes over an unusable host', createChooser(createFleet(9), ['host-0']), 3, 'host-2 host-1 host-7');
+	doTest('skips an unusable host', createChooser(createFleet(9), ['host-0']), 3, 'host-2 host-1 host-7');
 	doTest('ranks the zones of the endpoints first', createChooser(createFleet(9), [], ['hall-b', 'hall-d']), 3, 'host-1 host-7 host-5');
-	doTest('gives all hosts where there are too few', createChooser(createFleet(2)), 3, 'host-1 host-0');
-	doTest('gives none where there are none', createChooser([]), 3, '');
+	doTest('returns all hosts if there are too few', createChooser(createFleet(2)), 3, 'host-1 host-0');
+	doTest('returns none if there are none', createChooser([]), 3, '');
 
-	it('chooses anew when other hosts are usable', () => {
+	it('selects again when the usable hosts change', () => {
 		const all = createFleet(9);
 		let usable = all;
 		const hosts: Partial<Hosts> = {getAll: () => all, getUsable: () => usable};
@@ -47,7 +47,7 @@
 		expect(owning.getOwners('sleep-logs', 2, 0)[0]).to.equal(second);
 	});
 
-	it('chooses the same owners on hosts that have the same list in another order', () => {
+	it('selects the same owners on hosts that have the same list in another order', () => {
 		fc.assert(fc.property(fc.shuffledSubarray(createFleet(30), {minLength: 1}), fc.integer({min: 1, max: 9}), (shuffled, count) => {
 			const ordered = shuffled.toSorted((left, right) => left.name < right.name ? -1 : 1);
 			const [here, there] = [createChooser(shuffled), createChooser(ordered)];
@@ -57,7 +57,7 @@
 		}), {seed: 1});
 	});
 
-	it('chooses among usable hosts as if there were no others', () => {
+	it('selects among usable hosts as if there were no others', () => {
 		fc.assert(fc.property(fc.subarray(createFleet(40)), fc.integer({min: 1, max: 9}), (gone, count) => {
 			const names = gone.map(host => host.name);
 			const [passingOver, without] = [createChooser(createFleet(40), names), createChooser(createFleet(40).filter(host => !names.includes(host.name)))];
@@ -67,7 +67,7 @@
 		}), {seed: 1});
 	});
 
-	// A host is replaced: if other hosts' groups moved with it, their owners would open connections anew all over.
+	// When a host is replaced and other hosts' groups moved too, their new owners would have to open all connections again.
 	it('moves only the groups of a host that is replaced', () => {
 		fc.assert(fc.property(fc.integer({min: 5, max: 40}), fc.nat(), fc.integer({min: 1, max: 9}), (size, pick, count) => {
 			const fleet = createFleet(size);
--- a/tests/peers/peer-authentication-tests.ts
+++ b/tests/peers/peer-authentication-tests.ts
@@ -54,9 +54,9 @@
 		await host.stop();
 	});
 
-	/** A stranger sends these messages, each after an answer to the one before, and is cut off without a call handled. */
-	const doTestStranger = (title: string, reason: string, getMessages: () => unknown[]) => {
-		it(`cuts off a stranger who ${title}`, async () => {
+	/** An unauthenticated client sends these messages, each after a response to the previous one, and is disconnected without a call being handled. */
+	const doTestUnauthenticated = (title: string, reason: string, getMessages: () => unknown[]) => {
+		it(`disconnects an unauthenticated client that ${title}`, async () => {
 			const socket = new WebSocket(`ws://${host.address}/peers`);
 			const closed = once(socket, 'close');
 			await once(socket, 'open');
@@ -76,16 +76,16 @@
 		protocol: 1, nonce: NONCE, from: '10.0.0.9:7000', to: host.address,
 	});
 
-	doTestStranger('calls without a handshake', UNKNOWN_MESSAGE, () => [CALL]);
-	doTestStranger('calls in place of a proof', UNKNOWN_MESSAGE, () => [getHello(), CALL]);
-	// With the guard on the proof gone, the call would be handled after the welcome.
-	doTestStranger('proves another key', 'not authenticated: 10.0.0.9:7000 proved no key that this host holds', () => [getHello(), {proofs: [NONCE]}, CALL]);
-	doTestStranger('speaks another protocol', UNKNOWN_MESSAGE, () => [{...getHello(), protocol: 2}, CALL]);
-	doTestStranger('looks for another host', 'not authenticated: 10.0.0.9:7000 looks for 10.0.0.1:7000 here', () => [{...getHello(), to: '10.0.0.1:7000'}, {proofs: [NONCE]}]);
-	doTestStranger('sends a large message first', 'not authenticated: a handshake message of 2003 bytes', () => ['f'.repeat(2000)]);
-	doTestStranger('sends a message over the limit for frames', 'closed during the handshake: Max payload size exceeded', () => ['f'.repeat(5000)]);
+	doTestUnauthenticated('calls without a handshake', UNKNOWN_MESSAGE, () => [CALL]);
+	doTestUnauthenticated('calls in place of a proof', UNKNOWN_MESSAGE, () => [getHello(), CALL]);
+	// Without the check of the proof, the call would be handled after the welcome.
+	doTestUnauthenticated('proves another key', 'not authenticated: 10.0.0.9:7000 proved no key that this host holds', () => [getHello(), {proofs: [NONCE]}, CALL]);
+	doTestUnauthenticated('uses another protocol version', UNKNOWN_MESSAGE, () => [{...getHello(), protocol: 2}, CALL]);
+	doTestUnauthenticated('addresses another host', 'not authenticated: 10.0.0.9:7000 looks for 10.0.0.1:7000 here', () => [{...getHello(), to: '10.0.0.1:7000'}, {proofs: [NONCE]}]);
+	doTestUnauthenticated('sends a large message first', 'not authenticated: a handshake message of 2003 bytes', () => ['f'.repeat(2000)]);
+	doTestUnauthenticated('sends a message over the limit for frames', 'closed during the handshake: Max payload size exceeded', () => ['f'.repeat(5000)]);
 
-	it('cuts off a stranger who says nothing', async () => {
+	it('disconnects an unauthenticated client that sends nothing', async () => {
 		const socket = new WebSocket(`ws://${host.address}/peers`);
 		const closed = once(socket, 'close');
 		await once(socket, 'open');
@@ -94,9 +94,9 @@
 		expect(host.figures.linksRefused).to.equal(1);
 	});
 
-	/** A false host answers the caller's messages with these; the caller must not tell it its question. */
+	/** A false host responds to the caller's messages; the caller must not send it the call. */
 	const doTestFalseHost = (title: string, expected: string, getWelcome: (proof: Uint8Array) => unknown) => {
-		it(`tells nothing to a false host that ${title}`, async () => {
+		it(`sends no call to a false host that ${title}`, async () => {
 			const server = new WebSocketServer({host: '127.0.0.1', port: 0});
 			await once(server, 'listening');
 			const received: unknown[] = [];
@@ -119,8 +119,8 @@
 	doTestFalseHost('sends the caller\'s own proof back', 'ADDRESS proved no key that this host holds', proof => ({proof}));
 	doTestFalseHost('welcomes without a proof', 'a handshake message that this host does not know', () => ({}));
 
-	// An intruder on the network passes a caller's handshake on to a host that the caller did not mean.
-	it('refuses a handshake that was passed on from another address', async () => {
+	// An intruder on the network relays a caller's handshake to a host that the caller did not address.
+	it('refuses a handshake that was relayed from another address', async () => {
 		const caller = await startHost([PEER_KEY]);
 		const relay = await startTcpRelay();
 		relay.target(host.address);
@@ -131,7 +131,7 @@
 		expect(handled).to.deep.equal([]);
 	});
 
-	// A faulty peer sends more than a frame may hold: it would fill this host's memory.
+	// A faulty peer sends more than the maximum size of a frame, which would fill this host's memory.
 	it('closes the link of a peer whose frame is over the limit', async () => {
 		const caller = await startHost([PEER_KEY], 8192);
 		const outcome = await describeOutcome(caller.call(host.address, 'echo', 'f'.repeat(5000), 1000));
--- a/tests/peers/peer-bench.ts
+++ b/tests/peers/peer-bench.ts
@@ -8,7 +8,7 @@
 import {createPeerNetwork} from '../../src/stand-ins/peers/in-memory-peers.js';
 import {createVirtualClock, type VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** The calls that tests of links make. */
+/** The kinds of call in tests of links. */
 declare module '../../src/peers/peer-calls.js' {
 	interface PeerCalls {
 		echo: {req: unknown; res: unknown};
@@ -16,10 +16,10 @@
 	}
 }
 
-/** The key of hosts whose test states none. */
+/** The default key of hosts. */
 export const PEER_KEY = 'the key of every host in this test';
 
-/** One line that shows how a call ended. */
+/** Describes the outcome of a call in one line. */
 export async function describeOutcome(call: Promise<unknown>): Promise<string> {
 	try {
 		return JSON.stringify(await call);
@@ -28,7 +28,7 @@
 	}
 }
 
-/** Creates a handler that answers each question when its test says so. */
+/** Creates a handler that responds to each request when the test calls `answer`. */
 export function createGatedHandler() {
 	const gates = new Map<unknown, (res: unknown) => void>();
 	const arrivals = new EventTarget();
@@ -38,7 +38,7 @@
 			gates.set(req, resolve);
 			arrivals.dispatchEvent(new Event(String(req)));
 		}),
-		/** Resolves once the question has come. */
+		/** Resolves once the request has arrived. */
 		async entered(req: string) {
 			if (!gates.has(req)) {
 				await once(arrivals, req);
@@ -51,20 +51,20 @@
 	};
 }
 
-/** Hosts that call each other in a test, over either implementation. */
+/** A test bench of hosts that call each other, over either implementation. */
 export type PeerBench = {
 	readonly clock: VirtualClock;
 	/** Starts a host. */
 	addHost(peerKeys?: readonly string[]): Promise<LivePeers>;
-	/** Waits for a promise: real links need real time, simulated ones the virtual clock's. */
-	settle<T>(promise: Promise<T>): Promise<T>;
+	/** Waits for a promise: in real time on real links, on the virtual clock on simulated ones. */
+	waitFor<T>(promise: Promise<T>): Promise<T>;
 	stop(): Promise<void>;
 };
 
-/** Makes a bench, for a table of tests over both implementations. */
+/** Creates a bench; there is one such function for each implementation. */
 export type CreatePeerBench = (limits?: Partial<PeerLimits>) => PeerBench;
 
-/** Creates hosts on loopback; the virtual clock rules their timeouts. */
+/** Creates hosts on loopback, whose timeouts follow the virtual clock. */
 export const createWsBench: CreatePeerBench = limits => {
 	const clock = createVirtualClock();
 	const hosts: LivePeers[] = [];
@@ -79,7 +79,7 @@
 			await host.start();
 			return host;
 		},
-		settle: async promise => promise,
+		waitFor: async promise => promise,
 		async stop() {
 			const stopping = Promise.all(hosts.map(async host => host.stop()));
 			await clock.advance(10_000);
@@ -100,7 +100,7 @@
 			count++;
 			return network.addHost(`10.0.0.${count}:7000`, peerKeys);
 		},
-		settle: async promise => clock.runUntil(promise),
+		waitFor: async promise => clock.runUntil(promise),
 		async stop() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	};
 };
--- a/tests/peers/peer-faults-tests.ts
+++ b/tests/peers/peer-faults-tests.ts
@@ -5,31 +5,31 @@
 import {describeOutcome} from './peer-bench.js';
 
 const CALLER = '10.0.0.1:7000';
-const ANSWERER = '10.0.0.2:7000';
+const RESPONDER = '10.0.0.2:7000';
 
-/** How long everything is given to come to an end, in milliseconds. */
+/** Time within which all calls must end after the last event, in milliseconds. */
 const END_MS = 20_000;
 
-/** A caller and an answerer, with all that may happen to them, by name; amounts are from 1 to 2,000. */
-function createScene() {
+/** Creates a caller and a responder, with all events that may happen to them, by name; amounts are from 1 to 2,000. */
+function createSystem() {
 	const clock = createVirtualClock();
 	const network = createPeerNetwork(clock);
 	const host = network.addHost(CALLER);
 	const ran = new Set<number>();
 	const outcomes: Array<Promise<string>> = [];
 
-	const startAnswerer = () => {
-		network.addHost(ANSWERER).handle('echo', async req => {
+	const startResponder = () => {
+		network.addHost(RESPONDER).handle('echo', async req => {
 			ran.add(req as number);
 			await clock.sleep(20);
 			return {rows: [req, req]};
 		});
 	};
 
-	startAnswerer();
+	startResponder();
 	const events = {
 		call(amount: number) {
-			outcomes.push(describeOutcome(host.call(ANSWERER, 'echo', outcomes.length, amount)));
+			outcomes.push(describeOutcome(host.call(RESPONDER, 'echo', outcomes.length, amount)));
 		},
 		async wait(amount: number) {
 			await clock.advance(amount);
@@ -38,35 +38,35 @@
 			await clock.advance(amount / 50);
 		},
 		slow(amount: number) {
-			network.setFaults(ANSWERER, CALLER, {delayMs: amount / 5});
+			network.setFaults(RESPONDER, CALLER, {delayMs: amount / 5});
 		},
 		cutThere() {
-			network.setFaults(CALLER, ANSWERER, {cut: true});
+			network.setFaults(CALLER, RESPONDER, {cut: true});
 		},
 		cutBack() {
-			network.setFaults(ANSWERER, CALLER, {cut: true});
+			network.setFaults(RESPONDER, CALLER, {cut: true});
 		},
 		dropAnswers() {
-			network.setFaults(ANSWERER, CALLER, {dropAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {dropAnswers: true});
 		},
 		duplicateAnswers() {
-			network.setFaults(ANSWERER, CALLER, {duplicateAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {duplicateAnswers: true});
 		},
 		crossAnswers() {
-			network.setFaults(ANSWERER, CALLER, {crossAnswers: true, duplicateAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {crossAnswers: true, duplicateAnswers: true});
 		},
 		pause() {
-			network.pause(ANSWERER);
+			network.pause(RESPONDER);
 		},
 		resume() {
-			network.resume(ANSWERER);
+			network.resume(RESPONDER);
 		},
 		heal() {
 			network.heal();
 		},
 		restart() {
-			network.kill(ANSWERER);
-			startAnswerer();
+			network.kill(RESPONDER);
+			startResponder();
 		},
 	};
 
@@ -75,19 +75,19 @@
 	};
 }
 
-type EventName = keyof ReturnType<typeof createScene>['events'];
+type EventName = keyof ReturnType<typeof createSystem>['events'];
 
-const eventNames = Object.keys(createScene().events) as EventName[];
+const eventNames = Object.keys(createSystem().events) as EventName[];
 const weighted = fc.oneof({arbitrary: fc.constantFrom<EventName>('call', 'waitBriefly'), weight: 2}, {arbitrary: fc.constantFrom(...eventNames), weight: 1});
 
-describe('peer links under any faults together', () => {
-	// A coach sees another member's nights, or a filing posts twice: faults come together in an order nobody thought of.
-	// A call must end with its own whole answer or an error, and what was told never to have been sent never ran.
-	it('give each call its own answer or a true error', async () => {
+describe('peer links under combinations of faults', () => {
+	// Guards against combinations of faults in which a caller sees another caller's rows, or a write runs twice.
+	// A call must end with its own complete response or an error, and a call that is reported as not sent must never have run.
+	it('give each call its own response or a correct error', async () => {
 		const seen = {answered: 0, sent: 0, unsent: 0};
-		await fc.assert(fc.asyncProperty(fc.array(fc.tuple(weighted, fc.integer({min: 1, max: 2000})), {minLength: 10, maxLength: 60, size: 'max'}), async happenings => {
-			const {clock, ran, outcomes, events} = createScene();
-			for (const [name, amount] of happenings) {
+		await fc.assert(fc.asyncProperty(fc.array(fc.tuple(weighted, fc.integer({min: 1, max: 2000})), {minLength: 10, maxLength: 60, size: 'max'}), async schedule => {
+			const {clock, ran, outcomes, events} = createSystem();
+			for (const [name, amount] of schedule) {
 				await events[name](amount);
 			}
 
--- a/tests/peers/peer-links-tests.ts
+++ b/tests/peers/peer-links-tests.ts
@@ -11,7 +11,7 @@
 const SILENT = 'sent true: gave no answer to echo: silent for 2500 ms';
 const NOT_OPEN = 'sent false: gave no answer to echo: not open within 1000 ms';
 
-describe('peer links over a network that fails', () => {
+describe('peer links over a failing network', () => {
 	let clock: VirtualClock;
 	let relay: TcpRelay;
 	let host: LivePeers;
@@ -50,9 +50,9 @@
 		await other.stop();
 	});
 
-	// A roster is shown with half its members: the connection breaks in the middle of an answer. The call must fail as
-	// one that may have run, at once, and the next one must get its whole answer over a new link.
-	it('takes no part of an answer that was cut', async () => {
+	// The connection breaks in the middle of a response, of which half the rows would be shown. The call must fail at once as
+	// one that may have run, and the next one must get its complete response over a new link.
+	it('delivers no part of a truncated response', async () => {
 		const roster = Array.from({length: 500}, (_, member) => ({member}));
 		other.handle('echo', async () => roster);
 		await host.call(relay.address, 'echo', 0, 1000);
@@ -62,9 +62,9 @@
 		expect(host.figures.linksOpened).to.equal(2);
 	});
 
-	// Every request through one owner waits for its whole deadline: something between the hosts lost track of their
-	// connection, which stays open and carries nothing, while new ones work.
-	it('gives up a silent link within 3 s and opens another', async () => {
+	// Something between the hosts drops their connection silently: it stays open and carries nothing, while new connections work.
+	// Every request through one owner would wait for its whole deadline.
+	it('terminates a silent link within 3 s and opens another', async () => {
 		other.handle('echo', async req => req);
 		await host.call(relay.address, 'echo', 0, 1000);
 		relay.freeze();
@@ -73,7 +73,7 @@
 		expect(await host.call(relay.address, 'echo', 'night', 60_000)).to.equal('night');
 	});
 
-	it('tells that nothing listens at an address', async () => {
+	it('reports that nothing listens at an address', async () => {
 		expect(await describeOutcome(host.call('127.0.0.1:9', 'echo', 0, 1000))).to.match(/^sent false: .*ECONNREFUSED/v);
 	});
 });
@@ -103,20 +103,20 @@
 		});
 	};
 
-	// The network delivers an answer twice; the second copy must not reach a later call.
-	doTest('accepts an answer once', ['"first"', '"second"', '2 duplicates'], async () => {
+	// The network delivers a response twice; the second copy must not reach a later call.
+	doTest('accepts a response once', ['"first"', '"second"', '2 duplicates'], async () => {
 		network.setFaults(other.address, host.address, {duplicateAnswers: true});
 		const outcomes = [await clock.runUntil(call('first')), await clock.runUntil(call('second'))];
 		await clock.advance(10);
 		return [...outcomes, `${host.figures.duplicateAnswers} duplicates`];
 	});
 
-	doTest('keeps answers apart that the network crosses', ['"first"', '"second"'], async () => {
+	doTest('matches responses that the network reorders', ['"first"', '"second"'], async () => {
 		network.setFaults(other.address, host.address, {crossAnswers: true});
 		return clock.runUntil(Promise.all([call('first'), call('second')]));
 	});
 
-	doTest('times out when the answer is lost after its effect', ['sent true: gave no answer to echo: the timeout passed', 'entered'], async () => {
+	doTest('times out when the response is lost after the call has run', ['sent true: gave no answer to echo: the timeout passed', 'entered'], async () => {
 		other.handle('echo', gated.handle);
 		network.setFaults(other.address, host.address, {dropAnswers: true});
 		const lost = call('first', 5000);
@@ -125,8 +125,8 @@
 		return [await clock.runUntil(lost), gated.hasEntered('first') ? 'entered' : 'lost'];
 	});
 
-	// A report takes 20 s on a healthy peer: it must not be taken for a silent link.
-	doTest('keeps a link whose peer answers pings', ['"answer to slow"'], async () => {
+	// A call runs for 20 s on a healthy peer: its link must not be taken for silent.
+	doTest('keeps a link whose peer responds to pings', ['"answer to slow"'], async () => {
 		other.handle('echo', gated.handle);
 		const slow = call('slow', 30_000);
 		await clock.advance(20_000);
@@ -134,8 +134,8 @@
 		return [await clock.runUntil(slow)];
 	});
 
-	// The caller was told "not sent" and tried elsewhere: the filing would post twice if the frame, which waited for the
-	// link to open, went out after all.
+	// The caller was told that the call was not sent, and tried another host: a write would run twice if the frame, which waited
+	// for the link to open, were sent after all.
 	doTest('never sends a call that timed out while the link opened', ['sent false: gave no answer to echo: the timeout passed', 'stayed behind'], async () => {
 		const late = network.addHost('10.0.0.3:7000');
 		late.handle('echo', gated.handle);
@@ -146,9 +146,9 @@
 		return [outcome, gated.hasEntered('filing') ? 'ran' : 'stayed behind'];
 	});
 
-	// A host stops while another one opens a link to it for a write. At some step of the opening the link is taken after the
-	// stop began; the write must then be refused, neither run by what has stopped nor left unsure.
-	doTest('neither takes nor leaves unsure what comes on a link that opens during a stop', ['7 refused, 2 answered, 2 taken'], async () => {
+	// A host stops while another one opens a link to it for a write. Depending on the step of the opening, the link is accepted after the
+	// stop began; the write must then be refused, neither run by the stopped host nor left with an unknown outcome.
+	doTest('runs or refuses each call on a link that opens during a stop, with a known outcome', ['7 refused, 2 answered, 2 taken'], async () => {
 		const taken: unknown[] = [];
 		const outcomes: string[] = [];
 		const handle = async (req: unknown) => {
@@ -171,9 +171,9 @@
 		return [`${refused.length} refused, ${answered.length} answered, ${taken.length} taken`];
 	});
 
-	// A host stops while another one calls it every millisecond, so that some call is always on its way. Were the link kept
-	// for them, it would never be empty, and its end would leave the last ones unsure.
-	doTest('ends a link to a stopping host though calls go on', ['"0"', 'none unsure', 'stopped within 5 ms'], async () => {
+	// A host stops while another one calls it every millisecond, so that some call is always in transit. If the link were kept
+	// for them, it would never drain, and its close would leave the last calls with unknown outcomes.
+	doTest('closes a link to a stopping host while calls continue', ['"0"', 'none unsure', 'stopped within 5 ms'], async () => {
 		const calls: Array<Promise<string>> = [];
 		const goOn = async (ms: number) => {
 			for (let passed = 0; passed < ms; passed++) {
@@ -192,7 +192,7 @@
 		return [outcomes[0], unsure === 0 ? 'none unsure' : `${unsure} unsure`, `stopped within ${Math.max(5, stopMs)} ms`];
 	});
 
-	doTest('fails calls at once when the peer is killed, and cannot reach it then', [
+	doTest('fails calls at once when the peer is killed, and cannot reach it afterwards', [
 		'sent true: gave no answer to echo: connection reset within 2 ms',
 		'sent false: gave no answer to echo: connection refused within 2 ms',
 		'"again"',
@@ -211,9 +211,9 @@
 		return [...outcomes, await clock.runUntil(call('again'))];
 	});
 
-	// A host is killed behind a cut and started anew: nobody is told that the link has ended. Short questions, one after the
-	// other, each time out long before a link counts as silent, and must find out together.
-	doTest('gives a lost link up though every call on it is short', ['"first"', '"again"'], async () => {
+	// A host is killed during a network partition and restarted, so its peer never learns that the link has ended. Consecutive short calls
+	// each time out long before a link counts as silent, and must detect that together.
+	doTest('terminates a lost link although every call on it is short', ['"first"', '"again"'], async () => {
 		other.handle('echo', async req => req);
 		const outcomes = [await clock.runUntil(call('first'))];
 		network.setFaultsBetween(host.address, other.address, {cut: true});
@@ -230,8 +230,8 @@
 		return [...outcomes, outcome];
 	});
 
-	// The same, asked once only: the link is given up by its own ping, so that the next question needs no second try.
-	doTest('gives a lost link up after one short call', ['"first"', 'sent true: gave no answer to echo: the timeout passed', '"again"'], async () => {
+	// The same with one call only: the ping detects that the link is lost, so that the next call needs no second try.
+	doTest('terminates a lost link after one short call', ['"first"', 'sent true: gave no answer to echo: the timeout passed', '"again"'], async () => {
 		other.handle('echo', async req => req);
 		const outcomes = [await clock.runUntil(call('first'))];
 		network.setFaultsBetween(host.address, other.address, {cut: true});
@@ -244,8 +244,8 @@
 		return [...outcomes, await clock.runUntil(call('again', 200))];
 	});
 
-	// One question of a busy host is answered late, and nobody asks more: its link must not be given up for that.
-	doTest('keeps a link on which one short call was answered late', ['sent true: gave no answer to echo: the timeout passed', '0 silent'], async () => {
+	// A busy host responds late to one call, and no other call follows: its link must not be terminated for that.
+	doTest('keeps a link on which one short call got a late response', ['sent true: gave no answer to echo: the timeout passed', '0 silent'], async () => {
 		other.handle('echo', gated.handle);
 		const outcomes = [await clock.runUntil(call('late', 200))];
 		gated.answer('late');
@@ -253,8 +253,8 @@
 		return [...outcomes, `${host.figures.linksSilent} silent`];
 	});
 
-	// A host is paused with a question on its way: the caller is told that it may have run, and on waking it does run.
-	doTest('delivers to a paused host when it goes on', [SILENT, NOT_OPEN, '"again"', 'ran late'], async () => {
+	// A host is paused with a request in transit: the caller is told that it may have run, and it does run once the host resumes.
+	doTest('delivers to a paused host when it resumes', [SILENT, NOT_OPEN, '"again"', 'ran late'], async () => {
 		other.handle('echo', gated.handle);
 		network.pause(other.address);
 		const outcomes = [await clock.runUntil(call('first')), await clock.runUntil(call('second'))];
