--- a/src/mirror/guard-generations.ts
+++ b/src/mirror/guard-generations.ts
@@ -12,8 +12,8 @@
 export function guardGenerations(store: MetadataStore): MetadataStore {
 	let newest = 0;
 
-	const note = (what: string, placed: number) => {
-		const generation = getGeneration(placed);
+	const noteGeneration = (what: string, qualified: number) => {
+		const generation = getGeneration(qualified);
 		if (generation < newest) {
 			throwPlatformSilent(what, new Error('the answer is of an earlier generation of the store'));
 		}
@@ -23,7 +23,7 @@
 
 	const read = async <T>(what: string, reading: Promise<AtRevision<T>>): Promise<AtRevision<T>> => {
 		const found = await reading;
-		note(what, found.revision);
+		noteGeneration(what, found.revision);
 		return found;
 	};
 
@@ -36,7 +36,7 @@
 	return {
 		async getRevision(timeoutMs) {
 			const revision = await store.getRevision(timeoutMs);
-			note('get the revision', revision);
+			noteGeneration('get the revision', revision);
 			return revision;
 		},
 		readRouting: async timeoutMs => read('read the configuration', store.readRouting(timeoutMs)),
@@ -47,7 +47,7 @@
 			checkVersion(kind, name, version);
 			const stored = await store.putRecord(kind, record, timeoutMs);
 			const what = `put ${kind} ${name}`;
-			note(what, stored.version);
+			noteGeneration(what, stored.version);
 			if (version !== 0 && getGeneration(stored.version) !== getGeneration(version)) {
 				throwPlatformSilent(what, new Error('the change took effect in another generation of the store'));
 			}
--- a/src/mirror/store-generation.ts
+++ b/src/mirror/store-generation.ts
@@ -13,13 +13,13 @@
 }
 
 /** Returns the generation of a qualified number. */
-export function getGeneration(placed: number): number {
-	return Math.floor(placed / NUMBERS_PER_GENERATION);
+export function getGeneration(qualified: number): number {
+	return Math.floor(qualified / NUMBERS_PER_GENERATION);
 }
 
 /** Returns a qualified number as the store assigned it. */
-export function getWithinGeneration(placed: number): number {
-	return placed % NUMBERS_PER_GENERATION;
+export function getWithinGeneration(qualified: number): number {
+	return qualified % NUMBERS_PER_GENERATION;
 }
 
 /** Returns the number that follows the last known one and is above all numbers assigned in earlier generations, known or lost. */
@@ -28,7 +28,7 @@
 }
 
 /** Formats a qualified number for the log, with the generation first unless that is 0. */
-export function formatPlaced(placed: number): string {
-	const generation = getGeneration(placed);
-	return generation === 0 ? String(placed) : `${generation}.${getWithinGeneration(placed)}`;
+export function formatPlaced(qualified: number): string {
+	const generation = getGeneration(qualified);
+	return generation === 0 ? String(qualified) : `${generation}.${getWithinGeneration(qualified)}`;
 }
--- a/tests/mirror/store-generation-tests.ts
+++ b/tests/mirror/store-generation-tests.ts
@@ -10,8 +10,8 @@
 describe('a number qualified by its generation', () => {
 	it('yields the generation and the number', () => {
 		fc.assert(fc.property(generations, numbers, (generation, number) => {
-			const placed = placeInGeneration(generation, number);
-			expect([getGeneration(placed), getWithinGeneration(placed)]).to.deep.equal([generation, number]);
+			const qualified = placeInGeneration(generation, number);
+			expect([getGeneration(qualified), getWithinGeneration(qualified)]).to.deep.equal([generation, number]);
 		}));
 	});
 
