--- a/src/mirror/change-feed-client.ts
+++ b/src/mirror/change-feed-client.ts
@@ -91,7 +91,9 @@
 		const isApplied = difference !== undefined && copy.adoptDifference(difference, revision);
 		requestsFullUpdate = difference !== undefined && !isApplied && revision > copy.state.revision;
 		if (requestsFullUpdate) {
-			log.info('a peer\'s update does not match the contents held; the full contents are requested', {peer: address, revision: formatPlaced(revision), held: formatPlaced(copy.state.revision)});
+			log.info('a peer\'s update does not match the contents held; the full contents are requested', {
+				peer: address, revision: formatPlaced(revision), held: formatPlaced(copy.state.revision),
+			});
 		}
 
 		return isApplied || covers(revision);
--- a/src/mirror/mirror-copy.ts
+++ b/src/mirror/mirror-copy.ts
@@ -51,7 +51,11 @@
 
 		routingConfirmation.noteRestore((isFirst ? read : before).routing?.version ?? 0);
 		log.warn('the store has come back from a copy', {
-			generation: getGeneration(read.revision), held: formatPlaced(before.revision), revision: formatPlaced(read.revision), routing: before.routing?.version, routingRead: read.routing?.version,
+			generation: getGeneration(read.revision),
+			held: formatPlaced(before.revision),
+			revision: formatPlaced(read.revision),
+			routing: before.routing?.version,
+			routingRead: read.routing?.version,
 		});
 	};
 
