--- a/src/mirror/store-mirror.ts
+++ b/src/mirror/store-mirror.ts
@@ -191,7 +191,7 @@
 	};
 
 	/** Reads the store outside the schedule, within the rate that all hosts share. It asks no peers to read in its place, since the host that reads for all does that. */
-	const readOutOfTurn = () => {
+	const readUnscheduled = () => {
 		if (readRateLimiter.take(source.getOthers().length + 1, clock.now())) {
 			void reader.readAfterNow();
 		}
@@ -205,7 +205,7 @@
 		if (overdue) {
 			const first = await withinMs(clock, OVERDUE_WAIT_MS, polled);
 			if (first.timedOut || !first.value?.isNew) {
-				readOutOfTurn();
+				readUnscheduled();
 			}
 		}
 
@@ -252,7 +252,7 @@
 			if (readsForAll()) {
 				wake.abort();
 			} else {
-				readOutOfTurn();
+				readUnscheduled();
 			}
 		},
 		async confirmBy(address) {
