--- a/src/gateway/admit-operation.ts
+++ b/src/gateway/admit-operation.ts
@@ -6,20 +6,20 @@
 import type {GatewayParts} from './gateway-parts.js';
 import {refuse, type RefusalResult} from './statement-result.js';
 
-/** Whether a caller's request is let in, and on whose behalf it runs. */
+/** Whether a caller's request is admitted, and the workspace for which it runs. */
 export type Admission =
 	| {readonly admitted: true; readonly workspace?: Workspace}
 	| {readonly admitted: false; readonly workspace?: Workspace; readonly refusal: RefusalResult};
 
-/** When to come back to a host that cannot verify keys, in milliseconds: another host can at once. */
-const UNVERIFIABLE_COME_BACK_MS = 50;
+/** Retry-after of a host that cannot verify keys, in milliseconds; short, since another host may verify them at once. */
+const UNVERIFIABLE_RETRY_AFTER_MS = 50;
 
 const UNKNOWN_KEY = refuse(AnswerCode.Unauthenticated, 'no workspace has this key; nothing is kept');
-const UNVERIFIABLE = refuse(AnswerCode.Overloaded, 'this host cannot tell whether the key was revoked; nothing is kept', UNVERIFIABLE_COME_BACK_MS);
+const UNVERIFIABLE = refuse(AnswerCode.Overloaded, 'this host cannot tell whether the key was revoked; nothing is kept', UNVERIFIABLE_RETRY_AFTER_MS);
 
 const OTHER_WORKSPACE = refuse(AnswerCode.Unauthenticated, 'the key is of another workspace now; nothing is kept');
 
-/** Lets a request in where its caller's key is good. */
+/** Admits a request where its caller's key is valid. */
 export function admitCaller({access, elapsedClock}: GatewayParts, fingerprint: KeyFingerprint, route: Route): Admission {
 	const verdict = access.judge(fingerprint, route, elapsedClock.elapsed());
 	if (verdict.allowed) {
@@ -29,7 +29,10 @@
 	return {admitted: false, refusal: verdict.denial === AccessDenial.UnknownKey ? UNKNOWN_KEY : UNVERIFIABLE};
 }
 
-/** The refusal to a statement of a transaction that was begun for the workspace, where its caller's key is not good any more; undefined where it is. */
+/**
+ * Returns the refusal to a statement of an open transaction whose caller's key is no longer valid, or no longer belongs to the workspace for which the
+ * transaction was begun; undefined where it still does.
+ */
 export function refuseInTransaction(parts: GatewayParts, fingerprint: KeyFingerprint, route: Route, begunFor: Workspace | undefined): RefusalResult | undefined {
 	const admission = admitCaller(parts, fingerprint, route);
 	if (!admission.admitted) {
@@ -39,7 +42,7 @@
 	return admission.workspace?.name === begunFor?.name ? undefined : OTHER_WORKSPACE;
 }
 
-/** Lets an operation in where its caller's key is good and its workspace is within its rate limit. */
+/** Admits an operation where its caller's key is valid and the workspace is within its rate limit. */
 export async function admitOperation(parts: GatewayParts, fingerprint: KeyFingerprint, route: Route): Promise<Admission> {
 	const admission = admitCaller(parts, fingerprint, route);
 	if (!admission.admitted || !admission.workspace) {
--- a/src/gateway/answer-wait.ts
+++ b/src/gateway/answer-wait.ts
@@ -1,14 +1,14 @@
-/** Waits for one answer at a time, until it is told to wait no longer. */
+/** A wait for one answer at a time that can be ended early. */
 export type AnswerWait = {
-	/** The answer; undefined where it was given up before. */
+	/** Resolves with the answer; undefined where the wait was ended before it came. */
 	waitFor<T>(answer: Promise<T>): Promise<T | undefined>;
 	/** Ends the wait under way, if there is one. */
 	giveUp(): void;
 };
 
 /**
- * Creates a wait. Guards against a statement that is cut off with the process, which its caller would see as a connection that just ends: whatever it waits for,
- * its session can be had to give it a final answer.
+ * Creates a wait. Guards against a statement that is still waiting when the process ends, which its caller would see as a connection that closes without
+ * an answer: whatever the statement waits for, its session can end the wait and send a final answer.
  */
 export function createAnswerWait(): AnswerWait {
 	let endWait: (() => void) | undefined;
--- a/src/gateway/caller-channel.ts
+++ b/src/gateway/caller-channel.ts
@@ -2,7 +2,7 @@
 import type {AnswerCode} from '../statements/statement-answer.js';
 import type {StatementResult} from './statement-result.js';
 
-/** What a caller sends on its connection. */
+/** A request of a caller on its connection. */
 export type CallerRequest =
 	| {readonly kind: 'open'; readonly database: string; readonly key: string}
 	| {readonly kind: 'statement'; readonly id: string; readonly statement: Statement}
@@ -10,27 +10,27 @@
 	| {readonly kind: 'malformed'}
 	| {readonly kind: 'too-large'};
 
-/** One caller's connection: its requests in order, each with at most one answer. */
+/** One caller's connection: its requests in order, with at most one answer to each. */
 export type CallerChannel = {
-	/** Names the connection in log lines. */
+	/** Name of the connection in log lines. */
 	readonly name: string;
-	/** The caller ended the connection, or it broke. */
+	/** Whether the caller ended the connection, or it broke. */
 	readonly left: boolean;
-	/** A request came that was not taken yet. */
+	/** Whether a request has arrived that {@link next} has not returned yet. */
 	readonly waiting: boolean;
-	/** The next request; undefined once the caller has left and all was taken. */
+	/** Resolves with the next request; undefined once the caller has left and every request was returned. */
 	next(): Promise<CallerRequest | undefined>;
-	/** Says that the session is open. */
+	/** Notifies the caller that the session is open. */
 	greet(): void;
-	/** Answers a statement; resolves once the caller has taken in what was sent, so that one who does not read holds up only itself. */
+	/** Answers a statement. Resolves once the caller has read what was sent, so that a caller that does not read delays only itself. */
 	answer(result: StatementResult, state: SessionState): Promise<void>;
 	/**
-	 * Says why the session ends, without a session state behind it. A caller that has nothing under way leaves upon it; one whose request is on its
-	 * way takes it for the answer to that, and waits for the state behind it.
+	 * Sends the reason why the session ends, without a session state after it. A caller with nothing under way then leaves. A caller whose request is
+	 * in transit takes it for the answer to that request, and waits for the state that follows.
 	 */
 	refuse(code: AnswerCode, reason: string): void;
-	/** Puts the state behind a refusal that went out before its request was read. */
+	/** Sends the state that completes a refusal that was sent before its request was read. */
 	endRefusal(state: SessionState): void;
-	/** Ends the connection after what was sent has gone out; requests that were not taken by then are never given out. */
+	/** Ends the connection once everything sent has been written; requests that {@link next} has not returned by then are dropped. */
 	close(): void;
 };
--- a/src/gateway/caller-session.ts
+++ b/src/gateway/caller-session.ts
@@ -15,7 +15,7 @@
 import type {GatewayParts} from './gateway-parts.js';
 import {observeStatement} from './observe-statement.js';
 import {openSession, type OpenSessionOptions} from './open-session.js';
-import {createQueuePatience} from './queue-patience.js';
+import {createQueueTimeout} from './queue-timeout.js';
 import {runRead} from './run-read.js';
 import {runWrite} from './run-write.js';
 import {createSessionMemory, rememberStatement} from './session-memory.js';
@@ -29,35 +29,38 @@
 
 /** A caller's session on its connection. */
 export type CallerSession = {
-	/** What is under way, for log lines. */
+	/** What the session is doing, for log lines. */
 	readonly phase: SessionPhase;
-	/** Serves the caller until it leaves or is sent away. */
+	/** Serves the caller until it disconnects or the session is closed. */
 	run(): Promise<void>;
-	/** Ends the session as soon as nothing is under way. */
+	/** Ends the session as soon as no statement and no transaction is under way. */
 	leave(): void;
-	/** Rolls an open transaction back and ends the session, behind the answer to what is under way. */
+	/** Rolls back an open transaction and ends the session, after the answer to a statement that is under way. */
 	end(): void;
-	/** Gives a statement that is under way its final answer. */
+	/** Stops waiting for the statement that is under way and sends its final answer. */
 	giveUp(): void;
 };
 
-/** What a session needs. */
+/** Dependencies of a session. */
 export type CallerSessionOptions = OpenSessionOptions & {
 	readonly parts: GatewayParts;
 	getBudget(group: string): RetryBudget;
 };
 
-/** Bound of a statement whose route has gone, in milliseconds: only what ends a transaction is still answered. */
-const ENDING_TIMEOUT_MS = 1000;
+/** Timeout of a commit whose route no longer exists, in milliseconds; without a route only commit and rollback are still run. */
+const ROUTELESS_COMMIT_TIMEOUT_MS = 1000;
 
-/** Statements of a stopping host end so long before their final answer is due, in milliseconds, so that what did not run is told apart from what may have. */
-const FINAL_ANSWER_MS = 100;
+/**
+ * On a stopping host a statement times out this long before its final answer is due, in milliseconds. Its own result can then still say whether it did not
+ * run or may have run.
+ */
+const FINAL_ANSWER_MARGIN_MS = 100;
 
-/** Of a session that is not open yet. */
+/** Fingerprint of the key of a session that is not open yet. */
 const NO_KEY = getFingerprint('');
 
-/** What leaves an operation to come: a session does not end behind it. */
-const PREPARES: ReadonlySet<Statement['kind']> = new Set(['set', 'prepare', 'forget']);
+/** Statements that prepare for a later one; a session that is to end stays open after them. */
+const SETUP_KINDS: ReadonlySet<Statement['kind']> = new Set(['set', 'prepare', 'forget']);
 
 /** Creates a session. */
 export function createCallerSession({parts, channel, getBudget, getStopPlan}: CallerSessionOptions): CallerSession {
@@ -65,9 +68,9 @@
 	let memory = createSessionMemory('', NO_KEY);
 	let transaction: CallerTransaction | undefined;
 	let transactionRoute: Route | undefined;
-	/** On whose behalf the open transaction was begun. */
+	/** Workspace for which the open transaction was begun. */
 	let transactionWorkspace: Workspace | undefined;
-	/** Of the statement under way, or of the transaction that it belongs to. */
+	/** Trace of the statement under way, or of the transaction that it belongs to. */
 	let trace = createStatementTrace();
 	let busy = false;
 	let leaving = false;
@@ -121,13 +124,13 @@
 			beginId: id,
 			readOnly,
 			req: {
-				route, memory, workspace, arrivedAt, patience: createQueuePatience(route), isWanted, trace: newTrace(workspace),
+				route, memory, workspace, arrivedAt, queueTimeout: createQueueTimeout(route), isWanted, trace: newTrace(workspace),
 			},
 		});
 		return DONE;
 	};
 
-	/** The refusal to a statement of an open transaction whose caller's key has been revoked, or cannot be verified; the transaction is rolled back. */
+	/** Rolls back the open transaction and returns the refusal where its caller's key has been revoked or cannot be verified; returns undefined otherwise. */
 	const getTransactionRefusal = (open: CallerTransaction, route: Route): StatementResult | undefined => {
 		const refusal = refuseInTransaction(parts, memory.fingerprint, route, transactionWorkspace);
 		if (refusal) {
@@ -145,7 +148,7 @@
 
 		const arrivedAt = elapsedClock.elapsed();
 		const plan = getStopPlan();
-		const until = Math.min(clock.now() + route.statementTimeoutMs, (plan?.answerBy ?? Number.POSITIVE_INFINITY) - FINAL_ANSWER_MS);
+		const until = Math.min(clock.now() + route.statementTimeoutMs, (plan?.answerBy ?? Number.POSITIVE_INFINITY) - FINAL_ANSWER_MARGIN_MS);
 		if (transaction) {
 			return getTransactionRefusal(transaction, route) ?? transaction.run(id, statement, until);
 		}
@@ -170,7 +173,7 @@
 			id,
 			statement,
 			req: {
-				route, memory, workspace: admission.workspace, arrivedAt, until, patience: createQueuePatience(route), single: true, isWanted, trace: newTrace(admission.workspace),
+				route, memory, workspace: admission.workspace, arrivedAt, until, queueTimeout: createQueueTimeout(route), single: true, isWanted, trace: newTrace(admission.workspace),
 			},
 		};
 		return shape.access === Access.Read ? runRead(parts, getBudget(route.group), single) : runWrite(parts, single);
@@ -188,7 +191,7 @@
 			return denied;
 		}
 
-		const timeoutMs = route?.statementTimeoutMs ?? ENDING_TIMEOUT_MS;
+		const timeoutMs = route?.statementTimeoutMs ?? ROUTELESS_COMMIT_TIMEOUT_MS;
 		const {failed} = transaction;
 		const result = await transaction.commit(id, clock.now() + timeoutMs);
 		endTransaction();
@@ -237,7 +240,7 @@
 		}
 	};
 
-	/** The final answer to a statement whose endpoint has given none in the time that the host has left. */
+	/** Returns the final answer to a statement whose endpoint did not answer before the stopping host's last moment for answers. */
 	const abandon = (statement: Statement): StatementResult => {
 		givenUp = true;
 		if (statement.kind === 'commit') {
@@ -254,7 +257,7 @@
 		return getStoppedAnswer(isRun ? getShape(memory, statement)?.access : undefined);
 	};
 
-	/** An idle transaction keeps one of the endpoint's few connections from everybody else. */
+	/** Rolls back a transaction that stays idle too long: it holds one of the endpoint's few connections. */
 	const watchIdle = async () => {
 		const timer = createSleepAlarm();
 		idleTimer = timer;
@@ -266,10 +269,10 @@
 	};
 
 	const serve = async (req: IdentifiedStatement) => {
-		const askedAt = clock.now();
+		const receivedAt = clock.now();
 		idleTimer?.abort();
 		const result = await answerWait.waitFor(handle(req)) ?? abandon(req.statement);
-		observe(req, result, clock.now() - askedAt);
+		observe(req, result, clock.now() - receivedAt);
 		const state = getState();
 		if (state === SessionState.Open) {
 			void watchIdle();
@@ -284,7 +287,7 @@
 		});
 	};
 
-	/** Tells a caller that has nothing under way that the session ends. */
+	/** Notifies a caller that has nothing under way that its session ends. */
 	const beginClose = () => {
 		const reason = transaction ? STOPPED_TRANSACTION : STOPPING;
 		transaction?.abort(STOP_REASON);
@@ -338,14 +341,14 @@
 		}
 	};
 
-	/** Whether a session that is to end may end behind the answer to this statement. */
+	/** Whether a session that is to end may end after the answer to this statement. */
 	const isOver = ({kind}: Statement) => {
 		if (channel.waiting) {
 			return false;
 		}
 
-		const goesOn = transaction !== undefined || PREPARES.has(kind);
-		return ending || (leaving && !goesOn);
+		const continues = transaction !== undefined || SETUP_KINDS.has(kind);
+		return ending || (leaving && !continues);
 	};
 
 	return {
--- a/src/gateway/caller-transaction.ts
+++ b/src/gateway/caller-transaction.ts
@@ -4,65 +4,65 @@
 	exchangeStatement, exchangeWithin, getShape, type EndpointStatement,
 } from './exchange.js';
 import type {GatewayParts} from './gateway-parts.js';
-import {mayAcknowledge} from './judge-commit.js';
+import {mayAcknowledge} from './acknowledge-commit.js';
 import {
-	lendForRead, lendPrimary, type LentLink, type LinkRequest,
-} from './lend-link.js';
+	acquireForRead, acquirePrimary, type AcquiredLink, type AcquireRequest,
+} from './acquire-link.js';
 import {refuse, type StatementResult} from './statement-result.js';
 
-/** A caller's transaction: one connection from its first statement to its end. */
+/** A caller's transaction; it uses one connection from its first statement to its end. */
 export type CallerTransaction = {
-	/** Its changes are rolled back and nothing but a rollback is answered any more. */
+	/** Whether the transaction is rolled back; every statement but a rollback then gets an error. */
 	readonly failed: boolean;
 	run(id: string, statement: EndpointStatement, until: number): Promise<StatementResult>;
 	commit(id: string, until: number): Promise<StatementResult>;
-	/** Rolls back, under the caller's id where it asked for it; it need not wait for the endpoint. */
+	/** Rolls back, under the id of the caller's rollback where there is one; does not wait for the endpoint. */
 	rollback(id?: string): void;
-	/** Rolls back on the host's own account: the caller is told with its next statement. */
+	/** Rolls back on the host's initiative; the caller learns of it with the answer to its next statement. */
 	abort(reason: string): void;
 };
 
-/** What a transaction begins with. */
+/** Options of a new transaction. */
 export type CallerTransactionOptions = {
 	readonly parts: GatewayParts;
 	readonly beginId: string;
 	readonly readOnly: boolean;
-	readonly req: Omit<LinkRequest, 'until'>;
+	readonly req: Omit<AcquireRequest, 'until'>;
 };
 
-/** When to come back after a transaction that found no endpoint, in milliseconds: a third of a promotion. */
-const COME_BACK_MS = 400;
+/** Retry-after of a transaction that found no endpoint, in milliseconds: a third of a promotion. */
+const RETRY_AFTER_MS = 400;
 
-/** Longest rollback, in milliseconds; after that the connection is cut, which rolls back as well. */
+/** Timeout of a rollback, in milliseconds; after it the connection is cut, which rolls back as well. */
 const ROLLBACK_TIMEOUT_MS = 1000;
 
-/** Pause before an endpoint that could not begin is asked again, in milliseconds. */
+/** Delay before a begin or a commit that an endpoint refused is sent again, in milliseconds. */
 const BEGIN_PAUSE_MS = 20;
 
 /**
- * A commit that was turned away is not repeated with less time than this left, in milliseconds: a repeat that brings no answer
- * would leave the outcome open, where so far it is certain that nothing is kept.
+ * Minimum time left for sending a refused commit again, in milliseconds. A second commit that gets no answer would leave the outcome
+ * unknown, whereas after the refusal it is certain that nothing was committed.
  */
-const LEAST_COMMIT_MS = 150;
+const MIN_COMMIT_RETRY_MS = 150;
 
-/** Creates a transaction; nothing is sent to an endpoint before its first statement. */
+/** Creates a transaction. Nothing is sent to an endpoint before its first statement. */
 export function createCallerTransaction({parts, beginId, readOnly, req}: CallerTransactionOptions): CallerTransaction {
-	const {clock, elapsedClock, evidences, log, metrics, mirror} = parts;
+	const {clock, elapsedClock, primaryLeases, log, metrics, mirror} = parts;
 	const {group} = req.route;
-	let lent: LentLink | undefined;
+	let acquired: AcquiredLink | undefined;
 	let failure: StatementResult | undefined;
 	let wrote = false;
 	let committing = false;
 
-	const fail = (code: AnswerCode, reason: string, comeBackMs?: number) => {
-		failure = refuse(code, reason, comeBackMs);
+	const fail = (code: AnswerCode, reason: string, retryAfterMs?: number) => {
+		failure = refuse(code, reason, retryAfterMs);
 		return failure;
 	};
 
-	/** Ends the transaction at the endpoint, where it was begun there. */
+	/** Rolls back at the endpoint if the transaction was begun there, and releases the connection. */
 	const endAtEndpoint = (id?: string) => {
-		const ending = lent;
-		lent = undefined;
+		const ending = acquired;
+		acquired = undefined;
 		if (!ending) {
 			return;
 		}
@@ -82,7 +82,7 @@
 	};
 
 	const abort = (reason: string) => {
-		// A commit that was sent can be rolled back no more; its answer says what became of it.
+		// A commit that was sent can no longer be rolled back; its answer gives the outcome.
 		if (committing || failure) {
 			return;
 		}
@@ -94,12 +94,12 @@
 		endAtEndpoint();
 	};
 
-	/** Begins at an endpoint; undefined where none took it in time. */
-	const begin = async (until: number): Promise<LentLink | undefined> => {
+	/** Begins the transaction at an endpoint. Returns undefined where no endpoint accepted it in time. */
+	const begin = async (until: number): Promise<AcquiredLink | undefined> => {
 		const excluded = new Set<string>();
-		while (clock.now() < until && req.isWanted() && !req.patience.isOver(clock.now())) {
-			const wish = {...req, until, excluded};
-			const candidate = await (readOnly ? lendForRead(parts, wish) : lendPrimary(parts, wish));
+		while (clock.now() < until && req.isWanted() && !req.queueTimeout.isOver(clock.now())) {
+			const acquireRequest = {...req, until, excluded};
+			const candidate = await (readOnly ? acquireForRead(parts, acquireRequest) : acquirePrimary(parts, acquireRequest));
 			if (!candidate) {
 				if (excluded.size === 0) {
 					return undefined;
@@ -136,12 +136,12 @@
 		return undefined;
 	};
 
-	/** A commit that the endpoint turned away has not run, and the transaction is still open there. */
-	const commitAtEndpoint = async (ending: LentLink, id: string, until: number) => {
+	/** Commits, again where the endpoint refused for overload: the commit did not run then, and the transaction is still open there. */
+	const commitAtEndpoint = async (ending: AcquiredLink, id: string, until: number) => {
 		for (;;) {
 			const answer = await exchangeWithin(parts, ending, {id, command: {kind: 'commit'}}, until - clock.now());
 			const mayRepeat = answer !== undefined && isTurnedAway(answer) && answer.state === SessionState.Open;
-			if (!mayRepeat || clock.now() + LEAST_COMMIT_MS >= until) {
+			if (!mayRepeat || clock.now() + MIN_COMMIT_RETRY_MS >= until) {
 				return answer;
 			}
 
@@ -150,7 +150,7 @@
 		}
 	};
 
-	const judge = (answer: EndpointAnswer): StatementResult => {
+	const noteAnswer = (answer: EndpointAnswer): StatementResult => {
 		if (answer.end.kind === 'error') {
 			failure = answer;
 			endAtEndpoint();
@@ -173,53 +173,53 @@
 				return fail(AnswerCode.UnknownStatement, 'no statement has that name');
 			}
 
-			lent ??= await begin(until);
+			acquired ??= await begin(until);
 			if (failure) {
-				// It was rolled back while it was begun, so nothing of it may run.
+				// The transaction was rolled back during its begin, so none of its statements may run.
 				endAtEndpoint();
 				return failure;
 			}
 
-			if (!lent) {
-				return fail(AnswerCode.Overloaded, 'no endpoint could begin the transaction; nothing ran', COME_BACK_MS);
+			if (!acquired) {
+				return fail(AnswerCode.Overloaded, 'no endpoint could begin the transaction; nothing ran', RETRY_AFTER_MS);
 			}
 
 			wrote ||= shape.access === Access.Write;
-			const answer = await exchangeStatement(parts, lent, req.memory, {id, statement, timeoutMs: until - clock.now()});
+			const answer = await exchangeStatement(parts, acquired, req.memory, {id, statement, timeoutMs: until - clock.now()});
 			if (failure) {
-				// It was rolled back while the statement ran.
+				// The transaction was rolled back while the statement ran.
 				return failure;
 			}
 
 			if (answer) {
-				return judge(answer);
+				return noteAnswer(answer);
 			}
 
-			// The connection is cut, so the endpoint rolls back: no commit was sent.
-			log.warn('a transaction is aborted: no whole answer came', {id, group, endpoint: lent.endpoint.entry.id});
+			// The connection is cut, and no commit was sent, so the endpoint rolls back.
+			log.warn('a transaction is aborted: no whole answer came', {id, group, endpoint: acquired.endpoint.entry.id});
 			endAtEndpoint();
 			return fail(AnswerCode.Aborted, 'no answer came within a transaction; it was rolled back');
 		},
 		async commit(id, until) {
 			if (failure) {
-				// It may have been rolled back while it was begun.
+				// The transaction may have been rolled back during its begin.
 				endAtEndpoint();
 				return failure;
 			}
 
-			const ending = lent;
+			const ending = acquired;
 			if (!ending) {
-				lent = await begin(until);
-				return lent ? this.commit(id, until) : fail(AnswerCode.Overloaded, 'no endpoint could begin the transaction; nothing ran', COME_BACK_MS);
+				acquired = await begin(until);
+				return acquired ? this.commit(id, until) : fail(AnswerCode.Overloaded, 'no endpoint could begin the transaction; nothing ran', RETRY_AFTER_MS);
 			}
 
-			// A replaced primary may still commit; as long as no commit was sent, the transaction can be rolled back for certain.
-			if (wrote && ending.evidence && evidences.isSuperseded(ending.evidence) && !evidences.holds(ending.evidence, elapsedClock.elapsed())) {
+			// A replaced primary may still commit. Before a commit is sent, a rollback still has a certain outcome.
+			if (wrote && ending.lease && primaryLeases.isSuperseded(ending.lease) && !primaryLeases.holds(ending.lease, elapsedClock.elapsed())) {
 				abort('the primary was replaced before the commit');
 				return failure!;
 			}
 
-			lent = undefined;
+			acquired = undefined;
 			committing = true;
 			const answer = await commitAtEndpoint(ending, id, until);
 			ending.release();
@@ -236,7 +236,7 @@
 				return answer;
 			}
 
-			if (ending.evidence && !await mayAcknowledge(parts, ending.evidence, id)) {
+			if (ending.lease && !await mayAcknowledge(parts, ending.lease, id)) {
 				return fail(AnswerCode.OutcomeUnknown, 'the primary may have been replaced before it committed');
 			}
 
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -6,13 +6,13 @@
 import {AnswerCode, type EndpointAnswer} from '../statements/statement-answer.js';
 import {withinMs} from '../time/deadline.js';
 import type {GatewayParts} from './gateway-parts.js';
-import type {LentLink} from './lend-link.js';
+import type {AcquiredLink} from './acquire-link.js';
 import type {SessionMemory} from './session-memory.js';
 
 /** A statement that an endpoint has to run. */
 export type EndpointStatement = Extract<Statement, {kind: 'run' | 'execute'}>;
 
-/** What a statement does, and the shape it needs prepared; undefined where its prepared name is unknown. */
+/** Returns whether a statement reads or writes, and the shape that must be prepared for it; undefined where its prepared name is unknown. */
 export function getShape(memory: SessionMemory, statement: EndpointStatement): {readonly access: Access; readonly prepared?: PreparedShape} | undefined {
 	if (statement.kind === 'run') {
 		return {access: statement.access};
@@ -22,8 +22,11 @@
 	return prepared && {access: prepared.access, prepared};
 }
 
-/** Sends a statement, with what its session needs ahead of it; undefined where no whole answer came in time, upon which the connection is cut. */
-export async function exchangeStatement(parts: GatewayParts, lent: LentLink, memory: SessionMemory, options: {
+/**
+ * Applies the session's values and prepared shape to the connection and sends a statement. Resolves with the answer, or cuts the connection and resolves with
+ * undefined where no whole answer came in time.
+ */
+export async function exchangeStatement(parts: GatewayParts, acquired: AcquiredLink, memory: SessionMemory, options: {
 	readonly id: string;
 	readonly statement: EndpointStatement;
 	readonly floor?: EndpointRequest['floor'];
@@ -31,23 +34,23 @@
 }): Promise<EndpointAnswer | undefined> {
 	const {id, statement, floor, timeoutMs} = options;
 	const prepared = getShape(memory, statement)?.prepared;
-	lent.sessionLink.adapt({values: memory.values, prepared});
+	acquired.sessionLink.adapt({values: memory.values, prepared});
 	const command = statement.kind === 'run'
 		? {kind: 'run', text: statement.text} as const
-		: {kind: 'execute', name: prepared ? lent.sessionLink.getName(prepared) : statement.name, args: statement.args} as const;
-	return exchangeWithin(parts, lent, {id, command, floor}, timeoutMs);
+		: {kind: 'execute', name: prepared ? acquired.sessionLink.getName(prepared) : statement.name, args: statement.args} as const;
+	return exchangeWithin(parts, acquired, {id, command, floor}, timeoutMs);
 }
 
-/** Sends a request; undefined where no whole answer came in time, upon which the connection is cut. */
-export async function exchangeWithin(parts: GatewayParts, lent: LentLink, req: EndpointRequest, timeoutMs: number): Promise<EndpointAnswer | undefined> {
-	const {clock, elapsedClock, knowledge, evidences} = parts;
-	const {evidence, endpoint} = lent;
+/** Sends a request. Resolves with the answer, or cuts the connection and resolves with undefined where no whole answer came in `timeoutMs` milliseconds. */
+export async function exchangeWithin(parts: GatewayParts, acquired: AcquiredLink, req: EndpointRequest, timeoutMs: number): Promise<EndpointAnswer | undefined> {
+	const {clock, elapsedClock, knowledge, primaryLeases} = parts;
+	const {lease, endpoint} = acquired;
 	const sentAt = clock.now();
 	const sampledAt = elapsedClock.elapsed();
-	const isSample = evidence !== undefined && evidences.holds(evidence, sampledAt);
+	const isSample = lease !== undefined && primaryLeases.holds(lease, sampledAt);
 	let answer: EndpointAnswer | undefined;
 	try {
-		const bounded = await withinMs(clock, timeoutMs, lent.sessionLink.link.exchange(req));
+		const bounded = await withinMs(clock, timeoutMs, acquired.sessionLink.link.exchange(req));
 		answer = bounded.timedOut ? undefined : bounded.value;
 	} catch (err) {
 		if (!(err instanceof LinkError)) {
@@ -56,11 +59,11 @@
 	}
 
 	if (!answer) {
-		lent.sessionLink.link.cut();
+		acquired.sessionLink.link.cut();
 		return undefined;
 	}
 
-	lent.state = answer.state;
+	acquired.state = answer.state;
 	noteAnswer(answer);
 	return answer;
 
@@ -71,13 +74,13 @@
 			figures.noteAnswer(clock.now() - sentAt);
 		}
 
-		// Inside a transaction the position may be that of its begin.
+		// Inside a transaction the position may still be the one at its begin.
 		if (position && state === SessionState.Idle) {
 			figures.noteHeld(elapsedClock.elapsed(), position);
 		}
 
 		if (isSample && position && state === SessionState.Idle) {
-			knowledge.getSamples(evidence.group).note(sampledAt, position);
+			knowledge.getSamples(lease.group).note(sampledAt, position);
 		}
 	}
 }
--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -1,17 +1,17 @@
 import type {EndpointRole} from '../endpoints/endpoint.js';
 import type {AnswerCode} from '../statements/statement-answer.js';
 
-/** Counts what callers get. No label holds a caller's value, so that their number stays bounded. */
+/** Metrics of the callers' statements. No label holds a caller's value, so that the number of series stays bounded. */
 export type GatewayMetrics = {
-	/** A statement has its answer. */
+	/** Counts an answered statement, with the time from its arrival to its answer. */
 	observeStatement(kind: string, outcome: 'done' | AnswerCode, seconds: number): void;
-	/** A statement waited so long for a connection to an endpoint. */
+	/** Observes how long a statement waited for a connection to an endpoint. */
 	observeLinkWait(seconds: number): void;
-	/** An endpoint in that role ran a read. */
+	/** Counts a read, by the role of the endpoint that ran it. */
 	countRead(role: EndpointRole): void;
-	/** A read was tried again, and why. */
+	/** Counts a statement that was tried again, by the reason. */
 	countRetry(reason: string): void;
-	/** Work was judged again by newer evidence than it began under. */
-	countSecondJudgement(outcome: 'kept' | 'unknown'): void;
+	/** A commit whose lease had expired was checked again: `kept` where it could be acknowledged. */
+	countCommitRecheck(outcome: 'kept' | 'unknown'): void;
 	setSessions(open: number): void;
 };
--- a/src/gateway/gateway-parts.ts
+++ b/src/gateway/gateway-parts.ts
@@ -13,14 +13,14 @@
 import type {RateLimiter} from '../workspaces/rate-limiter.js';
 import type {GatewayMetrics} from './gateway-metrics.js';
 
-/** What serving callers needs of the rest of the proxy. */
+/** Parts of the proxy that serving callers depends on. */
 export type GatewayParts = {
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
 	readonly log: Log;
 	readonly metrics: GatewayMetrics;
 	readonly mirror: StoreMirror;
-	readonly evidences: LeadEvidences;
+	readonly primaryLeases: LeadEvidences;
 	readonly directory: EndpointDirectory;
 	readonly knowledge: PlacementKnowledge;
 	readonly primaryWork: PrimaryWork;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -6,27 +6,28 @@
 import type {SessionPhase} from './session-phase.js';
 import {closeAdmissionAt, type StopPlan} from './stop-plan.js';
 
-/** Serves callers' sessions. */
+/** The callers' sessions of a host. */
 export type Gateway = {
+	/** Number of open sessions. */
 	readonly sessions: number;
-	/** How many sessions are at what. */
+	/** Returns how many sessions are in each phase. */
 	countPhases(): Partial<Record<SessionPhase, number>>;
-	/** Serves a connection until it ends. */
+	/** Serves a caller's connection until it ends. */
 	serve(channel: CallerChannel): Promise<void>;
-	/** Takes from now on only what the plan of the host's stop has time for. */
+	/** From now on accepts only what has time to complete under the plan of the host's stop. */
 	stop(plan: StopPlan): void;
-	/** Ends sessions as they become idle, also those that begin later. */
+	/** Ends sessions as they become idle, including those that begin later. */
 	leave(): void;
-	/** Rolls open transactions back and ends all sessions that have nothing under way; none begins after `now`. */
+	/** Rolls back open transactions and ends every session once nothing is under way in it; none begins after `now`. */
 	closeAdmission(now: number): void;
-	/** Gives every statement that has none yet its final answer. */
+	/** Sends a final answer to every statement that has none yet. */
 	giveUp(): void;
 };
 
-/** Reads that may go to a second endpoint, as a share of all: a slow group must not be loaded twice. */
+/** Share of all reads that may be sent to a second endpoint: the load on a slow group must not double. */
 const SECOND_TRY_SHARE = 0.1;
 
-/** Second tries that a quiet group always has, a second. */
+/** Second tries per second that a group with few reads may always make. */
 const SECOND_TRIES_PER_SECOND = 2;
 
 /** Creates the gateway. */
@@ -65,7 +66,7 @@
 				parts, channel, getBudget, getStopPlan: () => plan,
 			});
 			sessions.add(session);
-			// Guards against a caller that comes once others were told, and rests here until nothing more is taken, though another host could serve it.
+			// Guards against a caller that connects after the others were notified: it would stay until this host accepts nothing more, though another could serve it.
 			if (leaving) {
 				session.leave();
 			}
@@ -74,9 +75,9 @@
 			try {
 				await session.run();
 			} catch (err) {
-				// One caller's session must not end those of others; what it had open is rolled back with its connections.
+				// A failed session must not end those of other callers; its open transaction is rolled back with its connection.
 				log.error('a session failed', {caller: channel.name, err});
-				// Whether a statement that was under way took effect is not known.
+				// It is not known whether a statement that was under way took effect.
 				channel.refuse(AnswerCode.OutcomeUnknown, 'the session failed');
 				channel.close();
 			} finally {
--- a/src/gateway/graceful-close.ts
+++ b/src/gateway/graceful-close.ts
@@ -4,32 +4,32 @@
 
 /** The end of a session that its host began. */
 export type GracefulClose = {
-	/** Refuses a statement that was on its way when the session's end was told; returns what its caller is told. */
+	/** Refuses a statement that was in transit when the caller was notified of the session's end; returns the refusal. */
 	refuse(statement: Statement): RefusalResult;
 };
 
 /**
- * Tells a caller that has nothing under way that its session ends, and leaves the closing to the caller.
+ * Notifies a caller that has nothing under way that its session ends, and leaves it to the caller to close the connection.
  *
- * Guards against a request that is on its way, or not read yet, when the host ends the session: closed by the host, the connection
- * ends without an answer, and the caller cannot know whether its request ran. Told first, a caller with nothing under way closes; one whose request is on its
- * way takes the refusal for the answer to it, which is true since the host runs nothing of the session any more, and gets the state behind it once the
- * request is here. An error is always ahead, however many requests come.
- * @param inTransaction Whether an open transaction was rolled back for it.
+ * Guards against a request that is in transit, or not read yet, when the host ends the session. If the host closed the connection, the caller would get no
+ * answer and could not know whether its request ran. After the notification a caller with nothing under way closes. A caller whose request is in transit
+ * takes the refusal for its answer, which is correct because the host runs nothing more of the session, and gets the session state once the request
+ * arrives. One refusal is always sent ahead of the requests, however many arrive.
+ * @param inTransaction Whether an open transaction was rolled back because of it.
  */
 export function createGracefulClose(channel: CallerChannel, reason: RefusalResult, inTransaction: boolean): GracefulClose {
 	let failed = inTransaction;
-	const tell = () => {
+	const sendRefusal = () => {
 		channel.refuse(reason.end.code, reason.end.text);
 	};
 
-	tell();
+	sendRefusal();
 	return {
 		refuse({kind}) {
-			// What was rolled back stays failed to its caller until it asks for the end.
+			// To its caller the transaction stays failed until the caller ends it.
 			failed &&= kind !== 'commit' && kind !== 'rollback';
 			channel.endRefusal(failed ? SessionState.Failed : SessionState.Idle);
-			tell();
+			sendRefusal();
 			return reason;
 		},
 	};
--- a/src/gateway/observe-statement.ts
+++ b/src/gateway/observe-statement.ts
@@ -4,19 +4,19 @@
 import type {StatementResult} from './statement-result.js';
 import {describeTrace, type StatementTrace} from './statement-trace.js';
 
-/** A statement that has its answer. */
+/** A statement and its answer. */
 export type AnsweredStatement = {
 	readonly req: IdentifiedStatement;
 	readonly result: StatementResult;
-	/** From the statement's arrival to its answer, in milliseconds. */
+	/** Time from the statement's arrival to its answer, in milliseconds. */
 	readonly tookMs: number;
 	readonly database: string;
-	/** Undefined where the configuration has none any more. */
+	/** Undefined where the configuration no longer has one for the database. */
 	readonly route: Route | undefined;
 	readonly trace: StatementTrace;
 };
 
-/** Counts an answered statement, and logs it where it was refused or late, so that it can be explained afterwards. */
+/** Counts an answered statement. Logs it where it was refused or late, so that it can be explained afterwards. */
 export function observeStatement(parts: GatewayParts, answered: AnsweredStatement): void {
 	const {elapsedClock, log, metrics, mirror} = parts;
 	const {req: {id, statement}, result: {end}, tookMs, database, route, trace} = answered;
--- a/src/gateway/open-session.ts
+++ b/src/gateway/open-session.ts
@@ -8,23 +8,23 @@
 import {STOPPING} from './stop-answers.js';
 import {isPastAdmission, type StopPlan} from './stop-plan.js';
 
-/** What opening a session needs beside the gateway's parts. */
+/** Options of opening a session, besides the gateway's parts. */
 export type OpenSessionOptions = {
 	readonly channel: CallerChannel;
-	/** Undefined until the host is told to stop. */
+	/** Returns the plan of the host's stop; undefined until the host is ordered to stop. */
 	getStopPlan(): StopPlan | undefined;
 };
 
-/** Longest wait for the first configuration, in milliseconds: callers give up on a session that is not open after 2,000. */
+/** Maximum wait for the first configuration, in milliseconds: callers give up on a session that is not open after 2,000. */
 const ROUTING_WAIT_MS = 1800;
 
-/** How often a host that starts looks whether it has a configuration, in milliseconds. */
+/** Poll interval for the first configuration at a host that starts, in milliseconds. */
 const ROUTING_RECHECK_MS = 20;
 
-/** Longest wait for a route that may have just been added, in milliseconds: callers give up on a session that is not open after 2,000. */
-const SECOND_LOOK_MS = 1000;
+/** Maximum wait for a route that may have just been added, in milliseconds: callers give up on a session that is not open after 2,000. */
+const MISSING_ROUTE_WAIT_MS = 1000;
 
-/** Opens a session where its first request is one that may; its memory, undefined where it was refused. */
+/** Opens a session where its first request may open one. Resolves with the session's memory; undefined where the session was refused. */
 export async function openSession(parts: GatewayParts, req: CallerRequest | undefined, options: OpenSessionOptions): Promise<SessionMemory | undefined> {
 	const {clock, log, mirror} = parts;
 	const {channel, getStopPlan} = options;
@@ -39,10 +39,10 @@
 	const {database} = req;
 	await waitForRouting(parts, options);
 	const getRoute = () => mirror.state.routing?.routes.get(database);
-	// A host that stops may end before a second look does; another host can look.
+	// A host that is stopping may end before this wait does; another host can serve the caller.
 	if (!getRoute() && !getStopPlan()) {
-		// The copy may lack a route that was just added. Its next confirmation comes by itself; a look for each such name would be a priced call of each host.
-		await withinMs(clock, SECOND_LOOK_MS, mirror.nextConfirmation());
+		// The mirror may lack a route that was just added. Its next confirmation comes without a call; a call for each unknown name would be charged to each host.
+		await withinMs(clock, MISSING_ROUTE_WAIT_MS, mirror.nextConfirmation());
 	}
 
 	const plan = getStopPlan();
@@ -78,7 +78,7 @@
 	return memory;
 }
 
-/** A host that has just started knows no route yet, which must not be taken for a route that is not there. */
+/** Waits for the first configuration. A host that has just started knows no routes yet, which must not be mistaken for a route that does not exist. */
 async function waitForRouting({clock, mirror}: GatewayParts, {channel, getStopPlan}: OpenSessionOptions) {
 	const until = clock.now() + ROUTING_WAIT_MS;
 	while (!mirror.state.routing && !channel.left && !getStopPlan() && clock.now() < until) {
--- a/src/gateway/prom-gateway-metrics.ts
+++ b/src/gateway/prom-gateway-metrics.ts
@@ -3,22 +3,22 @@
 } from 'prom-client';
 import type {GatewayMetrics} from './gateway-metrics.js';
 
-/** The metrics with what else is counted of the proxy, and their text. */
+/** The gateway's metrics, those of the rest of the proxy, and their rendering as text. */
 export type ProxyMetrics = GatewayMetrics & {
-	/** A call to the platform ended. */
+	/** Counts a call to the platform that ended. */
 	countPlatformCall(call: string, result: string): void;
-	/** The platform's store answered in this generation. */
+	/** Sets the store generation of the platform's last answer. */
 	setStoreGeneration(generation: number): void;
-	/** A group has a primary again after so long. */
+	/** Observes the duration of one part of replacing a group's primary. */
 	observeReplacement(part: string, seconds: number): void;
-	/** Sets what is read off at each question. */
-	setState(state: {readonly evidenceAgeSeconds: number; readonly routingVersion: number; readonly hosts: number}): void;
-	setPool(endpoint: string, open: number, lent: number, waiting: number): void;
+	/** Sets the gauges whose values are read at each scrape. */
+	setState(state: {readonly confirmationAgeSeconds: number; readonly routingVersion: number; readonly hosts: number}): void;
+	setPool(endpoint: string, open: number, acquired: number, waiting: number): void;
 	render(): Promise<string>;
 	readonly contentType: string;
 };
 
-/** Upper bounds of the buckets for times within one statement, in seconds. */
+/** Upper bounds of the buckets for the times of a statement, in seconds. */
 const STATEMENT_BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6];
 
 /** Upper bounds of the buckets for the parts of a replacement, in seconds. */
@@ -43,7 +43,7 @@
 	const retries = new Counter({
 		name: 'aldercroft_endpoint_retries_total', help: 'Statements tried again, by the reason', labelNames: ['reason'], registers,
 	});
-	const judgements = new Counter({
+	const commitRechecks = new Counter({
 		name: 'aldercroft_second_judgements_total', help: 'Commits judged by newer evidence than they began under', labelNames: ['outcome'], registers,
 	});
 	const sessions = new Gauge({name: 'aldercroft_sessions', help: 'Open sessions of callers', registers});
@@ -54,7 +54,7 @@
 	const replacementSeconds = new Histogram({
 		name: 'aldercroft_replacement_seconds', help: 'Parts of replacing a primary', labelNames: ['part'], buckets: REPLACEMENT_BUCKETS, registers,
 	});
-	const evidenceAge = new Gauge({name: 'aldercroft_evidence_age_seconds', help: 'Time since the copy of the store was last confirmed', registers});
+	const confirmationAge = new Gauge({name: 'aldercroft_evidence_age_seconds', help: 'Time since the copy of the store was last confirmed', registers});
 	const routingVersion = new Gauge({name: 'aldercroft_routing_version', help: 'Version of the configuration in force', registers});
 	const hosts = new Gauge({name: 'aldercroft_hosts', help: 'Proxies that are registered', registers});
 	const poolLinks = new Gauge({
@@ -75,8 +75,8 @@
 		countRetry(reason) {
 			retries.inc({reason});
 		},
-		countSecondJudgement(outcome) {
-			judgements.inc({outcome});
+		countCommitRecheck(outcome) {
+			commitRechecks.inc({outcome});
 		},
 		setSessions(open) {
 			sessions.set(open);
@@ -91,13 +91,13 @@
 			replacementSeconds.observe({part}, seconds);
 		},
 		setState(state) {
-			evidenceAge.set(state.evidenceAgeSeconds);
+			confirmationAge.set(state.confirmationAgeSeconds);
 			routingVersion.set(state.routingVersion);
 			hosts.set(state.hosts);
 		},
-		setPool(endpoint, open, lent, waiting) {
+		setPool(endpoint, open, acquired, waiting) {
 			poolLinks.set({endpoint, state: 'open'}, open);
-			poolLinks.set({endpoint, state: 'lent'}, lent);
+			poolLinks.set({endpoint, state: 'lent'}, acquired);
 			poolLinks.set({endpoint, state: 'waiting'}, waiting);
 		},
 		render: async () => registry.metrics(),
--- a/src/gateway/run-read.ts
+++ b/src/gateway/run-read.ts
@@ -4,32 +4,32 @@
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import {exchangeStatement, type EndpointStatement} from './exchange.js';
 import type {GatewayParts} from './gateway-parts.js';
-import {lendForRead, type LentLink, type LinkRequest} from './lend-link.js';
+import {acquireForRead, type AcquiredLink, type AcquireRequest} from './acquire-link.js';
 import {refuse, type StatementResult} from './statement-result.js';
 
 /** A statement outside a transaction. */
 export type SingleStatement = {
 	readonly id: string;
 	readonly statement: EndpointStatement;
-	readonly req: LinkRequest;
+	readonly req: AcquireRequest;
 };
 
 /**
- * A read without an answer is sent to a second endpoint after this many times the usual time there, and at least so long, in
- * milliseconds. Of the users' statements one in a hundred takes five times the usual.
+ * A read without an answer is sent to a second endpoint after this many times the first endpoint's usual time, and not before
+ * the minimum, in milliseconds. One in a hundred of the users' statements takes five times the usual time.
  */
-const PATIENCE_FACTOR = 6;
-const LEAST_PATIENCE_MS = 150;
+const HEDGE_DELAY_FACTOR = 6;
+const MIN_HEDGE_DELAY_MS = 150;
 
-/** When to come back after a read that found no endpoint, in milliseconds: two confirmations of who leads fit in. */
-const COME_BACK_MS = 300;
+/** Retry-after of a read that found no endpoint, in milliseconds: time for two confirmations of the leadership records. */
+const RETRY_AFTER_MS = 300;
 
 type TryOutcome =
 	| {readonly kind: 'answer'; readonly answer: EndpointAnswer}
-	/** Nothing came, or the endpoint did not run it; worth another try elsewhere. */
+	/** There was no answer, or the endpoint did not run the read; another endpoint may. */
 	| {readonly kind: 'again'; readonly reason: string};
 
-/** Runs a read outside a transaction: at another endpoint too where one does not answer, since a read may run twice. */
+/** Runs a read outside a transaction. Sends it to a further endpoint where one does not answer, since a read may run twice. */
 export async function runRead(parts: GatewayParts, budget: RetryBudget, single: SingleStatement): Promise<StatementResult> {
 	const {clock, log, metrics} = parts;
 	const excluded = new Set<string>();
@@ -39,8 +39,8 @@
 	budget.noteFresh(clock.now());
 
 	/**
-	 * Guards against a read that is tried at the same endpoint over and over, as where only the primary may serve it: turned away at once each time, it would
-	 * keep this host busy until its time is up.
+	 * Notes an endpoint that was tried, and pauses where it had been tried before. Guards against a read that only one endpoint may serve, such as the primary:
+	 * refused at once each time, it would be sent there in a busy loop until its timeout.
 	 */
 	const noteTried = async (endpointId: string | undefined) => {
 		if (endpointId === undefined) {
@@ -54,40 +54,40 @@
 		excluded.add(endpointId);
 	};
 
-	/** What is under way is awaited, since its answer may be ready. */
-	const hasQueuedOut = () => underWay.size === 0 && lastReason === AnswerCode.Overloaded && single.req.patience.isOver(clock.now());
+	/** Whether the queue timeout has passed with no try under way; a try under way is awaited, since its answer may be ready. */
+	const hasQueueTimedOut = () => underWay.size === 0 && lastReason === AnswerCode.Overloaded && single.req.queueTimeout.isOver(clock.now());
 
-	while (clock.now() < until && single.req.isWanted() && !hasQueuedOut()) {
-		const lent = await lendForRead(parts, {
+	while (clock.now() < until && single.req.isWanted() && !hasQueueTimedOut()) {
+		const acquired = await acquireForRead(parts, {
 			...single.req, reads: true, excluded, until: underWay.size > 0 ? clock.now() : until,
 		});
-		if (lent) {
-			underWay.add(startTry(parts, lent, single));
+		if (acquired) {
+			underWay.add(startTry(parts, acquired, single));
 		} else if (underWay.size === 0) {
 			if (excluded.size === 0) {
 				break;
 			}
 
-			// Each endpoint was tried: the next round may find one that caught up or came back.
+			// Each endpoint was tried. In the next round one may have caught up or become reachable.
 			excluded.clear();
 			await clock.sleep(ROUND_PAUSE_MS);
 			continue;
 		}
 
-		const patience = lent ? getPatience(parts, lent) : until - clock.now();
-		const outcome = await waitForOutcome(parts, underWay, Math.min(patience, until - clock.now()));
+		const hedgeDelayMs = acquired ? getHedgeDelayMs(parts, acquired) : until - clock.now();
+		const outcome = await waitForOutcome(parts, underWay, Math.min(hedgeDelayMs, until - clock.now()));
 		if (outcome?.kind === 'answer') {
 			return outcome.answer;
 		}
 
 		lastReason = outcome?.reason ?? 'an endpoint took long';
-		await noteTried(lent?.endpoint.entry.id);
+		await noteTried(acquired?.endpoint.entry.id);
 		log.info('a read is tried again', {
-			id: single.id, group: route.group, endpoint: lent?.endpoint.entry.id, reason: lastReason, floor: lent?.floor, leftMs: Math.round(until - clock.now()),
+			id: single.id, group: route.group, endpoint: acquired?.endpoint.entry.id, reason: lastReason, floor: acquired?.floor, leftMs: Math.round(until - clock.now()),
 		});
 		metrics.countRetry(lastReason);
 		if (!outcome && !budget.take(clock.now())) {
-			// No second endpoint is loaded with it; the answer is awaited for as long as the statement may take.
+			// The retry budget is used up, so no second endpoint gets the read; wait for the answer until the statement's timeout.
 			const late = await waitForOutcome(parts, underWay, until - clock.now());
 			if (late?.kind === 'answer') {
 				return late.answer;
@@ -95,21 +95,21 @@
 		}
 	}
 
-	return refuse(AnswerCode.Overloaded, `${lastReason}; the read left nothing behind`, COME_BACK_MS);
+	return refuse(AnswerCode.Overloaded, `${lastReason}; the read left nothing behind`, RETRY_AFTER_MS);
 }
 
-/** Pause before endpoints that were all tried are tried anew, in milliseconds: about the usual lag of a replica. */
+/** Pause before endpoints that were all tried are tried again, in milliseconds: about the usual lag of a replica. */
 const ROUND_PAUSE_MS = 25;
 
-function getPatience({knowledge}: GatewayParts, lent: LentLink) {
-	return Math.max(LEAST_PATIENCE_MS, PATIENCE_FACTOR * knowledge.getFigures(lent.endpoint.entry.id).serviceMs);
+function getHedgeDelayMs({knowledge}: GatewayParts, acquired: AcquiredLink) {
+	return Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * knowledge.getFigures(acquired.endpoint.entry.id).serviceMs);
 }
 
-/** The first outcome within `ms`, taken out of the set; undefined where there is none yet. */
+/** Removes the first try that completes within `ms` milliseconds from the set and returns its outcome; undefined where none completes. */
 async function waitForOutcome({clock}: GatewayParts, underWay: Set<Promise<TryOutcome>>, ms: number): Promise<TryOutcome | undefined> {
 	const alarm = createSleepAlarm();
-	const settled = [...underWay].map(async promise => ({promise, outcome: await promise}));
-	const first = await Promise.race([...settled, clock.sleep(ms, alarm)]);
+	const attempts = [...underWay].map(async promise => ({promise, outcome: await promise}));
+	const first = await Promise.race([...attempts, clock.sleep(ms, alarm)]);
 	alarm.abort();
 	if (!first) {
 		return undefined;
@@ -119,27 +119,27 @@
 	return first.outcome;
 }
 
-async function startTry(parts: GatewayParts, lent: LentLink, {id, statement, req}: SingleStatement): Promise<TryOutcome> {
-	const answer = await exchangeStatement(parts, lent, req.memory, {
-		id, statement, floor: lent.floor, timeoutMs: req.until - parts.clock.now(),
+async function startTry(parts: GatewayParts, acquired: AcquiredLink, {id, statement, req}: SingleStatement): Promise<TryOutcome> {
+	const answer = await exchangeStatement(parts, acquired, req.memory, {
+		id, statement, floor: acquired.floor, timeoutMs: req.until - parts.clock.now(),
 	});
-	lent.release();
+	acquired.release();
 	if (!answer) {
 		return {kind: 'again', reason: 'no whole answer came'};
 	}
 
-	if (answer.end.kind === 'error' && RETRIED.has(answer.end.code)) {
+	if (answer.end.kind === 'error' && RETRIED_CODES.has(answer.end.code)) {
 		return {kind: 'again', reason: answer.end.code};
 	}
 
 	if (answer.end.kind === 'complete') {
-		parts.metrics.countRead(lent.evidence ? EndpointRole.Primary : EndpointRole.Replica);
+		parts.metrics.countRead(acquired.lease ? EndpointRole.Primary : EndpointRole.Replica);
 	}
 
 	return {kind: 'answer', answer};
 }
 
-/** What says nothing of the read itself, only of the endpoint. */
-const RETRIED: ReadonlySet<AnswerCode> = new Set([
+/** Errors of the endpoint rather than of the read itself. */
+const RETRIED_CODES: ReadonlySet<AnswerCode> = new Set([
 	AnswerCode.Overloaded, AnswerCode.Lagging, AnswerCode.ReadOnly, AnswerCode.UnknownStatement, AnswerCode.Failed, AnswerCode.TimedOut,
 ]);
--- a/src/gateway/run-write.ts
+++ b/src/gateway/run-write.ts
@@ -1,20 +1,20 @@
 import {AnswerCode} from '../statements/statement-answer.js';
 import {exchangeStatement} from './exchange.js';
 import type {GatewayParts} from './gateway-parts.js';
-import {mayAcknowledge} from './judge-commit.js';
-import {lendPrimary} from './lend-link.js';
+import {mayAcknowledge} from './acknowledge-commit.js';
+import {acquirePrimary} from './acquire-link.js';
 import type {SingleStatement} from './run-read.js';
 import {refuse, type StatementResult} from './statement-result.js';
 
-/** When to come back after a write that found no primary, in milliseconds: a third of a promotion. */
-const COME_BACK_MS = 400;
+/** Retry-after of a write that found no primary, in milliseconds: a third of a promotion. */
+const RETRY_AFTER_MS = 400;
 
-/** Pause before a primary that turned a write away is asked again, in milliseconds: a few statements' time. */
+/** Delay before a refused write is sent again, in milliseconds: the time of a few statements. */
 const BUSY_PAUSE_MS = 20;
 
 /**
- * Runs a write outside a transaction. It goes out again only where the endpoint itself said that it did not run: a
- * write without an answer may have taken effect, and would be doubled.
+ * Runs a write outside a transaction. Sends it again only where the endpoint reported that it did not run: a
+ * write without an answer may have taken effect, and would be applied twice.
  */
 export async function runWrite(parts: GatewayParts, single: SingleStatement): Promise<StatementResult> {
 	const {clock, log, metrics, mirror} = parts;
@@ -22,26 +22,26 @@
 	const {group} = req.route;
 	let lastReason = 'no primary could be used';
 
-	while (clock.now() < req.until && req.isWanted() && !req.patience.isOver(clock.now())) {
-		const lent = await lendPrimary(parts, req);
-		if (!lent) {
+	while (clock.now() < req.until && req.isWanted() && !req.queueTimeout.isOver(clock.now())) {
+		const acquired = await acquirePrimary(parts, req);
+		if (!acquired) {
 			break;
 		}
 
-		const {evidence} = lent;
-		const answer = await exchangeStatement(parts, lent, req.memory, {id, statement, timeoutMs: req.until - clock.now()});
-		lent.release();
+		const {lease} = acquired;
+		const answer = await exchangeStatement(parts, acquired, req.memory, {id, statement, timeoutMs: req.until - clock.now()});
+		acquired.release();
 		if (!answer) {
 			log.warn('the outcome of a write is unknown: it was sent and no whole answer came', {
-				id, group, endpoint: lent.endpoint.entry.id, epoch: evidence?.epoch,
+				id, group, endpoint: acquired.endpoint.entry.id, epoch: lease?.epoch,
 			});
 			return refuse(AnswerCode.OutcomeUnknown, 'the write was sent and no answer came');
 		}
 
-		if (answer.end.kind === 'error' && DID_NOT_RUN.has(answer.end.code)) {
+		if (answer.end.kind === 'error' && NOT_RUN_CODES.has(answer.end.code)) {
 			lastReason = answer.end.code;
 			log.info('a write did not run and is tried again', {
-				id, group, endpoint: lent.endpoint.entry.id, reason: lastReason, leftMs: Math.round(req.until - clock.now()),
+				id, group, endpoint: acquired.endpoint.entry.id, reason: lastReason, leftMs: Math.round(req.until - clock.now()),
 			});
 			metrics.countRetry(lastReason);
 			mirror.confirmSoon();
@@ -50,7 +50,7 @@
 		}
 
 		if (answer.end.kind === 'complete') {
-			if (evidence && !await mayAcknowledge(parts, evidence, id)) {
+			if (lease && !await mayAcknowledge(parts, lease, id)) {
 				return refuse(AnswerCode.OutcomeUnknown, 'the primary may have been replaced before it wrote');
 			}
 
@@ -62,7 +62,8 @@
 		return answer;
 	}
 
-	return refuse(AnswerCode.Overloaded, `${lastReason}; the write was not run`, COME_BACK_MS);
+	return refuse(AnswerCode.Overloaded, `${lastReason}; the write was not run`, RETRY_AFTER_MS);
 }
 
-const DID_NOT_RUN: ReadonlySet<AnswerCode> = new Set([AnswerCode.Overloaded, AnswerCode.ReadOnly, AnswerCode.UnknownStatement]);
+/** Errors that prove that the endpoint did not run the write. */
+const NOT_RUN_CODES: ReadonlySet<AnswerCode> = new Set([AnswerCode.Overloaded, AnswerCode.ReadOnly, AnswerCode.UnknownStatement]);
--- a/src/gateway/statement-result.ts
+++ b/src/gateway/statement-result.ts
@@ -1,24 +1,24 @@
 import type {AnswerCode, AnswerEnd} from '../statements/statement-answer.js';
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What a statement brought, before the session's state is put beside it. */
+/** The result of a statement, without the session state that is sent with it. */
 export type StatementResult = {
 	readonly rows: readonly string[];
 	readonly end: AnswerEnd;
 	readonly position?: LogPosition;
 };
 
-/** The proxy's own answer that all went well. */
+/** The proxy's own answer to a statement that succeeded. */
 export const DONE: StatementResult = {rows: [], end: {kind: 'complete'}};
 
-/** A refusal of the proxy's own. */
+/** A refusal by the proxy itself. */
 export type RefusalResult = StatementResult & {readonly end: Extract<AnswerEnd, {kind: 'error'}>};
 
 /**
- * Makes a refusal of the proxy's own.
- * @param comeBackMs When to come back, in milliseconds; leads the text where it is given.
+ * Creates a refusal by the proxy itself.
+ * @param retryAfterMs Time after which the caller may try again, in milliseconds; stands at the start of the text where it is given.
  */
-export function refuse(code: AnswerCode, reason: string, comeBackMs?: number): RefusalResult {
-	const text = comeBackMs === undefined ? reason : `retry-after-ms=${Math.ceil(comeBackMs)} ${reason}`;
+export function refuse(code: AnswerCode, reason: string, retryAfterMs?: number): RefusalResult {
+	const text = retryAfterMs === undefined ? reason : `retry-after-ms=${Math.ceil(retryAfterMs)} ${reason}`;
 	return {rows: [], end: {kind: 'error', code, text}};
 }
--- a/src/gateway/statement-trace.ts
+++ b/src/gateway/statement-trace.ts
@@ -1,16 +1,16 @@
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What a log line has to tell of a statement's way, or of its transaction's. */
+/** How a statement, or its transaction, was routed, for log lines. */
 export type StatementTrace = {
-	/** Name of the workspace on whose behalf it came. */
+	/** Name of the caller's workspace. */
 	readonly workspace?: string;
-	/** Endpoints that it was sent to, in order. */
+	/** Ids of the endpoints that it was sent to, in order. */
 	readonly endpoints: string[];
-	/** Time for which it waited for connections, in milliseconds. */
+	/** Total time for which it waited for connections, in milliseconds. */
 	linkWaitMs: number;
-	/** Epoch of the evidence under which a primary was used last. */
+	/** Epoch of the lease under which a primary was used last. */
 	epoch?: number;
-	/** What a replica's log had to hold, last. */
+	/** Log position that the replica used last had to have reached. */
 	floor?: LogPosition;
 };
 
@@ -19,7 +19,7 @@
 	return {workspace, endpoints: [], linkWaitMs: 0};
 }
 
-/** The fields of a trace in a log line. */
+/** Returns the fields of a trace for a log line. */
 export function describeTrace({workspace, endpoints, linkWaitMs, epoch, floor}: StatementTrace) {
 	return {
 		workspace, endpoints, linkWaitMs: Math.round(linkWaitMs), usedEpoch: epoch, floor,
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -200,7 +200,7 @@
 		log: log.part('callers: '),
 		metrics,
 		mirror,
-		evidences,
+		primaryLeases: evidences,
 		directory,
 		knowledge,
 		primaryWork,
--- a/src/proxy/run-proxy.ts
+++ b/src/proxy/run-proxy.ts
@@ -141,7 +141,7 @@
 	const directory = kernel.getOrThrow('endpointDirectory');
 	const {elapsed} = kernel.getOrThrow('elapsedClock');
 	metrics.setState({
-		evidenceAgeSeconds: mirror.confirmedAt === undefined ? -1 : (elapsed() - mirror.confirmedAt) / 1000,
+		confirmationAgeSeconds: mirror.confirmedAt === undefined ? -1 : (elapsed() - mirror.confirmedAt) / 1000,
 		routingVersion: mirror.state.routing?.version ?? 0,
 		hosts: mirror.state.hosts.length,
 	});
--- a/tests/crowd-check/main.ts
+++ b/tests/crowd-check/main.ts
@@ -31,7 +31,7 @@
 	{
 		name: 'rechoose',
 		without: 'choosing another endpoint after 100 ms',
-		changes: [{file: 'src/gateway/lend-link.ts', from: 'const until = candidates.length > 1 ?', to: 'const until = candidates.length > 100 ?'}],
+		changes: [{file: 'src/gateway/acquire-link.ts', from: 'const until = candidates.length > 1 ?', to: 'const until = candidates.length > 100 ?'}],
 	},
 	{
 		name: 'positions',
--- a/tests/gateway/graceful-close-tests.ts
+++ b/tests/gateway/graceful-close-tests.ts
@@ -20,17 +20,17 @@
 const {Idle, Failed} = SessionState;
 
 /**
- * A host ends a session while statements of its caller are on their way. The caller takes each error for the answer to the oldest statement that it has sent,
- * and the state for the end of that answer: out of step by one, it would take the refusal of one statement for the outcome of another.
+ * A host ends a session while statements of its caller are in transit. The caller takes each error for the answer to its oldest unanswered statement, and
+ * the state after it for the end of that answer. One message too many or too few would make it take the refusal of one statement for the outcome of another.
  */
 describe('the graceful close of a session', () => {
 	type Case = {
 		readonly inTransaction: boolean;
-		/** What crosses, in order, with the state that ends each refusal. */
-		readonly crossing: ReadonlyArray<readonly [kind: Statement['kind'], state: SessionState]>;
+		/** Statements in transit when the session ends, in order, with the state that ends each refusal. */
+		readonly inTransit: ReadonlyArray<readonly [kind: Statement['kind'], state: SessionState]>;
 	};
 
-	function doTest(name: string, {inTransaction, crossing}: Case) {
+	function doTest(name: string, {inTransaction, inTransit}: Case) {
 		it(name, () => {
 			const sent: string[] = [];
 			const channel = {
@@ -45,33 +45,33 @@
 			const error = `${reason.end.code}: ${reason.end.text}`;
 			const closing = createGracefulClose(channel, reason, inTransaction);
 			expect(sent).to.deep.equal([error]);
-			for (const [kind] of crossing) {
+			for (const [kind] of inTransit) {
 				expect(closing.refuse(STATEMENTS[kind])).to.equal(reason);
 			}
 
-			expect(sent).to.deep.equal([error, ...crossing.flatMap(([, state]) => [state, error])]);
+			expect(sent).to.deep.equal([error, ...inTransit.flatMap(([, state]) => [state, error])]);
 		});
 	}
 
-	doTest('tells a caller at once that sends nothing', {inTransaction: false, crossing: []});
-	doTest('tells a caller at once whose transaction was rolled back', {inTransaction: true, crossing: []});
+	doTest('notifies a caller that sends nothing at once', {inTransaction: false, inTransit: []});
+	doTest('notifies a caller whose transaction was rolled back at once', {inTransaction: true, inTransit: []});
 
 	for (const kind of Object.keys(STATEMENTS) as Array<Statement['kind']>) {
 		const isEnd = kind === 'commit' || kind === 'rollback';
-		doTest(`leaves the session idle behind ${kind}`, {inTransaction: false, crossing: [[kind, Idle]]});
-		doTest(`${isEnd ? 'ends' : 'leaves'} a transaction that was rolled back ${isEnd ? 'with' : 'failed behind'} ${kind}`, {
-			inTransaction: true, crossing: [[kind, isEnd ? Idle : Failed]],
+		doTest(`leaves the session idle after ${kind}`, {inTransaction: false, inTransit: [[kind, Idle]]});
+		doTest(`${isEnd ? 'ends' : 'leaves'} a transaction that was rolled back ${isEnd ? 'with' : 'failed after'} ${kind}`, {
+			inTransaction: true, inTransit: [[kind, isEnd ? Idle : Failed]],
 		});
 	}
 
-	doTest('refuses each statement of a transaction that crosses whole', {
-		inTransaction: false, crossing: [['begin', Idle], ['run', Idle], ['commit', Idle]],
+	doTest('refuses each statement of a transaction that is entirely in transit', {
+		inTransaction: false, inTransit: [['begin', Idle], ['run', Idle], ['commit', Idle]],
 	});
-	doTest('keeps a transaction failed until its caller asks for the end', {
-		inTransaction: true, crossing: [['run', Failed], ['set', Failed], ['execute', Failed], ['commit', Idle]],
+	doTest('keeps a transaction failed until its caller ends it', {
+		inTransaction: true, inTransit: [['run', Failed], ['set', Failed], ['execute', Failed], ['commit', Idle]],
 	});
-	doTest('begins no other transaction behind the end of one that was rolled back', {
-		inTransaction: true, crossing: [['rollback', Idle], ['begin', Idle], ['run', Idle], ['commit', Idle]],
+	doTest('begins no new transaction after the end of one that was rolled back', {
+		inTransaction: true, inTransit: [['rollback', Idle], ['begin', Idle], ['run', Idle], ['commit', Idle]],
 	});
-	doTest('takes a second begin for no end', {inTransaction: true, crossing: [['begin', Failed], ['run', Failed], ['rollback', Idle], ['set', Idle]]});
+	doTest('does not treat a second begin as the end of the transaction', {inTransaction: true, inTransit: [['begin', Failed], ['run', Failed], ['rollback', Idle], ['set', Idle]]});
 });
--- a/tests/gateway/stop-plan-tests.ts
+++ b/tests/gateway/stop-plan-tests.ts
@@ -5,20 +5,20 @@
 import {ReadPolicy, type Route} from '../../src/routes/routing.js';
 import {Access} from '../../src/statements/statement.js';
 
-/** When the hosts are told, a steady time in milliseconds. */
-const TOLD_AT = 70_000;
+/** When the host is ordered to stop, a steady time in milliseconds. */
+const ORDERED_AT = 70_000;
 
 const createRoute = (targetLatencyMs: number, statementTimeoutMs: number): Route => ({
 	name: 'sync', database: 'sync', group: 'nights', policy: ReadPolicy.Primary, maxReadAgeMs: 0, priority: 1, targetLatencyMs, statementTimeoutMs,
 });
 
-/** A route whose statements fit between the last admission and the last answer. */
+/** A route whose statements can complete between the end of admission and the last answer. */
 const QUICK = createRoute(200, 1000);
 
 /** A route whose writes may take longer than that. */
 const SLOW_WRITES = createRoute(200, 1500);
 
-/** A route whose reads are wanted later than that, too. */
+/** A route whose latency target for reads is longer than that, too. */
 const SLOW_READS = createRoute(1200, 4000);
 
 const mayRead = (route: Route) => (plan: StopPlan | undefined, now: number) => mayTake(plan, route, Access.Read, now);
@@ -26,31 +26,31 @@
 const mayOpen = (plan: StopPlan | undefined, now: number) => !isPastAdmission(plan, now);
 const mayBeginOn = (route: Route) => (plan: StopPlan | undefined, now: number) => mayBegin(plan, route, now);
 
-/** Admission is closed ahead of its time. */
+/** Applies a rule to a plan whose admission was closed `ms` milliseconds after the order to stop. */
 const closedAt = (ms: number, rule: (plan: StopPlan | undefined, now: number) => boolean) => (plan: StopPlan | undefined, now: number) =>
-	rule(plan && closeAdmissionAt(plan, TOLD_AT + ms), now);
+	rule(plan && closeAdmissionAt(plan, ORDERED_AT + ms), now);
 
-/** A host is told to stop, with all the graces that platforms give: from some that leave hardly time for one answer to some that leave much. */
+/** Plans for grace periods from one that hardly leaves time for one answer to one that leaves plenty. */
 describe('the plan of a stop', () => {
 	type Expectation = {
 		/** The moments in their order, in milliseconds from the order to stop. */
 		readonly moments: readonly [rotatedOutAt: number, admitUntil: number, answerBy: number, endBy: number];
-		/** The last whole millisecond from the order to stop at which each is still taken. */
+		/** The last whole millisecond from the order to stop at which each is still accepted. */
 		readonly last: ReadonlyArray<readonly [what: string, rule: (plan: StopPlan | undefined, now: number) => boolean, lastMs: number]>;
 	};
 
 	function doTest(graceMs: number, {moments, last}: Expectation) {
-		it(`has its moments in order with ${graceMs} ms of grace, and takes what has its answer by then`, () => {
-			const plan = createStopPlan(TOLD_AT, graceMs);
-			const made = [plan.rotatedOutAt, plan.admitUntil, plan.answerBy, plan.endBy].map(moment => moment - TOLD_AT);
+		it(`has its moments in order with ${graceMs} ms of grace, and accepts only what has its answer in time`, () => {
+			const plan = createStopPlan(ORDERED_AT, graceMs);
+			const made = [plan.rotatedOutAt, plan.admitUntil, plan.answerBy, plan.endBy].map(moment => moment - ORDERED_AT);
 			expect(made.map(moment => Math.round(moment))).to.deep.equal(moments);
 			const inOrder = [0, ...made, graceMs];
 			expect(inOrder).to.deep.equal(inOrder.toSorted((left, right) => left - right));
 			for (const [what, rule, lastMs] of last) {
-				const taken = [0, lastMs, lastMs + 1, graceMs].map(ms => rule(plan, TOLD_AT + ms));
+				const taken = [0, lastMs, lastMs + 1, graceMs].map(ms => rule(plan, ORDERED_AT + ms));
 				expect([what, ...taken]).to.deep.equal([what, true, true, false, false]);
-				// Without an order to stop, all is taken at any time.
-				expect([what, rule(undefined, TOLD_AT + graceMs)]).to.deep.equal([what, true]);
+				// Without an order to stop, everything is accepted at any time.
+				expect([what, rule(undefined, ORDERED_AT + graceMs)]).to.deep.equal([what, true]);
 			}
 		});
 	}
@@ -87,7 +87,7 @@
 			['reads with slow writes', mayRead(SLOW_WRITES), 3999],
 			['slow writes', mayWrite(SLOW_WRITES), 3500],
 			['slow reads', mayRead(SLOW_READS), 3800],
-			// New callers still come until the balancer has noticed, so they are served for so long.
+			// New callers arrive until the balancer removes the host, so they are all served until then.
 			['slowest writes', mayWrite(SLOW_READS), 2299],
 			['sessions closed early', closedAt(3000, mayOpen), 2999],
 			['transactions closed early', closedAt(3000, mayBeginOn(QUICK)), 2800],
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -28,7 +28,7 @@
 	{
 		name: 'second-judgement',
 		without: 'the judgement of evidence when a commit\'s answer is here',
-		changes: [inGateway('judge-commit.ts', 'const until = clock.now() + WAIT_MS;', 'const until = clock.now() + WAIT_MS; if (until > 0) return true;')],
+		changes: [inGateway('acknowledge-commit.ts', 'const until = clock.now() + LEASE_WAIT_MS;', 'const until = clock.now() + LEASE_WAIT_MS; if (until > 0) return true;')],
 	},
 	{
 		name: 'wait-for-silent',
@@ -85,12 +85,12 @@
 	{
 		name: 'own-floor',
 		without: 'a session\'s own floor',
-		changes: [inGateway('lend-link.ts', 'memory.floors.get(route.group) : undefined;', 'undefined : undefined;')],
+		changes: [inGateway('acquire-link.ts', 'memory.floors.get(route.group) : undefined;', 'undefined : undefined;')],
 	},
 	{
 		name: 'floor-age',
 		without: 'the age of a floor: twice the route\'s',
-		changes: [inGateway('lend-link.ts', 'arrivedAt - route.maxReadAgeMs', 'arrivedAt - (2 * route.maxReadAgeMs)')],
+		changes: [inGateway('acquire-link.ts', 'arrivedAt - route.maxReadAgeMs', 'arrivedAt - (2 * route.maxReadAgeMs)')],
 	},
 	{
 		name: 'no-second-send',
@@ -157,12 +157,12 @@
 	{
 		name: 'after-wait',
 		without: 'evidence judged again after the wait for a connection',
-		changes: [inGateway('lend-link.ts', 'const stillHolds = !evidence ||', 'const stillHolds = evidence !== null ||')],
+		changes: [inGateway('acquire-link.ts', 'const stillHolds = !lease ||', 'const stillHolds = lease !== null ||')],
 	},
 	{
 		name: 'cut-open',
 		without: 'the cut of a connection with an open transaction',
-		changes: [inGateway('lend-link.ts', 'if (lent.state !== SessionState.Idle) {', 'if (lent === null) {')],
+		changes: [inGateway('acquire-link.ts', 'if (acquired.state !== SessionState.Idle) {', 'if (acquired === null) {')],
 	},
 	{
 		name: 'affirmed-evidence',
