--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -40,10 +40,10 @@
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
 		storeMirror: StoreMirror;
-		leadEvidences: LeadEvidences;
+		primaryLeases: LeadEvidences;
 		dutyLease: DutyLease;
-		leadWatch: LeadWatch;
-		hostCensus: HostCensus;
+		leadershipWatch: LeadWatch;
+		hostLiveness: HostCensus;
 		hostRegistration: HostRegistration;
 		endpointDirectory: EndpointDirectory;
 		lenders: Lenders;
@@ -55,7 +55,7 @@
 	}
 }
 
-/** The outside of a proxy, and who it is. */
+/** The outside dependencies of a proxy, and its identity. */
 export type ProxyParts = {
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
@@ -68,18 +68,18 @@
 	readonly peers: LivePeers;
 	readonly hostName: string;
 	readonly availabilityZone: string;
-	/** `ip:port` under which other proxies reach this one. */
+	/** `ip:port` at which other proxies reach this one. */
 	readonly peerAddress: string;
 	readonly seeds: readonly string[];
-	/** Marks this life of the process. */
+	/** Identifies this run of the process. */
 	readonly incarnation: string;
-	/** Time after which a revoked key must not be honoured by any host, in milliseconds; undefined where nothing bounds it. */
+	/** Time after which no host may accept a revoked key, in milliseconds; undefined where there is no bound. */
 	readonly revokeWithinMs?: number;
-	/** Where reads run; by load, lag and zone without it. */
+	/** Chooses where reads run; by load, lag and zone where it is undefined. */
 	readonly placement?: ReadPlacement;
 };
 
-/** Assembles the inside of a proxy on a kernel; nothing runs before the kernel is started. */
+/** Creates the parts of a proxy and registers them with a kernel. Nothing runs before the kernel is started. */
 export function createProxy(parts: ProxyParts): Kernel {
 	const {clock, elapsedClock, random, log, metrics, orders, opener, peers, hostName, peerAddress, incarnation} = parts;
 	const kernel = createKernel();
@@ -93,13 +93,13 @@
 		log,
 		host,
 		seeds: parts.seeds,
-		getChanging: () => leadWatch.getChanging(),
-		getUnfenced: now => evidences.getUnfenced(now),
+		getChanging: () => leadershipWatch.getChanging(),
+		getUnfenced: now => primaryLeases.getUnfenced(now),
 		noteUnfenced(group, epoch, askedAt) {
-			evidences.noteUnfenced(group, epoch, askedAt);
+			primaryLeases.noteUnfenced(group, epoch, askedAt);
 		},
 	});
-	const evidences: LeadEvidences = createLeadEvidences({mirror, ownPeerAddress: peerAddress, isKnownToAll: at => registration.isKnownToAll(at)});
+	const primaryLeases: LeadEvidences = createLeadEvidences({mirror, ownPeerAddress: peerAddress, isKnownToAll: at => registration.isKnownToAll(at)});
 	const knowledge = createPlacementKnowledge();
 	const primaryWork = createPrimaryWork(clock);
 	const cutOffs = createCutOffs();
@@ -124,7 +124,7 @@
 	const lender = createLinkLender({
 		peers,
 		directory,
-		evidences,
+		evidences: primaryLeases,
 		knowledge,
 		clock,
 		elapsedClock,
@@ -144,25 +144,25 @@
 		getKnown: () => ({routing: mirror.state.routing, routingConfirmedAt: mirror.routingConfirmedAt}),
 		revokeWithinMs: parts.revokeWithinMs,
 	});
-	const duty = createDutyLease({
+	const failoverLease = createDutyLease({
 		store, mirror, elapsedClock, log, hostName, incarnation,
 	});
-	const gone = createGoneHosts({
+	const unresponsiveHosts = createGoneHosts({
 		store, mirror, elapsedClock, log,
 	});
-	const returns = createStoreReturns({mirror, elapsedClock});
+	const storeRestores = createStoreReturns({mirror, elapsedClock});
 	const registration: HostRegistration = createHostRegistration({
 		store, mirror, log, clock, elapsedClock, random, host,
 	});
-	const leadWatch: LeadWatch = createLeadWatch({
+	const leadershipWatch: LeadWatch = createLeadWatch({
 		store,
 		mirror,
 		directory,
 		lenders,
-		evidences,
+		evidences: primaryLeases,
 		primaryWork,
 		cutOffs,
-		duty,
+		duty: failoverLease,
 		peers,
 		clock,
 		elapsedClock,
@@ -175,11 +175,11 @@
 			store,
 			mirror,
 			directory,
-			evidences,
+			evidences: primaryLeases,
 			primaryWork,
-			duty,
-			gone,
-			returns,
+			duty: failoverLease,
+			gone: unresponsiveHosts,
+			returns: storeRestores,
 			orders,
 			peers,
 			clock,
@@ -200,7 +200,7 @@
 		log: log.part('callers: '),
 		metrics,
 		mirror,
-		primaryLeases: evidences,
+		primaryLeases,
 		directory,
 		knowledge,
 		primaryWork,
@@ -232,12 +232,12 @@
 	kernel.register('lenders', lenders);
 	kernel.register('linkLender', lender);
 	kernel.register('rateLimiter', rateLimiter);
-	kernel.register('leadEvidences', evidences);
-	kernel.register('dutyLease', duty);
+	kernel.register('primaryLeases', primaryLeases);
+	kernel.register('dutyLease', failoverLease);
 	kernel.register('hostRegistration', registration);
-	kernel.register('leadWatch', leadWatch);
-	kernel.register('hostCensus', createHostCensus({
-		mirror, peers, gone, clock, log, ownPeerAddress: peerAddress,
+	kernel.register('leadershipWatch', leadershipWatch);
+	kernel.register('hostLiveness', createHostCensus({
+		mirror, peers, gone: unresponsiveHosts, clock, log, ownPeerAddress: peerAddress,
 	}));
 	kernel.register('gateway', gateway);
 	kernel.register('storeMirror', mirror);
--- a/src/proxy/leave.ts
+++ b/src/proxy/leave.ts
@@ -6,43 +6,43 @@
 import type {Log} from '../log/log.js';
 import type {Clock} from '../time/clock.js';
 
-/** What leaving needs. */
+/** Options of {@link leave}. */
 export type LeaveOptions = {
 	readonly gateway: Gateway;
-	readonly leadWatch: Pick<LeadWatch, 'retire' | 'replacing'>;
-	/** Other hosts' requests that use this host's connections. */
+	readonly leadershipWatch: Pick<LeadWatch, 'retire' | 'replacing'>;
+	/** Checkouts of this host's connections by other hosts. */
 	readonly lender: Pick<LinkLender, 'loans' | 'retire' | 'endResting'>;
-	/** Where callers connect. */
+	/** The port to which callers connect. */
 	readonly callerPort: {close(): unknown};
 	readonly clock: Clock;
 	readonly log: Log;
-	/** Time from the order to stop to the end by force, in milliseconds. */
+	/** Time from the order to stop until the process is killed, in milliseconds. */
 	readonly graceMs: number;
 };
 
-/** How often it is looked whether all sessions have ended, in milliseconds. */
-const RECHECK_MS = 50;
+/** Poll interval of the wait for all sessions to end, in milliseconds. */
+const POLL_INTERVAL_MS = 50;
 
 /**
- * Serves on until the balancer sends nobody any more, then lets sessions end; resolves when the process may end. What is taken when, and by when all of it is
- * answered, says the plan alone.
+ * Serves all callers until the balancer sends no more, then ends sessions. Resolves when the process may end. The stop plan alone decides what is accepted until
+ * when, and by when everything accepted is answered.
  */
-export async function leave({gateway, leadWatch, lender, callerPort, clock, log, graceMs}: LeaveOptions): Promise<void> {
+export async function leave({gateway, leadershipWatch, lender, callerPort, clock, log, graceMs}: LeaveOptions): Promise<void> {
 	const startedAt = clock.now();
 	const plan = createStopPlan(startedAt, graceMs);
-	// A group whose replacement is left half way has no primary until another host has waited for the end of the duty.
-	const isUnderWay = () => gateway.sessions > 0 || lender.loans > 0 || leadWatch.replacing;
+	// If a replacement were abandoned half way, its group would have no primary until another host had waited for the failover lease to expire.
+	const isUnderWay = () => gateway.sessions > 0 || lender.loans > 0 || leadershipWatch.replacing;
 	const waitForSessions = async (until: number) => {
 		while (isUnderWay() && clock.now() < until) {
-			await clock.sleep(RECHECK_MS);
+			await clock.sleep(POLL_INTERVAL_MS);
 		}
 	};
 
-	leadWatch.retire();
+	leadershipWatch.retire();
 	lender.retire();
 	gateway.stop(plan);
 	await clock.sleep(plan.rotatedOutAt - startedAt);
-	log.info('callers are told that their sessions end', {...gateway.countPhases(), lateMs: Math.round(clock.now() - plan.rotatedOutAt)});
+	log.info('callers are notified that their sessions end', {...gateway.countPhases(), lateMs: Math.round(clock.now() - plan.rotatedOutAt)});
 	gateway.leave();
 	await waitForSessions(plan.admitUntil);
 	gateway.closeAdmission(clock.now());
@@ -50,7 +50,7 @@
 	await waitForSessions(plan.answerBy);
 	gateway.giveUp();
 
-	// Guards against a caller that comes while the last lines are written: it would be taken, and cut off with the process.
+	// Guards against a caller that connects while the last log lines are written: it would be accepted, and cut off when the process ends.
 	callerPort.close();
 	await waitForSessions(plan.endBy);
 	log.info('sessions have ended', {
--- a/src/proxy/main.ts
+++ b/src/proxy/main.ts
@@ -15,7 +15,7 @@
 import type {ProxyParts} from './create-proxy.js';
 import {runProxy} from './run-proxy.js';
 
-/** The proxy on the users' platform, with its real outside. */
+/** The entry point of the proxy on the users' platform, with its real clock, store, peers and endpoints. */
 
 const KEYS_VARIABLE = 'ALDERCROFT_PEER_KEYS';
 
@@ -56,7 +56,7 @@
 	};
 }
 
-/** Runs the proxy in this process; resolves with the exit code upon which the process is to end. */
+/** Runs the proxy in this process. Resolves with the exit code of the process once its log is flushed. */
 export async function main(args: readonly string[], tells: NodeJS.WritableStream = process.stdout): Promise<number> {
 	const exitCode = await runProxy({
 		settingsPath: process.env[SETTINGS_VARIABLE],
--- a/src/proxy/metrics-port.ts
+++ b/src/proxy/metrics-port.ts
@@ -1,7 +1,7 @@
 import {createServer, type Server} from 'node:http';
 import type {ProxyMetrics} from '../gateway/prom-gateway-metrics.js';
 
-/** Serves the metrics as text on every path; a port that cannot be had costs the metrics and nothing else. */
+/** Serves the metrics as text on every path. A port that cannot be opened is reported to `onError`; the proxy runs on without metrics. */
 export function openMetricsPort(host: string, port: number, metrics: ProxyMetrics, refresh: () => void, onError: (err: Error) => void): Server {
 	const server = createServer((_req, res) => {
 		refresh();
--- a/src/proxy/proxy-errors.ts
+++ b/src/proxy/proxy-errors.ts
@@ -1,6 +1,6 @@
 import ModernError from 'modern-errors';
 
-/** The command line cannot be used; the program ends with its message. */
+/** Thrown for an invalid command line; the program ends with its message. */
 export const ProxyUsageError = ModernError.subclass('ProxyUsageError');
 
 /** @internal */
--- a/src/proxy/read-proxy-command-line.ts
+++ b/src/proxy/read-proxy-command-line.ts
@@ -1,20 +1,20 @@
 import {defineCommand, parseArgs, renderUsage} from 'citty';
 import {throwProxyUsage} from './proxy-errors.js';
 
-/** What the command line of the proxy asks for. */
+/** The parsed command line of the proxy. */
 export type ProxyCommandLine = {
-	/** Port for metrics on the host's address; undefined for none. */
+	/** Port for metrics on the host's address; undefined where none are served. */
 	readonly metricsPort?: number;
-	/** Checks the settings and ends. */
+	/** Whether to check the settings and end. */
 	readonly checkSettings: boolean;
 	readonly help: boolean;
 	readonly version: boolean;
 };
 
-/** Version of the proxy, that of the package. */
+/** Version of the proxy, equal to the package's. */
 export const PROXY_VERSION = '0.1.0';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 const args = {
 	'metrics-port': {type: 'string', valueHint: 'PORT', description: 'Serve metrics as text on this port of the host\'s address'},
@@ -30,12 +30,12 @@
 	args,
 });
 
-/** The text of `--help`. */
+/** Returns the text of `--help`. */
 export async function getProxyUsage(): Promise<string> {
 	return renderUsage(command);
 }
 
-/** Reads the command line without the program; throws ProxyUsageError. */
+/** Parses the command line, without the name of the program. Throws ProxyUsageError where it is invalid. */
 export function readProxyCommandLine(rawArgs: readonly string[]): ProxyCommandLine {
 	const parsed = parseArgs<typeof args>([...rawArgs], args);
 	const unknown = Object.keys(parsed).find(name => name !== '_' && !Object.hasOwn(args, name) && !Object.hasOwn(args, toFlag(name)));
@@ -55,12 +55,12 @@
 	};
 }
 
-/** The library gives each option in camel case as well. */
+/** Converts an option's name from camel case; citty returns each option in camel case as well. */
 function toFlag(name: string): string {
 	return name.replaceAll(/[A-Z]/gv, letter => `-${letter.toLowerCase()}`);
 }
 
 function readPort(text: string): number {
 	const port = Number(text);
-	return Number.isInteger(port) && port > 0 && port <= LARGEST_PORT ? port : throwProxyUsage(`--metrics-port must be a port, not ${text}`);
+	return Number.isInteger(port) && port > 0 && port <= MAX_PORT ? port : throwProxyUsage(`--metrics-port must be a port, not ${text}`);
 }
--- a/src/proxy/run-proxy.ts
+++ b/src/proxy/run-proxy.ts
@@ -17,31 +17,31 @@
 
 /** Exit codes of the proxy. */
 export const ProxyExitCode = {
-	/** It was asked to stop, and did. */
+	/** It stopped as ordered. */
 	Ok: 0,
-	/** It could not start, or met an error that nothing caught. */
+	/** It could not start, or an error was not caught. */
 	Failed: 1,
-	/** A setting is wrong. */
+	/** A setting or an option of the command line is invalid. */
 	BadSettings: 2,
 } as const;
 
 /** One of the codes in {@link ProxyExitCode}. */
 export type ProxyExitCode = typeof ProxyExitCode[keyof typeof ProxyExitCode];
 
-/** What running the proxy needs of its process. */
+/** Dependencies of the proxy on its process. */
 export type RunProxyOptions = {
-	/** Path of the settings file; undefined where the process was not told. */
+	/** Path of the settings file; undefined where its environment variable is not set. */
 	readonly settingsPath: string | undefined;
-	/** The command line without the program. */
+	/** The command line without the name of the program. */
 	readonly args: readonly string[];
 	readonly output: NodeJS.WritableStream;
 	readonly errors: NodeJS.WritableStream;
-	/** Emits signals, as the process does. */
+	/** Emits signals and uncaught exceptions, as the process does. */
 	readonly events: {on(event: string, listener: (detail: unknown) => void): unknown};
 	readonly createParts: (settings: BootSettings) => ProxyParts;
 };
 
-/** Runs the proxy until it is asked to stop or fails; resolves with its exit code, upon which the process is to end. */
+/** Runs the proxy until it is ordered to stop or fails. Resolves with the exit code; the process must end then. */
 export async function runProxy(options: RunProxyOptions): Promise<ProxyExitCode> {
 	const {settingsPath, output, errors, events, createParts} = options;
 	let commandLine: ProxyCommandLine;
@@ -95,7 +95,7 @@
 	const gateway = kernel.getOrThrow('gateway');
 	const mirror = kernel.getOrThrow('storeMirror');
 	let leaving = false;
-	// What serves callers is a configuration and some endpoint; who leads is found out while reads are served.
+	// A configuration and one endpoint are enough to serve callers; the primaries are found while reads are already served.
 	const isReady = () => !leaving && mirror.state.routing !== undefined && mirror.state.endpoints.length > 0;
 	let callerPort: Server;
 	try {
@@ -119,7 +119,7 @@
 	leaving = true;
 	log.info('leaving', {signal, open: gateway.sessions});
 	await leave({
-		gateway, leadWatch: kernel.getOrThrow('leadWatch'), lender: kernel.getOrThrow('linkLender'), callerPort, clock, log, graceMs: settings.graceMs,
+		gateway, leadershipWatch: kernel.getOrThrow('leadershipWatch'), lender: kernel.getOrThrow('linkLender'), callerPort, clock, log, graceMs: settings.graceMs,
 	});
 	log.info('left');
 	return ProxyExitCode.Ok;
@@ -165,7 +165,7 @@
 	return parseBootSettings(text);
 }
 
-/** What a running proxy uses does not change without a restart; a file that cannot be used is said, and changes nothing. */
+/** Reads the settings file again and logs which settings differ. New settings need a restart; a file that cannot be used is logged and changes nothing. */
 function noteReload(path: string | undefined, settings: BootSettings, log: Log) {
 	try {
 		const read = readSettings(path);
--- a/src/refusals/come-back-times.ts
+++ b/src/refusals/come-back-times.ts
@@ -1,24 +1,27 @@
 /**
- * Hands out times at which refused callers may come back, one turn apart.
+ * Assigns refused callers the times at which they may try again, spaced apart.
  *
- * Without it all who are refused during a jam are told the same time, come back together and jam it again.
+ * Without it all callers refused during an overload would get the same time, try again together and cause the next overload.
  */
 export type ComeBackTimes = {
-	/** The next free time, as milliseconds from `now`: not before `leastMs`, and `turnMs` after the one before. */
-	take(leastMs: number, turnMs: number, now: number): number;
+	/**
+	 * Takes the next free time and returns it in milliseconds from `now`: at least `minMs`, and `spacingMs` after the one taken before, up to the
+	 * maximum.
+	 */
+	take(minMs: number, spacingMs: number, now: number): number;
 };
 
-/** Longest time a caller is told to stay away, in milliseconds; by then the jam is to be judged anew. */
-const LONGEST_MS = 30_000;
+/** Maximum retry-after, in milliseconds; after it the caller tries again, and the overload is evaluated anew. */
+const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Creates an empty list of times. */
-export function createComeBackTimes(longestMs = LONGEST_MS): ComeBackTimes {
+/** Creates the times with none taken yet; `maxMs` is the maximum, in milliseconds. */
+export function createComeBackTimes(maxMs = MAX_RETRY_AFTER_MS): ComeBackTimes {
 	let nextAt = Number.NEGATIVE_INFINITY;
 
 	return {
-		take(leastMs, turnMs, now) {
-			const at = Math.min(Math.max(nextAt, now + leastMs), now + longestMs);
-			nextAt = at + turnMs;
+		take(minMs, spacingMs, now) {
+			const at = Math.min(Math.max(nextAt, now + minMs), now + maxMs);
+			nextAt = at + spacingMs;
 			return Math.ceil(at - now);
 		},
 	};
--- a/src/refusals/refusal.ts
+++ b/src/refusals/refusal.ts
@@ -1,18 +1,18 @@
 /** Why a request was refused or delayed. docs/REFUSALS.md has a row for each. */
 export const RefusalCode = {
-	// At the entry.
+	// Decided at the entry.
 	Malformed: 'malformed',
 	UnknownGroup: 'unknown-group',
 	BadToken: 'bad-token',
 	AgeOverLimit: 'age-over-limit',
 	KeyExpired: 'key-expired',
 	HostLeaving: 'host-leaving',
-	/** A fault of this host's own while it handled the request. */
+	/** An internal error of this host while it handled the request. */
 	HostFault: 'host-fault',
 	NoConfiguration: 'no-configuration',
 	NoOwner: 'no-owner',
 	RetryBudget: 'retry-budget',
-	// At the owner.
+	// Decided at the owner.
 	QueueFull: 'queue-full',
 	DeadlineTooShort: 'deadline-too-short',
 	DeadlinePassed: 'deadline-passed',
@@ -39,15 +39,15 @@
 /** One of the codes in {@link RefusalCode}. */
 export type RefusalCode = typeof RefusalCode[keyof typeof RefusalCode];
 
-/** What the deciding proxy knew; every field is an input of the decision. Times are milliseconds since the epoch. */
+/** The inputs of the decision, as the deciding proxy knew them. Times are milliseconds since the epoch. */
 export type RefusalFacts = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** A refusal as it was decided; the caller's answer and every record are made from it. */
+/** A refusal; the caller's answer and every record of the refusal are made from it. */
 export type Refusal = {
 	readonly code: RefusalCode;
-	/** One sentence for a person. */
+	/** One sentence for people to read. */
 	readonly reason: string;
-	/** When to come back, in milliseconds; undefined where coming back cannot help. */
+	/** Time after which the caller may try again, in milliseconds; undefined where trying again cannot help. */
 	readonly retryAfterMs?: number;
 	readonly facts: RefusalFacts;
 };
--- a/src/retries/create-retries.ts
+++ b/src/retries/create-retries.ts
@@ -4,33 +4,33 @@
 	getNextTry, GiveUpReason, type NextTry, type NextTryOptions,
 } from './retry-policy.js';
 
-/** The entry's retries: the policy, and a budget for each group. */
+/** The entry's retries: the retry policy, and a budget for each group. */
 export type Retries = {
-	/** Notes the first try of a request of the group. */
+	/** Records the first try of a request of the group. */
 	noteFresh(group: string, now: number): void;
-	/** Decides what follows a failed try, and takes a retry out of the group's budget where one is made. */
+	/** Decides what follows a failed try, and takes a retry from the group's budget where one is made. */
 	decide(options: RetryOptions, now: number): NextTry;
-	/** What is left of the group's budget, for refusals and metrics. */
+	/** Returns the group's budget, for refusals and metrics. */
 	getBudget(group: string, now: number): RetryBudget;
-	/** Forgets a group that was deleted. */
+	/** Drops the budget of a group that was deleted. */
 	forget(group: string): void;
 };
 
-/** What is known of a request whose try failed. */
+/** A request whose try failed. */
 export type RetryOptions = Omit<NextTryOptions, 'budget'> & {
 	readonly group: string;
 };
 
-/** Longest time a caller is told to stay away when a budget is exhausted, in milliseconds. */
-const LONGEST_COME_BACK_MS = 10_000;
+/** Maximum retry-after of a caller when a budget is exhausted, in milliseconds. */
+const MAX_RETRY_AFTER_MS = 10_000;
 
-/** Creates the retries; one group's failures never spend another's budget. */
+/** Creates the retries. One group's failures never use another's budget. */
 export function createRetries(options: RetryBudgetOptions = {}): Retries {
 	const groups = new Map<string, ReturnType<typeof createGroup>>();
 
 	const createGroup = (now: number) => ({
 		budget: createRetryBudget(options, now),
-		comeBackTimes: createComeBackTimes(LONGEST_COME_BACK_MS),
+		retryAfterSlots: createComeBackTimes(MAX_RETRY_AFTER_MS),
 	});
 
 	const getGroup = (name: string, now: number) => {
@@ -44,17 +44,17 @@
 			getGroup(group, now).budget.noteFresh(now);
 		},
 		decide({group: name, ...request}, now) {
-			const {budget, comeBackTimes} = getGroup(name, now);
+			const {budget, retryAfterSlots} = getGroup(name, now);
 			const state = budget.getState(now);
 			const next = getNextTry({...request, budget: state}, now);
 			if (next.retry) {
 				budget.take(now, next.cost);
 			}
 
-			// Those who are refused come back one by one, no faster than fresh requests: else they would return as one storm.
+			// Refused callers try again one by one, no faster than fresh requests arrive; otherwise all would try again at the same moment.
 			return next.retry || next.reason !== GiveUpReason.Budget
 				? next
-				: {...next, retryAfterMs: comeBackTimes.take(next.retryAfterMs ?? 0, state.freshEveryMs, now)};
+				: {...next, retryAfterMs: retryAfterSlots.take(next.retryAfterMs ?? 0, state.freshEveryMs, now)};
 		},
 		getBudget: (group, now) => getGroup(group, now).budget,
 		forget(group) {
--- a/src/retries/retry-policy.ts
+++ b/src/retries/retry-policy.ts
@@ -6,25 +6,25 @@
  * three layers of three tries each being 27 statements for one request.
  */
 
-/** What is known of a try that brought no final answer. */
+/** A try that had no final answer. */
 export type FailedTry = {
-	/** It is proved that the try did not run and never will. */
+	/** Whether it is proved that the try did not run and never will. */
 	readonly provedNotRun: boolean;
 	readonly isRead: boolean;
-	/** A write carries its request key, under which a second try runs at most once. */
+	/** Whether a write has a request key, with which several tries run at most once. */
 	readonly hasKey: boolean;
 	/** Why the owner refused; undefined where no answer came. */
 	readonly code?: RefusalCode;
-	/** When the refusal said to come back, in milliseconds. */
+	/** Retry-after of the refusal, in milliseconds. */
 	readonly retryAfterMs?: number;
-	/** Another owner, not yet asked, may be asked at once. */
+	/** Whether another owner has not been tried yet and may be tried at once. */
 	readonly otherOwnerLeft: boolean;
 };
 
-/** What the decision is made on. */
+/** Inputs of the decision. */
 export type NextTryOptions = {
 	readonly failed: FailedTry;
-	/** Tries made so far, from 1. */
+	/** Number of tries made so far, from 1. */
 	readonly tries: number;
 	readonly deadlineAt: number;
 	readonly budget: Pick<RetryBudgetState, 'left' | 'nextAfterMs'>;
@@ -34,11 +34,11 @@
 
 /** Why no further try is made. */
 export const GiveUpReason = {
-	/** The answer is final: trying again would bring the same. */
+	/** The answer is final: another try would get the same. */
 	Final: 'final',
-	/** The try may have run and nothing keeps a second one from running it twice. */
+	/** The try may have run, and another could run it a second time. */
 	NotSafe: 'not-safe',
-	/** The next try could not begin before the deadline. */
+	/** The next try could not start before the deadline. */
 	Deadline: 'deadline',
 	/** The group's retry budget is exhausted. */
 	Budget: 'budget',
@@ -47,36 +47,36 @@
 /** One of the reasons in {@link GiveUpReason}. */
 export type GiveUpReason = typeof GiveUpReason[keyof typeof GiveUpReason];
 
-/** What to do after a failed try. */
+/** The decision after a failed try. */
 export type NextTry =
 	| {
 		readonly retry: true;
-		/** How long to wait before it, in milliseconds. */
+		/** Delay before the next try, in milliseconds. */
 		readonly delayMs: number;
-		/** What it takes out of the budget, from 0 to 1. */
+		/** Cost of the next try in the budget, from 0 to 1. */
 		readonly cost: number;
 	}
 	| {
 		readonly retry: false;
 		readonly reason: GiveUpReason;
-		/** When the caller may come back, in milliseconds; undefined where that cannot help. */
+		/** Time after which the caller may try again, in milliseconds; undefined where that cannot help. */
 		readonly retryAfterMs?: number;
 	};
 
-/** Most that the first delay can be, in milliseconds. */
-const FIRST_DELAY_MS = 20;
+/** Maximum of the first delay, in milliseconds. */
+const MAX_FIRST_DELAY_MS = 20;
 
-/** Most that any delay can be, in milliseconds. */
-const LONGEST_DELAY_MS = 1000;
+/** Maximum of any delay, in milliseconds. */
+const MAX_DELAY_MS = 1000;
 
 /**
- * What a retry takes out of the budget when nothing ran: waiting out a failover costs the proxies a little and the servers
- * nothing, and at the full price nine in ten requests would be given up at once in the first second of it.
+ * Cost of a retry when the failed try did not run. Retries during a failover cost the proxies little and the servers
+ * nothing; at the full cost nine in ten requests would get no retry in the first second of a failover.
  */
 const NOT_RUN_COST = 0.05;
 
-/** Refusals that another try, a little later, may well not meet. */
-const PASSING_CODES: ReadonlySet<RefusalCode> = new Set([
+/** Refusals that a later try may not get. */
+const TRANSIENT_CODES: ReadonlySet<RefusalCode> = new Set([
 	RefusalCode.NoOwner,
 	RefusalCode.OwnerSilent,
 	RefusalCode.NoPrimary,
@@ -90,17 +90,17 @@
 	RefusalCode.HostLeaving,
 ]);
 
-/** Decides whether and when a request is tried again at `now`, or why it gets its final answer. */
+/** Decides at `now` whether and when a request is tried again, or why not. */
 export function getNextTry(options: NextTryOptions, now: number): NextTry {
 	const {failed, deadlineAt, budget} = options;
 	const {code, retryAfterMs} = failed;
 
-	// A queue that refused has weighed the deadline already; asking it again at once would be one more request in the overload.
-	if (code !== undefined && !PASSING_CODES.has(code)) {
+	// A queue that refused has already taken the deadline into account; another try at once would only add to the overload.
+	if (code !== undefined && !TRANSIENT_CODES.has(code)) {
 		return {retry: false, reason: GiveUpReason.Final, retryAfterMs};
 	}
 
-	// A write that may have run and has no key could run twice: the caller would find its filing doubled.
+	// A write that may have run and has no key could run twice: the caller's data would be written twice.
 	if (!failed.provedNotRun && !failed.isRead && !failed.hasKey) {
 		return {retry: false, reason: GiveUpReason.NotSafe};
 	}
@@ -118,18 +118,21 @@
 	return {retry: true, delayMs, cost};
 }
 
-/** What another try takes out of the budget: the whole only where the failed one may have cost the group's servers work. */
+/** Returns the cost of another try in the budget: 1 only where the failed try may have cost the group's servers work. */
 function getCost(failed: FailedTry): number {
 	if (!failed.provedNotRun) {
 		return 1;
 	}
 
-	// A dead owner's requests must all go on to another at once.
+	// When an owner fails, all of its requests must go to another at once.
 	return failed.otherOwnerLeft ? 0 : NOT_RUN_COST;
 }
 
-/** The delay before the try that follows `tries` failed ones: doubled each time up to a bound, and drawn between half of that and the whole. */
+/**
+ * Returns the delay before the try that follows `tries` failed ones, in milliseconds. Its maximum doubles each time up to a bound; `fraction` places the
+ * delay between half of that maximum and all of it.
+ */
 export function getBackoffMs(tries: number, fraction: number): number {
-	const mostMs = Math.min(LONGEST_DELAY_MS, FIRST_DELAY_MS * (2 ** (tries - 1)));
-	return Math.ceil(mostMs * (0.5 + (fraction / 2)));
+	const maxMs = Math.min(MAX_DELAY_MS, MAX_FIRST_DELAY_MS * (2 ** (tries - 1)));
+	return Math.ceil(maxMs * (0.5 + (fraction / 2)));
 }
--- a/src/retries/retry-refusals.ts
+++ b/src/retries/retry-refusals.ts
@@ -1,10 +1,10 @@
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
 import type {RetryBudgetState} from './retry-budget.js';
 
-/** What the refusal of a retry is made of. */
+/** Options of the refusal of a retry. */
 export type RetryBudgetRefusalOptions = {
 	readonly group: string;
-	/** Tries made. */
+	/** Number of tries made. */
 	readonly tries: number;
 	readonly budget: RetryBudgetState;
 	/** Why the last try failed; undefined where no answer came. */
@@ -12,7 +12,7 @@
 	readonly retryAfterMs: number;
 };
 
-/** Makes the refusal of a request whose group has used up its retries. */
+/** Creates the refusal of a request whose group has used up its retry budget. */
 export function createRetryBudgetRefusal(options: RetryBudgetRefusalOptions): Refusal {
 	const {group, tries, budget, lastCode, retryAfterMs} = options;
 	return {
--- a/src/sessions/session-sightings.ts
+++ b/src/sessions/session-sightings.ts
@@ -2,37 +2,37 @@
 import type {Session} from './session.js';
 
 /**
- * The sessions seen lately at this host, for operators' questions. Nothing rests on it: a session lives in its token,
- * and one that is forgotten here loses nothing.
+ * The sessions that made requests at this host recently, for operators' queries. Nothing else depends on it: a session is held in its
+ * token, and one that is dropped here loses nothing.
  */
 export type SessionSightings = {
-	/** Notes a request of a session. */
+	/** Records a request of a session. */
 	note(sighting: SessionRequest): void;
 	get(sessionId: string): SessionSighting | undefined;
-	/** Newest first. */
+	/** Returns all recorded sessions, the one seen last first. */
 	getAll(): readonly SessionSighting[];
 };
 
-/** A session's request as the entry sees it. */
+/** A session's request as the entry receives it. */
 export type SessionRequest = {
 	readonly session: Session;
 	readonly group: string;
 	readonly requestId: string;
-	/** Milliseconds since the epoch, by the calendar. */
+	/** Time of the request by the wall clock, milliseconds since the epoch. */
 	readonly at: number;
 };
 
-/** A session as it was seen last. */
+/** A session as of its last request. */
 export type SessionSighting = {
 	readonly id: string;
 	readonly group: string;
 	readonly requestId: string;
 	readonly seenAt: number;
-	/** For each group the session's floor. */
+	/** The session's floor for each group. */
 	readonly floors: Readonly<Record<string, LogPosition>>;
 };
 
-/** Sessions remembered by a host: 2 MB, measured with floors of two groups. */
+/** Maximum number of sessions recorded by a host; they take 2 MB with floors of two groups each. */
 export const MAX_SIGHTINGS = 5000;
 
 declare module '../kernel/service-map.js' {
@@ -41,23 +41,23 @@
 	}
 }
 
-/** Creates an empty record of at most `capacity` sessions; the one not seen for longest gives way. */
+/** Creates an empty record of at most `capacity` sessions; the one seen least recently is dropped first. */
 export function createSessionSightings(capacity = MAX_SIGHTINGS): SessionSightings {
-	// A map keeps its keys in the order in which they were added, so a session seen again moves to the end.
-	const sightings = new Map<string, SessionSighting>();
+	// A map iterates in insertion order; deleting and adding a session again moves it to the end.
+	const sessions = new Map<string, SessionSighting>();
 
 	return {
 		note({session, group, requestId, at}) {
-			sightings.delete(session.id);
-			sightings.set(session.id, {
+			sessions.delete(session.id);
+			sessions.set(session.id, {
 				id: session.id, group, requestId, seenAt: at, floors: session.floors,
 			});
-			if (sightings.size > capacity) {
-				const [oldest] = sightings.keys();
-				sightings.delete(oldest!);
+			if (sessions.size > capacity) {
+				const [oldest] = sessions.keys();
+				sessions.delete(oldest!);
 			}
 		},
-		get: sessionId => sightings.get(sessionId),
-		getAll: () => [...sightings.values()].toReversed(),
+		get: sessionId => sessions.get(sessionId),
+		getAll: () => [...sessions.values()].toReversed(),
 	};
 }
--- a/src/sessions/session.ts
+++ b/src/sessions/session.ts
@@ -1,33 +1,33 @@
 import {getLaterLogPosition, type LogPosition} from '../terms/log-position.js';
 
 /**
- * What a session token carries: for each group the log position of the session's last acknowledged write.
- * Nothing of a session is stored: a caller without a valid token is served from behind a barrier.
+ * The contents of a session token: for each group the log position of the session's last acknowledged write.
+ * Hosts store nothing of a session; reads of a caller without a valid token wait for a barrier.
  */
 export type Session = {
-	/** Random id, for operators' questions. */
+	/** Random id, for operators' queries. */
 	readonly id: string;
-	/** When the token was made, milliseconds since the epoch. */
+	/** When the token was issued, milliseconds since the epoch. */
 	readonly issuedAt: number;
-	/** Oldest first: a floor that is renewed moves to the end, see {@link withFloor}. */
+	/** Floor of each group, oldest first: a floor that is raised moves to the end, see {@link withFloor}. */
 	readonly floors: Readonly<Record<string, LogPosition>>;
-	/** Some floors were left out to bound the token: a group without a floor is read from behind a barrier. */
+	/** Whether floors were left out to bound the token; a read of a group without a floor then waits for a barrier. */
 	readonly trimmed?: boolean;
 };
 
-/** The session with the group's floor raised to `log`, and the group last in age. */
+/** Returns the session with the group's floor raised to `log` where that is later, and the group moved to the end as the newest. */
 export function withFloor(session: Session, group: string, log: LogPosition): Session {
 	const {[group]: held, ...others} = session.floors;
 	return {...session, floors: {...others, [group]: held ? getLaterLogPosition(held, log) : log}};
 }
 
-/** Makes and checks session tokens. */
+/** Creates, signs and verifies sessions. */
 export type Sessions = {
-	/** A new session without floors. */
+	/** Creates a session without floors, issued at `wallMs` milliseconds since the epoch. */
 	create(wallMs: number): Session;
-	/** Signs a session with the current key. */
+	/** Encodes a session as a token, signed with the current key. */
 	sign(session: Session): string;
-	/** Reads a token signed with the current or the previous key; undefined where it is none. */
+	/** Decodes a token signed with any of the keys; returns undefined where the token is not valid. */
 	verify(token: string): Session | undefined;
 };
 
--- a/src/sessions/signed-sessions.ts
+++ b/src/sessions/signed-sessions.ts
@@ -4,28 +4,28 @@
 import type {Sessions} from './session.js';
 import {decodeSession, encodeSession} from './token-codec.js';
 
-/** The longest token made or taken, in characters; fits in a header that every balancer lets through. */
+/** Maximum length of a token, in characters; fits in a header that every balancer accepts. */
 export const MAX_TOKEN_LENGTH = 2000;
 
 /** Bytes of the signature that a token ends with (HMAC-SHA256). */
 const SIGNATURE_BYTES = 32;
 
-/** Bytes that {@link MAX_TOKEN_LENGTH} characters of base64url leave for the session. */
+/** Bytes of the encoded session that fit in {@link MAX_TOKEN_LENGTH} characters of base64url beside the signature. */
 const MAX_SESSION_BYTES = Math.floor(MAX_TOKEN_LENGTH * 3 / 4) - SIGNATURE_BYTES;
 
 const SESSION_ID_BYTES = 12;
 
-/** What the sessions need. */
+/** Options of the sessions. */
 export type SignedSessionsOptions = {
-	/** Signing keys, current first; each of them verifies. */
+	/** Signing keys, the current one first; tokens signed with any of them are valid. */
 	readonly keys: readonly string[];
 	readonly random: Random;
 };
 
 /**
- * Creates sessions whose tokens are signed, so that any host with the keys reads what any other made.
+ * Creates sessions whose tokens are signed, so that any host with the keys can read a token of any other host.
  *
- * Keys are changed by adding the new one behind the current one on every host, then by swapping the two.
+ * To rotate keys, add the new key after the current one on every host, then swap the two.
  */
 export function createSignedSessions({keys, random}: SignedSessionsOptions): Sessions {
 	const tokenKeys = keys.map(key => deriveTokenKey(key));
@@ -55,7 +55,7 @@
 	};
 }
 
-/** The same keys sign refusal tickets; a key of their own keeps a ticket from passing as a session. */
+/** Derives a key for tokens alone. The same keys sign refusal tickets, and a ticket must not be valid as a session. */
 function deriveTokenKey(key: string): Uint8Array {
 	return createHmac('sha256', key).update('aldercroft session token').digest();
 }
@@ -70,7 +70,7 @@
 	}
 
 	const bytes = Buffer.from(token, 'base64url');
-	// The decoder skips what is not base64url; only the one spelling that we make counts.
+	// The decoder skips characters that are not base64url; only the canonical encoding is valid.
 	const genuine = bytes.length > SIGNATURE_BYTES && bytes.toString('base64url') === token;
 	return genuine ? bytes : undefined;
 }
--- a/src/sessions/token-codec.ts
+++ b/src/sessions/token-codec.ts
@@ -3,21 +3,21 @@
 import type {Session} from './session.js';
 
 /**
- * The bytes of a session token before they are signed: version, flags, id, time of issue, then the floors, newest first.
- * Numbers are unsigned LEB128, strings are preceded by their length in one byte.
+ * The encoding of a session in a token, without the signature: version, flags, id, time of issue, then the floors, newest first.
+ * Numbers are unsigned LEB128; strings are preceded by their length in one byte.
  */
 
-/** Format of the bytes; a token of another version is none. */
+/** Version of the encoding; a token of another version is not valid. */
 const TOKEN_VERSION = 1;
 
 const FLAG_TRIMMED = 1;
 
 const MAX_STRING_BYTES = 255;
 
-/** Bytes of the largest safe integer. */
+/** Encoded length of the largest safe integer. */
 const MAX_NUMBER_BYTES = 8;
 
-/** Encodes a session into at most `limit` bytes, leaving out the oldest floors as needed and saying so. */
+/** Encodes a session into at most `limit` bytes. Leaves out the oldest floors where needed, and sets a flag then. */
 export function encodeSession(session: Session, limit: number): Uint8Array {
 	const writer = createWriter(limit);
 	writer.byte(TOKEN_VERSION);
@@ -28,15 +28,15 @@
 	const newestFirst = Object.entries(session.floors).reverse();
 	const firstLeftOut = newestFirst.findIndex(([group, floor]) => !writeFloor(writer, group, floor));
 
-	// A floor that is merely absent reads as "never wrote there". The flag tells readers to take a barrier instead;
-	// without it a session with many groups would lose read-your-writes on the oldest of them.
+	// Readers take an absent floor to mean that the session never wrote to the group. The flag makes them wait for a barrier
+	// instead; without it a session with many groups would lose read-your-writes on the oldest of them.
 	const trimmed = firstLeftOut !== -1 || session.trimmed;
 	const bytes = writer.end();
 	bytes[1] = trimmed ? FLAG_TRIMMED : 0;
 	return bytes;
 }
 
-/** Decodes what {@link encodeSession} made; undefined for bytes of another version or shape. */
+/** Decodes the bytes of {@link encodeSession}; returns undefined for another version or malformed bytes. */
 export function decodeSession(bytes: Uint8Array): Session | undefined {
 	const reader = createReader(bytes);
 	if (reader.byte() !== TOKEN_VERSION) {
@@ -59,9 +59,9 @@
 	return trimmed ? {...session, trimmed} : session;
 }
 
-/** Returns false, having written nothing, where the floor has no room. */
+/** Writes a floor. Returns false and writes nothing where it does not fit. */
 function writeFloor(writer: Writer, group: string, floor: LogPosition): boolean {
-	if (writer.room < 1 + Buffer.byteLength(group) + (2 * MAX_NUMBER_BYTES)) {
+	if (writer.remaining < 1 + Buffer.byteLength(group) + (2 * MAX_NUMBER_BYTES)) {
 		return false;
 	}
 
@@ -95,14 +95,14 @@
 			buffer[offset] = length;
 			offset += 1 + length;
 		},
-		get room() {
+		get remaining() {
 			return limit - offset;
 		},
 		end: () => buffer.subarray(0, offset),
 	};
 }
 
-/** Reads bytes in order; running past the end marks it broken and gives zeros. */
+/** Creates a reader of bytes in order. Reading past the end sets `broken` and yields zeros. */
 function createReader(bytes: Uint8Array) {
 	const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
 	let offset = 0;
--- a/src/statements/statement-answer.ts
+++ b/src/statements/statement-answer.ts
@@ -1,46 +1,46 @@
 import type {LogPosition} from '../terms/log-position.js';
 import type {SessionState} from './statement.js';
 
-/** Why a statement brought no result, as endpoints say it and as callers are told. */
+/** Why a statement has no result, as endpoints report it and as callers receive it. */
 export const AnswerCode = {
-	/** Too much work waits; the statement did not run. */
+	/** Too much work is queued; the statement did not run. */
 	Overloaded: 'overloaded',
-	/** The transaction was rolled back; nothing of it is kept. */
+	/** The transaction was rolled back; none of its changes are kept. */
 	Aborted: 'aborted',
-	/** The log does not hold the position asked for; the statement did not run. */
+	/** The endpoint's log has not reached the requested position; the statement did not run. */
 	Lagging: 'lagging',
-	/** The endpoint does not lead its group; the statement did not run. */
+	/** The endpoint is not the primary of its group; the statement did not run. */
 	ReadOnly: 'read-only',
-	/** Another endpoint answers at this address; nothing ran. */
+	/** A different endpoint answers at this address; nothing ran. */
 	WrongEndpoint: 'wrong-endpoint',
-	/** The endpoint's connections are all taken; nothing ran. */
+	/** All of the endpoint's connections are in use; nothing ran. */
 	TooManyConnections: 'too-many-connections',
 	/** The statement ran and failed. */
 	Failed: 'failed',
 	/** The prepared name is unknown; nothing ran. */
 	UnknownStatement: 'unknown-statement',
-	/** The statement ran out of time; whether it took effect is not known. */
+	/** The statement timed out; whether it took effect is not known. */
 	TimedOut: 'timed-out',
-	/** No route has the database's name. */
+	/** No route has the name of the database. */
 	UnknownDatabase: 'unknown-database',
-	/** The caller's key is none of a workspace, or no longer. */
+	/** The caller's key does not belong to a workspace, or no longer does. */
 	Unauthenticated: 'unauthenticated',
 	/** The workspace has used up its rate limit; nothing ran. */
 	RateLimited: 'rate-limited',
-	/** A message over the size limit. */
+	/** The message is over the size limit. */
 	TooLarge: 'too-large',
-	/** The text is none that is understood, or not in this state. */
+	/** The text cannot be parsed, or is not allowed in this state. */
 	Malformed: 'malformed',
-	/** A commit or a single write was sent and its outcome is not known. */
+	/** A commit or a single write was sent, and its outcome is not known. */
 	OutcomeUnknown: 'outcome-unknown',
 } as const;
 
 /** One of the codes in {@link AnswerCode}. */
 export type AnswerCode = typeof AnswerCode[keyof typeof AnswerCode];
 
-/** How an answer ends. */
+/** The end of an answer. */
 export type AnswerEnd =
-	/** `signature` is the endpoint's mark that it ran the statement; undefined where the proxy answered itself. */
+	/** `signature` is the endpoint's proof that it ran the statement; undefined where the proxy itself answered. */
 	| {readonly kind: 'complete'; readonly signature?: string}
 	| {readonly kind: 'error'; readonly code: AnswerCode; readonly text: string};
 
@@ -51,11 +51,11 @@
 	readonly end: AnswerEnd;
 	/** State of the connection after the statement. */
 	readonly state: SessionState;
-	/** End of the endpoint's log when it answered; undefined where it did not say. */
+	/** End of the endpoint's log when it answered; undefined where it did not report it. */
 	readonly position?: LogPosition;
 };
 
-/** Whether the endpoint ran nothing since too much work waits there. */
+/** Whether the endpoint refused for overload; nothing ran then. */
 export function isTurnedAway({end}: EndpointAnswer): boolean {
 	return end.kind === 'error' && end.code === AnswerCode.Overloaded;
 }
--- a/src/statements/statement.ts
+++ b/src/statements/statement.ts
@@ -1,40 +1,40 @@
-/** Whether a statement changes data. */
+/** Whether a statement reads or changes data. */
 export const Access = {
 	Read: 'read',
 	Write: 'write',
 } as const;
 
-/** One of the ways in {@link Access}. */
+/** One of the values in {@link Access}. */
 export type Access = typeof Access[keyof typeof Access];
 
-/** What a caller asks for in one statement, as far as the proxy has to understand it. */
+/** One statement of a caller, parsed as far as the proxy needs. */
 export type Statement =
 	| {readonly kind: 'begin'; readonly readOnly: boolean}
 	| {readonly kind: 'commit'}
 	| {readonly kind: 'rollback'}
-	/** A read or a write that goes to an endpoint with its text unchanged. */
+	/** A read or a write whose text is sent to an endpoint unchanged. */
 	| {readonly kind: 'run'; readonly access: Access; readonly text: string}
-	/** Runs a prepared statement; its arguments go to the endpoint unchanged. */
+	/** Runs a prepared statement; its arguments are sent to the endpoint unchanged. */
 	| {readonly kind: 'execute'; readonly name: string; readonly args: string}
 	| {readonly kind: 'set'; readonly name: string; readonly value: string}
 	| {readonly kind: 'prepare'; readonly name: string; readonly shape: PreparedShape}
 	| {readonly kind: 'forget'; readonly name: string}
 	| {readonly kind: 'malformed'};
 
-/** What a prepared name stands for. */
+/** A prepared statement. */
 export type PreparedShape = {
 	readonly access: Access;
-	/** The statement's shape as the endpoint knows it; opaque to the proxy. */
+	/** The statement's shape as it is prepared at the endpoint; opaque to the proxy. */
 	readonly shape: string;
 };
 
-/** A statement with the id under which the caller sent it. */
+/** A statement with the id that the caller gave it. */
 export type IdentifiedStatement = {
 	readonly id: string;
 	readonly statement: Statement;
 };
 
-/** Whether a session is between transactions, in one, or in one that failed and waits to be rolled back. */
+/** Whether a session has no open transaction, an open one, or a failed one that must be rolled back. */
 export const SessionState = {
 	Idle: 'idle',
 	Open: 'open',
--- a/tests/proxy/failures-tests.ts
+++ b/tests/proxy/failures-tests.ts
@@ -206,7 +206,7 @@
 		const waiting = await bench.open(bench.proxies[0]!, 'sync');
 		const answer = bench.send(waiting, 'READ a', 'waited');
 		await bench.clock.advance(100);
-		bench.proxies[0]!.kernel.getOrThrow('leadEvidences').revoke('nights', 2);
+		bench.proxies[0]!.kernel.getOrThrow('primaryLeases').revoke('nights', 2);
 		await bench.ask(holder, 'COMMIT');
 		expect(describeAnswer(await bench.clock.runUntil(answer))).to.equal('overloaded idle');
 		expect(bench.ran.filter(line => line.endsWith(' waited'))).to.deep.equal([]);
--- a/tests/proxy/leave-tests.ts
+++ b/tests/proxy/leave-tests.ts
@@ -34,10 +34,10 @@
 	 */
 	it('finishes a replacement that is under way, and begins none', async () => {
 		const {bench, startLeaving} = await createLeavingBench();
-		const watch = bench.proxies[0]!.kernel.getOrThrow('leadWatch');
+		const watch = bench.proxies[0]!.kernel.getOrThrow('leadershipWatch');
 		bench.getPrimary().leaving = true;
 		bench.system.registerEndpoints();
-		while (!bench.proxies.some(({kernel}) => kernel.getOrThrow('leadWatch').replacing)) {
+		while (!bench.proxies.some(({kernel}) => kernel.getOrThrow('leadershipWatch').replacing)) {
 			await bench.clock.advance(10);
 		}
 
@@ -112,7 +112,7 @@
 		const {bench, startLeaving} = await createLeavingBench();
 		const startedAt = bench.clock.now();
 		const left = startLeaving({
-			leadWatch: {
+			leadershipWatch: {
 				retire() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 				get replacing() {
 					return bench.clock.now() < startedAt + 5100;
@@ -289,7 +289,7 @@
 		const {bench, startLeaving} = await createLeavingBench();
 		const startedAt = bench.clock.now();
 		const left = startLeaving({
-			leadWatch: {
+			leadershipWatch: {
 				retire() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 				get replacing() {
 					return bench.clock.now() < startedAt + 4800;
@@ -330,17 +330,17 @@
 		const old = bench.getPrimary();
 		old.leaving = true;
 		bench.system.registerEndpoints();
-		const getReplacing = () => bench.proxies.find(({kernel}) => kernel.getOrThrow('leadWatch').replacing);
+		const getReplacing = () => bench.proxies.find(({kernel}) => kernel.getOrThrow('leadershipWatch').replacing);
 		while (!getReplacing()) {
 			await bench.clock.advance(10);
 		}
 
 		const {kernel} = getReplacing()!;
-		const leadWatch = kernel.getOrThrow('leadWatch');
+		const leadershipWatch = kernel.getOrThrow('leadershipWatch');
 		const tookMs = await bench.clock.runUntil(startLeaving({
-			gateway: kernel.getOrThrow('gateway'), lender: kernel.getOrThrow('linkLender'), leadWatch,
+			gateway: kernel.getOrThrow('gateway'), lender: kernel.getOrThrow('linkLender'), leadershipWatch,
 		}));
-		expect([leadWatch.replacing, bench.getPrimary() === old]).to.deep.equal([false, false]);
+		expect([leadershipWatch.replacing, bench.getPrimary() === old]).to.deep.equal([false, false]);
 		expect(tookMs).to.be.within(2500, 4000);
 	});
 });
--- a/tests/proxy/leaving-bench.ts
+++ b/tests/proxy/leaving-bench.ts
@@ -19,7 +19,7 @@
 		const startedAt = bench.clock.now();
 		await leave({
 			gateway: kernel.getOrThrow('gateway'),
-			leadWatch: kernel.getOrThrow('leadWatch'),
+			leadershipWatch: kernel.getOrThrow('leadershipWatch'),
 			lender: kernel.getOrThrow('linkLender'),
 			callerPort: {close() {}}, // eslint-disable-line @typescript-eslint/no-empty-function
 			clock: bench.clock,
--- a/tests/proxy/lending-tests.ts
+++ b/tests/proxy/lending-tests.ts
@@ -24,7 +24,7 @@
 /** Tells a host to stop; resolves when its process would end. */
 const startLeaving = async ({clock}: ProxyBench, {kernel}: SimulatedProxy) => leave({
 	gateway: kernel.getOrThrow('gateway'),
-	leadWatch: kernel.getOrThrow('leadWatch'),
+	leadershipWatch: kernel.getOrThrow('leadershipWatch'),
 	lender: kernel.getOrThrow('linkLender'),
 	callerPort: {close() {}}, // eslint-disable-line @typescript-eslint/no-empty-function
 	clock,
--- a/tests/proxy/outage-tests.ts
+++ b/tests/proxy/outage-tests.ts
@@ -11,7 +11,7 @@
 
 /** Hosts that may not use the primary at this moment. */
 function getWithoutEvidence(proxies: readonly SimulatedProxy[]): readonly string[] {
-	const without = proxies.filter(({kernel, clock}) => kernel.getOrThrow('leadEvidences').get('nights', clock.elapsed()) === undefined);
+	const without = proxies.filter(({kernel, clock}) => kernel.getOrThrow('primaryLeases').get('nights', clock.elapsed()) === undefined);
 	return without.map(({name}) => name);
 }
 
--- a/tests/proxy/play-stop-schedule.ts
+++ b/tests/proxy/play-stop-schedule.ts
@@ -110,7 +110,7 @@
 		const orderedAt = since();
 		await leave({
 			gateway,
-			leadWatch: proxy.kernel.getOrThrow('leadWatch'),
+			leadershipWatch: proxy.kernel.getOrThrow('leadershipWatch'),
 			lender: proxy.kernel.getOrThrow('linkLender'),
 			callerPort: {
 				close() {
--- a/tests/proxy/stop-observations.ts
+++ b/tests/proxy/stop-observations.ts
@@ -134,7 +134,7 @@
 	count('told while it lends', kernel.getOrThrow('linkLender').loans);
 	count('told while it borrows', known.filter(({entry, pool}) => !lenders.keepsOwn(entry) && pool.lent > 0).length);
 	count('told while requests wait for a connection', known.filter(({pool, ownPool}) => pool.waiting > 0 || ownPool.waiting > 0).length);
-	count('told while it replaces a primary', kernel.getOrThrow('leadWatch').replacing ? 1 : 0);
+	count('told while it replaces a primary', kernel.getOrThrow('leadershipWatch').replacing ? 1 : 0);
 }
 
 /** What is against the rules at the moment that a host has left. */
--- a/tests/proxy/store-restore-tests.ts
+++ b/tests/proxy/store-restore-tests.ts
@@ -97,7 +97,7 @@
 	let both = 0;
 	for (let ms = 0; ms < 12_000; ms += 10) {
 		await clock.advance(10);
-		const usesFormer = proxy.kernel.getOrThrow('leadEvidences').get('nights', proxy.clock.elapsed())?.primaryId === former.id;
+		const usesFormer = proxy.kernel.getOrThrow('primaryLeases').get('nights', proxy.clock.elapsed())?.primaryId === former.id;
 		both += system.orders.length > 0 && usesFormer ? 1 : 0;
 	}
 
@@ -106,7 +106,7 @@
 
 /** Primaries that hosts have evidence of. */
 function getLeads({proxies}: ProxyBench): ReadonlyArray<string | undefined> {
-	return [...new Set(proxies.map(({kernel, clock}) => kernel.getOrThrow('leadEvidences').get('nights', clock.elapsed())?.primaryId))];
+	return [...new Set(proxies.map(({kernel, clock}) => kernel.getOrThrow('primaryLeases').get('nights', clock.elapsed())?.primaryId))];
 }
 
 describe('a store that comes back from an older copy', () => {
--- a/tests/refusals/refusals-page-tests.ts
+++ b/tests/refusals/refusals-page-tests.ts
@@ -14,7 +14,7 @@
 	});
 
 	for (const [code, {rule, notRun, advice}] of Object.entries(refusalExplanations)) {
-		it(`says of ${code} what \`why\` says`, () => {
+		it(`explains ${code} in the words of \`why\``, () => {
 			const capital = rule[0]!.toUpperCase() + rule.slice(1);
 			expect(rows).to.include(`| \`${code}\` | ${capital}. | ${notRun} | ${advice} |`);
 		});
--- a/tests/retries/create-retries-tests.ts
+++ b/tests/retries/create-retries-tests.ts
@@ -14,7 +14,7 @@
 		return next.retry ? 'retry' : `${next.reason} ${next.retryAfterMs}`;
 	};
 
-	it('spends a group\'s budget and leaves the others alone', () => {
+	it('takes retries from the budget of their own group only', () => {
 		const retries = createRetries();
 		const answers = Array.from({length: 6}, () => fail(retries, 'filings', 0));
 		expect(answers.join(', ')).to.equal('retry, retry, retry, retry, retry, budget 2000');
@@ -23,7 +23,7 @@
 		expect(fail(retries, 'filings', 0)).to.equal('retry');
 	});
 
-	it('does not spend the budget on going to another owner', () => {
+	it('takes nothing from the budget for a try at another owner', () => {
 		const retries = createRetries();
 		for (let i = 0; i < 20; i++) {
 			expect(fail(retries, 'filings', 0, {...SILENT_READ, provedNotRun: true, otherOwnerLeft: true})).to.equal('retry');
@@ -32,9 +32,9 @@
 		expect(retries.getBudget('filings', 0).getState(0).left).to.equal(5);
 	});
 
-	// Story: a group's server is gone for seconds. All its callers are refused, all are told the same moment to come back,
-	// and the server, just up again, is overrun by all of them at once.
-	it('lets refused callers come back one by one, no faster than fresh requests', () => {
+	// A group's server is down for seconds and all of its callers are refused. With the same retry-after for all, they would try again
+	// at once and overload the server that has just restarted.
+	it('spreads the retry-after of refused callers, no closer than fresh requests arrive', () => {
 		const retries = createRetries({share: 0});
 		for (let i = 0; i < 100; i++) {
 			retries.noteFresh('filings', i * 100);
--- a/tests/retries/retry-budget-tests.ts
+++ b/tests/retries/retry-budget-tests.ts
@@ -12,7 +12,7 @@
 		return taken;
 	};
 
-	it('gives a quiet group its floor, and says when the next retry is there', () => {
+	it('gives a group without fresh requests its minimum rate, and returns the time until the next retry', () => {
 		const budget = createRetryBudget({}, 0);
 		expect(countTakes(budget, 0)).to.equal(5);
 		const {nextAfterMs} = budget.getState(0);
@@ -21,7 +21,7 @@
 		expect(budget.take(nextAfterMs * 1.2)).to.equal(true);
 	});
 
-	it('gives a tenth of fresh requests, and forgets what was not used', () => {
+	it('gives a tenth of the fresh requests, and lets unused retries expire', () => {
 		const budget = createRetryBudget({floorPerSecond: 0}, 0);
 		for (let i = 0; i < 1000; i++) {
 			budget.noteFresh(i);
@@ -31,9 +31,9 @@
 		expect(Math.round(budget.getState(21_000).left)).to.equal(13);
 	});
 
-	// Story: a group's primary is lost and every request of it fails. Each request is tried again and again until its
-	// deadline. Without a bound the group's load grows by the number of tries, and its new primary is overrun as it comes up.
-	it('never lets more retries through than its share, its floor and what it began with', () => {
+	// A group's primary is lost, and each of its requests fails and is tried again until its deadline. Without a bound the load
+	// of the group is multiplied by the number of tries and overloads its new primary.
+	it('never allows more retries than its share, its minimum rate and its initial budget', () => {
 		const steps = fc.array(fc.record({afterMs: fc.nat(200), isFresh: fc.boolean()}), {minLength: 50, maxLength: 400});
 		fc.assert(fc.property(steps, fc.double({min: 0, max: 0.5, noNaN: true}), (sequence, share) => {
 			const budget = createRetryBudget({share}, 0);
--- a/tests/retries/retry-policy-tests.ts
+++ b/tests/retries/retry-policy-tests.ts
@@ -13,36 +13,36 @@
 };
 
 describe('retry policy', () => {
-	const doTest = (story: string, options: Partial<NextTryOptions>, expected: string) => {
-		it(`${story}: ${expected}`, () => {
+	const doTest = (title: string, options: Partial<NextTryOptions>, expected: string) => {
+		it(`${title}: ${expected}`, () => {
 			const next = getNextTry({
 				failed: NOT_RUN, tries: 1, deadlineAt: 1000, budget: {left: 5, nextAfterMs: 0}, fraction: 0, ...options,
 			}, 0);
 			const text = next.retry
 				? `after ${next.delayMs} ms for ${next.cost}`
-				: `${next.reason}${next.retryAfterMs === undefined ? '' : `, come back in ${next.retryAfterMs} ms`}`;
+				: `${next.reason}${next.retryAfterMs === undefined ? '' : `, retry after ${next.retryAfterMs} ms`}`;
 			expect(text).to.equal(expected);
 		});
 	};
 
-	doTest('a write proved not run', {}, 'after 10 ms for 0.05');
+	doTest('a write that is proved not to have run', {}, 'after 10 ms for 0.05');
 	doTest('the third failure', {tries: 3}, 'after 40 ms for 0.05');
 	doTest('the largest fraction', {fraction: 0.999}, 'after 20 ms for 0.05');
 	doTest('a read without an answer', {failed: SILENT_READ}, 'after 10 ms for 1');
 	doTest('a keyed write without an answer', {failed: {...SILENT_READ, isRead: false, hasKey: true}}, 'after 10 ms for 1');
 	doTest('a write without a key and without an answer', {failed: {...SILENT_READ, isRead: false}}, 'not-safe');
-	doTest('an owner that was not reached, with another left', {failed: {...NOT_RUN, otherOwnerLeft: true}}, 'after 0 ms for 0');
+	doTest('an owner that was not reached, with another owner left', {failed: {...NOT_RUN, otherOwnerLeft: true}}, 'after 0 ms for 0');
 	doTest('the same without budget', {failed: {...NOT_RUN, otherOwnerLeft: true}, budget: {left: 0, nextAfterMs: 70}}, 'after 0 ms for 0');
-	doTest('a silent owner, with another left', {failed: {...SILENT_READ, otherOwnerLeft: true}}, 'after 10 ms for 1');
-	doTest('a full queue', {failed: {...NOT_RUN, code: RefusalCode.QueueFull, retryAfterMs: 80}}, 'final, come back in 80 ms');
+	doTest('a silent owner, with another owner left', {failed: {...SILENT_READ, otherOwnerLeft: true}}, 'after 10 ms for 1');
+	doTest('a full queue', {failed: {...NOT_RUN, code: RefusalCode.QueueFull, retryAfterMs: 80}}, 'final, retry after 80 ms');
 	doTest('a failed statement', {failed: {...NOT_RUN, code: RefusalCode.StatementFailed}}, 'final');
 	doTest('no primary for now', {failed: {...NOT_RUN, code: RefusalCode.NoPrimary, retryAfterMs: 300}}, 'after 300 ms for 0.05');
-	doTest('no primary until the deadline', {failed: {...NOT_RUN, code: RefusalCode.NoPrimary, retryAfterMs: 1000}}, 'deadline, come back in 1000 ms');
-	doTest('too small a budget after silence', {failed: SILENT_READ, budget: {left: 0.9, nextAfterMs: 70}}, 'budget, come back in 70 ms');
+	doTest('no primary until the deadline', {failed: {...NOT_RUN, code: RefusalCode.NoPrimary, retryAfterMs: 1000}}, 'deadline, retry after 1000 ms');
+	doTest('too small a budget after silence', {failed: SILENT_READ, budget: {left: 0.9, nextAfterMs: 70}}, 'budget, retry after 70 ms');
 	doTest('the same after a try that did not run', {budget: {left: 0.9, nextAfterMs: 70}}, 'after 10 ms for 0.05');
-	doTest('an exhausted budget', {budget: {left: 0.01, nextAfterMs: 70}}, 'budget, come back in 70 ms');
+	doTest('an exhausted budget', {budget: {left: 0.01, nextAfterMs: 70}}, 'budget, retry after 70 ms');
 
-	it('never sends a write twice without proof or key, and never at the deadline or beyond', () => {
+	it('never retries a write without a key or proof that it did not run, and never at the deadline or later', () => {
 		const failed = fc.record({
 			provedNotRun: fc.boolean(), isRead: fc.boolean(), hasKey: fc.boolean(), otherOwnerLeft: fc.boolean(),
 			code: fc.constantFrom(undefined, ...Object.values(RefusalCode)),
@@ -65,7 +65,7 @@
 		}), {seed: 1, numRuns: 2000});
 	});
 
-	it('keeps the delay within half and whole of its bound', () => {
+	it('keeps the delay between half of its maximum and the maximum', () => {
 		const bounds = [1, 2, 3, 4, 5, 6, 7, 8, 60].map(tries => `${getBackoffMs(tries, 0)}-${getBackoffMs(tries, 1)}`);
 		expect(bounds.join(' ')).to.equal('10-20 20-40 40-80 80-160 160-320 320-640 500-1000 500-1000 500-1000');
 	});
--- a/tests/sessions/session-sightings-tests.ts
+++ b/tests/sessions/session-sightings-tests.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
 import {createSessionSightings} from '../../src/sessions/session-sightings.js';
 
-describe('session sightings', () => {
-	it('keep the sessions seen last, newest first, in bounded memory', () => {
-		const sightings = createSessionSightings(2);
+describe('recent sessions', () => {
+	it('keep a bounded number of sessions, the one seen last first', () => {
+		const recentSessions = createSessionSightings(2);
 		const note = (id: string, at: number) => {
-			sightings.note({
+			recentSessions.note({
 				session: {id, issuedAt: 0, floors: {nights: {term: 1, position: at}}}, group: 'nights', requestId: `r${at}`, at,
 			});
 		};
@@ -14,10 +14,10 @@
 		note('b', 2);
 		note('a', 3);
 		note('c', 4);
-		expect(sightings.getAll().map(({id, seenAt}) => [id, seenAt])).to.deep.equal([['c', 4], ['a', 3]]);
-		expect(sightings.get('a')).to.deep.equal({
+		expect(recentSessions.getAll().map(({id, seenAt}) => [id, seenAt])).to.deep.equal([['c', 4], ['a', 3]]);
+		expect(recentSessions.get('a')).to.deep.equal({
 			id: 'a', group: 'nights', requestId: 'r3', seenAt: 3, floors: {nights: {term: 1, position: 3}},
 		});
-		expect(sightings.get('b')).to.equal(undefined);
+		expect(recentSessions.get('b')).to.equal(undefined);
 	});
 });
--- a/tests/sessions/signed-sessions-tests.ts
+++ b/tests/sessions/signed-sessions-tests.ts
@@ -30,13 +30,13 @@
 		}), {seed: 1, numRuns: 200});
 	});
 
-	it('makes new sessions with ids of their own', () => {
+	it('creates each session with a different id', () => {
 		const first = sessions.create(1000.5);
 		expect(first).to.deep.include({issuedAt: 1000, floors: {}});
 		expect(first.id).to.match(/^[\da-f]{24}$/v).and.not.equal(sessions.create(1000).id);
 	});
 
-	describe('what is no token', () => {
+	describe('an invalid token', () => {
 		const doTest = (title: string, forged: string) => {
 			it(title, () => {
 				expect(sessions.verify(forged)).to.equal(undefined);
@@ -48,23 +48,23 @@
 		doTest('too long', 'a'.repeat(MAX_TOKEN_LENGTH + 1));
 		doTest('a signature alone', bytes.subarray(-32).toString('base64url'));
 		doTest('a body without a signature', bytes.subarray(0, -32).toString('base64url'));
-		doTest('a token with signs that the decoder skips', `${token}!`);
+		doTest('a token with characters that the decoder skips', `${token}!`);
 		doTest('a token of another key', createSessions(OTHER_KEY).sign(session));
-		doTest('a token and more', Buffer.concat([bytes, Buffer.from([0])]).toString('base64url'));
+		doTest('a token with bytes after it', Buffer.concat([bytes, Buffer.from([0])]).toString('base64url'));
 		const nextVersion = Buffer.from(bytes);
 		nextVersion[0] = 2;
 		doTest('another version', nextVersion.toString('base64url'));
 	});
 
-	it('refuses a token that was changed in any one place or cut at any length', () => {
+	it('rejects a token with any one character changed, or cut at any length', () => {
 		for (let index = 0; index < token.length; index++) {
-			const sign = token[index] === 'A' ? 'B' : 'A';
-			expect(sessions.verify(token.slice(0, index) + sign + token.slice(index + 1)), `sign ${index}`).to.equal(undefined);
+			const character = token[index] === 'A' ? 'B' : 'A';
+			expect(sessions.verify(token.slice(0, index) + character + token.slice(index + 1)), `character ${index}`).to.equal(undefined);
 			expect(sessions.verify(token.slice(0, index)), `cut at ${index}`).to.equal(undefined);
 		}
 	});
 
-	describe('a change of keys', () => {
+	describe('a key rotation', () => {
 		const doTest = (title: string, signer: string[], reader: string[], accepted: boolean) => {
 			it(title, () => {
 				const verified = createSessions(...reader).verify(createSessions(...signer).sign(session));
@@ -72,14 +72,14 @@
 			});
 		};
 
-		doTest('the previous key still reads', [OLD_KEY], [NEW_KEY, OLD_KEY], true);
-		doTest('a host that has the next key in second place reads it already', [NEW_KEY, OLD_KEY], [OLD_KEY, NEW_KEY], true);
-		doTest('a key that was taken away reads no more', [OLD_KEY], [NEW_KEY], false);
+		doTest('a token of the previous key is still valid', [OLD_KEY], [NEW_KEY, OLD_KEY], true);
+		doTest('a token of the next key is valid at a host that has that key in second place', [NEW_KEY, OLD_KEY], [OLD_KEY, NEW_KEY], true);
+		doTest('a token of a removed key is no longer valid', [OLD_KEY], [NEW_KEY], false);
 	});
 
-	// A paralegal's session writes to more groups than a token holds. The floor of the first one is left out, and the next read
-	// of that group at another host must not look as if the session never wrote there: it would get an old docket.
-	it('trims the oldest floors, says so, and stays within its bound', () => {
+	// A session writes to more groups than a token holds, so the floor of the first group is left out. Another host must not
+	// take this to mean that the session never wrote to that group: its next read there would return old data.
+	it('leaves out the oldest floors, sets the flag, and stays within its bound', () => {
 		let wide: Session = {...session, floors: {}};
 		const first = `a${'-x'.repeat(31)}`;
 		for (let index = 0; index < 60; index++) {
