--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -205,7 +205,7 @@
 		knowledge,
 		primaryWork,
 		cutOffs,
-		sampleFetcher: sampleFetcher,
+		sampleFetcher,
 		access,
 		rateLimiter,
 		availabilityZone: parts.availabilityZone,
--- a/tests/proxy/play-stop-schedule.ts
+++ b/tests/proxy/play-stop-schedule.ts
@@ -11,7 +11,7 @@
 	AFTERMATH_MS, GRACE_MS, MIN_REST_MS, MAX_UNREAD_MS, PLAY_MS, type CallerPlan, type CallerStep, type StopOrder, type StopSchedule, type StopTally,
 } from './stop-schedule.js';
 
-/** Plays a schedule; returns what was against the rules, each in one line. */
+/** Plays a schedule and returns the violations of the rules, each in one line. */
 export async function playStopSchedule(schedule: StopSchedule, tally: StopTally = {}): Promise<string[]> {
 	const bench = await createProxyBench({...schedule.size, promoteMs: schedule.promoteMs});
 	const {clock} = bench;
@@ -55,7 +55,7 @@
 			made.answer = await player.caller.ask(made.id, parseStatement(text));
 			made.ended = true;
 			if (!made.answer && !endedHosts.has(player.plan.host)) {
-				faults.push(`${made.id} (${text}) met the end of its session, at ${since()}`);
+				faults.push(`${made.id} (${text}) had no answer when its session ended, at ${since()}`);
 			}
 
 			return made;
@@ -142,7 +142,7 @@
 		}
 	};
 
-	/** Requests that the process's end leaves without an answer: only those of callers that were told. */
+	/** Records the requests without an answer at the end of a process; only callers that were notified may have any. */
 	const noteCut = ({caller, asks, name, promises}: Played, orderedAt: number) => {
 		for (const {id, text, ended} of asks) {
 			if (ended) {
--- a/tests/proxy/read-proxy-command-line-tests.ts
+++ b/tests/proxy/read-proxy-command-line-tests.ts
@@ -27,8 +27,8 @@
 	doTest(['start'], /unexpected argument start/v);
 });
 
-describe('the proxy that only tells', () => {
-	/** Runs the proxy and gives its exit code with what it wrote. */
+describe('a proxy that ends without serving', () => {
+	/** Runs the proxy and returns its exit code and output. */
 	async function run(args: readonly string[], settingsPath?: string) {
 		const written: string[] = [];
 		const stream = new Writable({
@@ -51,11 +51,11 @@
 		expect([code, text.includes('--check-settings')]).to.deep.equal([ProxyExitCode.Ok, true]);
 	});
 
-	it('says in one line which option it does not know', async () => {
+	it('reports an unknown option in one line', async () => {
 		expect(await run(['--speed'])).to.deep.equal({code: ProxyExitCode.BadSettings, text: 'aldercroft-proxy: unknown option --speed\n'});
 	});
 
-	it('says that it was not told of its settings', async () => {
+	it('reports that no settings file was named', async () => {
 		expect(await run(['--check-settings'])).to.deep.equal({code: ProxyExitCode.BadSettings, text: 'aldercroft-proxy: the settings cannot be read: no settings file was named\n'});
 	});
 });
--- a/tests/proxy/sessions-tests.ts
+++ b/tests/proxy/sessions-tests.ts
@@ -21,7 +21,7 @@
 		['WRITE a 2', 'done idle'],
 		['READ a', 'done 2 idle'],
 	]);
-	doTest('keeps a transaction together', 'sync', [
+	doTest('runs a transaction to its commit', 'sync', [
 		['BEGIN', 'done open'],
 		['WRITE a 1', 'done open'],
 		['READ a', 'done - open'],
@@ -34,20 +34,20 @@
 		['ROLLBACK', 'done idle'],
 		['READ a', 'done - idle'],
 	]);
-	doTest('refuses a write in a transaction that reads, and all else until it is rolled back', 'sync', [
+	doTest('refuses a write in a read-only transaction, and everything after it until the rollback', 'sync', [
 		['BEGIN READ', 'done open'],
 		['WRITE a 1', 'read-only failed'],
 		['READ a', 'malformed failed'],
 		['ROLLBACK', 'done idle'],
 		['READ a', 'done - idle'],
 	]);
-	doTest('ends a failed transaction by its commit, which keeps nothing', 'sync', [
+	doTest('ends a failed transaction on its commit, which commits nothing', 'sync', [
 		['BEGIN READ', 'done open'],
 		['WRITE a 1', 'read-only failed'],
 		['COMMIT', 'aborted idle'],
 		['READ a', 'done - idle'],
 	]);
-	doTest('runs prepared statements by the caller\'s names', 'sync', [
+	doTest('runs prepared statements under the caller\'s names', 'sync', [
 		['PARSE s1 WRITE q', 'done idle'],
 		['PARSE s2 READ q', 'done idle'],
 		['EXECUTE s1 a 5', 'done idle'],
@@ -55,7 +55,7 @@
 		['CLOSE s2', 'done idle'],
 		['EXECUTE s2 a', 'unknown-statement idle'],
 	]);
-	doTest('answers what it does not understand', 'sync', [
+	doTest('answers statements that are malformed or not allowed in its state', 'sync', [
 		['STATUS', 'malformed idle'],
 		['COMMIT', 'malformed idle'],
 		['BEGIN', 'done open'],
@@ -69,15 +69,15 @@
 		['COMMIT', 'done idle'],
 	]);
 
-	it('refuses a database that no route names', async () => {
+	it('refuses a database without a route', async () => {
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'nowhere');
 		expect(caller.refusal).to.equal('unknown-database');
 		expect(caller.closed).to.equal(true);
 	});
 
-	/** Callers ask for one name after the other that no route has. The store would be asked for each, and turn away what matters. */
-	it('asks the store no more often than five times a second for names that no route has', async () => {
+	/** Callers open sessions on one unknown database after the other. With a call to the store for each, the store would refuse the calls that matter. */
+	it('calls the store at most five times a second for databases without a route', async () => {
 		const bench = await createProxyBench({proxies: 1});
 		const before = bench.system.store.calls;
 		const startedAt = bench.clock.now();
@@ -92,10 +92,10 @@
 	});
 
 	/**
-	 * Two callers name their prepared statements alike, and set the same session value differently. On connections that
-	 * both are lent in turn, the second would run the first one's statement, under the first one's value.
+	 * Two callers give their prepared statements the same name, and set the same session value differently. On a connection
+	 * that both use in turn, the second caller could run the first one's statement, with the first one's value.
 	 */
-	it('keeps names and values of two callers apart on the connections they share', async () => {
+	it('separates the prepared names and session values of two callers on a shared connection', async () => {
 		const bench = await createProxyBench({proxies: 1, maxConnections: 3});
 		const [left, right] = [await bench.open(bench.proxies[0]!, 'sync'), await bench.open(bench.proxies[0]!, 'sync')];
 		await bench.ask(left, 'PARSE s WRITE q');
@@ -110,10 +110,10 @@
 	});
 
 	/**
-	 * A caller leaves in the middle of a transaction. The next caller's write must not run inside it, and the first one's
-	 * must not be kept.
+	 * A caller disconnects in the middle of a transaction. The next caller's write must not run inside it, and the first one's
+	 * must not be committed.
 	 */
-	it('rolls back for a caller that leaves', async () => {
+	it('rolls back the transaction of a caller that disconnects', async () => {
 		const bench = await createProxyBench({proxies: 1, maxConnections: 3});
 		const left = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(left, 'BEGIN');
@@ -125,7 +125,7 @@
 		expect(bench.ran.filter(line => line.includes('commit'))).to.deep.equal(['nights-1 commit kept']);
 	});
 
-	it('repeats a commit that the endpoint turned away', async () => {
+	it('sends a commit again that the endpoint refused for overload', async () => {
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(caller, 'BEGIN');
@@ -136,10 +136,10 @@
 	});
 
 	/**
-	 * An endpoint turns a commit away for as long as the statement may take. Its caller is told that nothing is kept, but at the endpoint the transaction is
-	 * still open: the next caller's write on that connection would join it, and a commit there would keep both.
+	 * An endpoint refuses a commit until the statement timeout. Its caller is answered that nothing was committed, but at the endpoint the transaction is
+	 * still open: the next caller's write on that connection would run inside it, and a commit there would commit both.
 	 */
-	it('lends nobody the connection of a transaction that is still open', async () => {
+	it('does not reuse the connection of a transaction that is still open', async () => {
 		const bench = await createProxyBench({proxies: 1, maxConnections: 3});
 		const left = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(left, 'BEGIN');
@@ -153,7 +153,7 @@
 		expect(bench.ran.filter(line => line.includes('commit'))).to.deep.equal(['nights-1 commit kept']);
 	});
 
-	it('ends a transaction that stays idle and says so with the next statement', async () => {
+	it('rolls back a transaction that stays idle and reports it with the next statement', async () => {
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(caller, 'BEGIN');
--- a/tests/proxy/stop-observations.ts
+++ b/tests/proxy/stop-observations.ts
@@ -6,45 +6,46 @@
 import type {ProxyBench} from './proxy-bench.js';
 import type {CallerPlan} from './stop-schedule.js';
 
-/** What a host read of a caller. */
+/** A request that a host read from a caller. */
 export type Taken = {
 	readonly what: string;
 	readonly atMs: number;
-	/** It has an answer or a refusal. */
+	/** Whether it has an answer or a refusal. */
 	resolved: boolean;
 };
 
+/** A statement that a caller sent. */
 export type Ask = {
 	readonly id: string;
 	readonly text: string;
 	answer?: ScriptedAnswer;
-	/** The wait for an answer is over. */
+	/** Whether the wait for its answer is over. */
 	ended: boolean;
 };
 
-/** A caller with all that passed between it and its host. */
+/** A caller with everything exchanged between it and its host. */
 export type Played = {
 	readonly name: string;
 	readonly plan: CallerPlan;
 	readonly caller: ScriptedCaller;
 	readonly taken: Taken[];
 	readonly asks: Ask[];
-	/** Ids under which something of it must not be committed, with the reason. */
+	/** Ids of its statements that must not be committed, with the reason. */
 	readonly promises: Map<string, string>;
-	/** Ids under which something was acknowledged. */
+	/** Ids of its writes and commits that were acknowledged. */
 	readonly acknowledged: Set<string>;
 	greeted: boolean;
 };
 
-/** What says that nothing is kept. */
+/** Codes of answers that guarantee that nothing is committed. */
 export const NOTHING_KEPT: ReadonlySet<AnswerCode> = new Set([
 	AnswerCode.Overloaded, AnswerCode.Aborted, AnswerCode.Malformed, AnswerCode.ReadOnly, AnswerCode.Lagging, AnswerCode.UnknownStatement,
 ]);
 
-/** Commands that begin something at an endpoint. */
+/** Commands that start work at an endpoint. */
 const BEGIN_COMMANDS: ReadonlySet<string> = new Set(['run', 'execute', 'begin', 'commit']);
 
-/** Passes a channel on and notes what its host reads and settles. */
+/** Wraps a channel and records the requests that its host reads, and which of them are resolved. */
 export function watchChannel(channel: CallerChannel, taken: Taken[], since: () => number): CallerChannel {
 	let notified = false;
 	const resolveLast = () => {
@@ -67,7 +68,7 @@
 		async next() {
 			const req = await channel.next();
 			if (req) {
-				// Told before it was read, a caller has its refusal; only a statement still lacks the state behind it.
+				// A caller that was notified before the request was read has its refusal; only a statement still lacks the state after it.
 				taken.push({what: describe(req), atMs: since(), resolved: notified && req.kind === 'open'});
 			}
 
@@ -99,7 +100,7 @@
 	};
 }
 
-/** Notes under which ids something is begun at endpoints. */
+/** Records the ids under which work is started at endpoints. */
 export function watchBegun({group}: ProxyBench, since: () => number) {
 	const begun: Array<{readonly id: string; readonly at: number}> = [];
 	const watch = (link: EndpointLink): EndpointLink => ({
@@ -123,21 +124,21 @@
 	return begun;
 }
 
-/** Notes what a host is at when it is told to stop. */
+/** Counts what a host is doing when it is ordered to stop. */
 export function noteStates(bench: ProxyBench, {kernel}: SimulatedProxy, count: (what: string, times?: number) => void) {
 	for (const [phase, sessions] of Object.entries(kernel.getOrThrow('gateway').countPhases())) {
-		count(`told while ${phase}`, sessions);
+		count(`stopped while ${phase}`, sessions);
 	}
 
 	const known = kernel.getOrThrow('endpointDirectory').list(bench.group.name);
 	const poolHosts = kernel.getOrThrow('poolHosts');
-	count('told while it lends', kernel.getOrThrow('checkoutServer').loans);
-	count('told while it borrows', known.filter(({entry, pool}) => !poolHosts.keepsOwn(entry) && pool.lent > 0).length);
-	count('told while requests wait for a connection', known.filter(({pool, ownPool}) => pool.waiting > 0 || ownPool.waiting > 0).length);
-	count('told while it replaces a primary', kernel.getOrThrow('leadershipWatch').replacing ? 1 : 0);
+	count('stopped while its connections are checked out', kernel.getOrThrow('checkoutServer').loans);
+	count('stopped while it uses connections of pool hosts', known.filter(({entry, pool}) => !poolHosts.keepsOwn(entry) && pool.lent > 0).length);
+	count('stopped while requests wait for a connection', known.filter(({pool, ownPool}) => pool.waiting > 0 || ownPool.waiting > 0).length);
+	count('stopped while it replaces a primary', kernel.getOrThrow('leadershipWatch').replacing ? 1 : 0);
 }
 
-/** What is against the rules at the moment that a host has left. */
+/** Returns the violations of the rules at the moment when a host has left. */
 export function findFaultsAtEnd({name, caller, taken, asks, greeted}: Played, orderedAt: number): string[] {
 	const faults: string[] = [];
 	for (const {what, atMs} of taken.filter(({resolved: settled}) => !settled)) {
@@ -147,27 +148,27 @@
 	const isUnderWay = asks.some(({id, ended}) => !ended && !taken.some(({what}) => what === id));
 	const mayBeOpen = greeted ? caller.refusal !== undefined && isUnderWay : taken.length === 0;
 	if (!caller.closed && !mayBeOpen) {
-		faults.push(`the session of ${name} is open when its host has left, ordered at ${orderedAt}; told: ${caller.refusal ?? 'nothing'}`);
+		faults.push(`the session of ${name} is open when its host has left, ordered at ${orderedAt}; refusal: ${caller.refusal ?? 'nothing'}`);
 	}
 
 	return faults;
 }
 
-/** Notes what an answer promises of a statement; returns whether it says that nothing is kept. */
+/** Records what an answer guarantees about a statement; returns whether it guarantees that nothing is committed. */
 export function getPromise({promises}: Played, {id, answer}: Ask): boolean {
 	const isPromise = answer?.end.kind === 'error' && NOTHING_KEPT.has(answer.end.code);
 	if (isPromise) {
-		promises.set(id, `it was told ${answer.end.kind === 'error' ? answer.end.code : ''}`);
+		promises.set(id, `its answer was ${answer.end.kind === 'error' ? answer.end.code : ''}`);
 	}
 
 	return isPromise;
 }
 
-/** Notes what the end of a write or of a transaction was said to be. */
+/** Records the reported outcome of a write or a transaction. */
 export function noteOutcome(player: Played, ask: Ask, wrote: boolean, broken = false) {
 	getPromise(player, ask);
 	if (broken) {
-		player.promises.set(ask.id, 'a statement of its transaction was told so');
+		player.promises.set(ask.id, 'a statement of its transaction had such an answer');
 	}
 
 	if (wrote && ask.answer?.end.kind === 'complete') {
@@ -175,7 +176,7 @@
 	}
 }
 
-/** Holds what endpoints committed against what callers were told. */
+/** Compares what endpoints committed with what callers were answered; returns the differences. */
 export function findCommitFaults({ran}: ProxyBench, players: readonly Played[]): string[] {
 	const commits = new Map<string, number>();
 	for (const [, what, id = ''] of ran.map(line => line.split(' '))) {
--- a/tests/proxy/stop-schedule.ts
+++ b/tests/proxy/stop-schedule.ts
@@ -1,23 +1,23 @@
 import fc from 'fast-check';
 import {ROUTES} from './proxy-bench.js';
 
-/** From the order to stop to the end by force, in milliseconds. */
+/** Time from the order to stop until a process is killed, in milliseconds. */
 export const GRACE_MS = 6000;
 
-/** A host is told to stop, in milliseconds from the start of the schedule. */
+/** An order to a host to stop; its time is in milliseconds from the start of the schedule. */
 export type StopOrder = {readonly host: number; readonly atMs: number};
 
-/** What a caller does, over and over until it is told that its session ends. */
+/** A step of a caller, repeated until the caller is notified that its session ends. */
 export type CallerStep =
 	| {readonly kind: 'read' | 'write' | 'remember'; readonly restMs: number}
-	/** Its statements are writes and reads in turn. */
+	/** A transaction; its statements are writes and reads in turn. */
 	| {readonly kind: 'transaction'; readonly restMs: number; readonly statements: number; readonly innerRestMs: number};
 
-/** One caller. */
+/** The plan of one caller. */
 export type CallerPlan = {
 	readonly host: number;
 	readonly database: string;
-	/** Time for which its requests are on their way or unread, in milliseconds. */
+	/** Time for which its requests are in transit or unread, in milliseconds. */
 	readonly requestMs: number;
 	/** When it connects, in milliseconds from the start of the schedule. */
 	readonly opensAtMs: number;
@@ -26,47 +26,47 @@
 	readonly steps: readonly CallerStep[];
 };
 
-/** A server answers late from some moment on. */
+/** A delay of a server's answers from some moment on, in milliseconds. */
 export type Slowness = {readonly server: number; readonly atMs: number; readonly slowMs: number};
 
-/** Hosts that are told to stop, and what is going on then. */
+/** Hosts that are ordered to stop, and what happens meanwhile. */
 export type StopSchedule = {
 	readonly size: {readonly proxies: number; readonly maxConnections: number};
 	readonly stops: readonly StopOrder[];
 	readonly callers: readonly CallerPlan[];
 	readonly slowness: readonly Slowness[];
-	/** The primary is replaced in order, in milliseconds from the start of the schedule. */
+	/** When the primary is replaced in order, in milliseconds from the start of the schedule; undefined where it is not. */
 	readonly replaceAtMs?: number;
 	readonly promoteMs: number;
-	/** Time that a process goes on for its last lines, in milliseconds. */
+	/** Time for which a process goes on to write its last log lines, in milliseconds. */
 	readonly lastLinesMs: number;
 };
 
-/** What hosts were at when they were told, and what callers were told: shows that schedules reach what they are to reach. */
+/** Counts of what hosts were doing when they were ordered to stop, and of callers' answers; shows which states the schedules reach. */
 export type StopTally = Record<string, number>;
 
-/** Latest order to stop, in milliseconds from the start of a schedule; before the first, callers are at work. */
+/** Earliest and latest order to stop, in milliseconds from the start of a schedule; callers are already active before the earliest. */
 const FIRST_ORDER_MS = 800;
 export const LAST_ORDER_MS = 3000;
 
-/** Callers begin nothing after this, in milliseconds from the start of a schedule: each host has ended. */
+/** Time after which callers start nothing, in milliseconds from the start of a schedule; every stopped host has ended by then. */
 export const PLAY_MS = LAST_ORDER_MS + GRACE_MS + 1000;
 
-/** What was given up still runs at endpoints for at most so long, in milliseconds. */
+/** Maximum time for which abandoned statements still run at endpoints, in milliseconds. */
 export const AFTERMATH_MS = 4000;
 
-/** Servers of the bench's group. */
+/** Number of servers in the bench's group. */
 const SERVERS = 3;
 
-/** Longest time that a request is unread, in milliseconds. */
+/** Maximum time for which a request is unread, in milliseconds. */
 export const MAX_UNREAD_MS = 1600;
 
-/** Least time between two steps of a caller, in milliseconds: one that asks over and over within a moment meets nothing more. */
+/** Minimum time between two steps of a caller, in milliseconds; closer steps reach no further states. */
 export const MIN_REST_MS = 40;
 
 const someRestMs = fc.oneof(fc.constantFrom(0, 5, 50), fc.integer({min: 0, max: 3500}));
 
-/** Rests of callers that keep their hosts busy, so that most of them wait for a connection. */
+/** Pauses of callers that keep their hosts busy, so that most of them wait for a connection. */
 const shortRestMs = fc.integer({min: 0, max: 400});
 
 const createSteps = (restMs: fc.Arbitrary<number>): fc.Arbitrary<CallerStep> => fc.oneof(
@@ -78,7 +78,7 @@
 
 const requestMs = fc.oneof(fc.constantFrom(0, 1), fc.integer({min: 0, max: MAX_UNREAD_MS}));
 
-/** Few connections: with the last three sizes some hosts keep all of them and lend them to the others. */
+/** Numbers of hosts and connections; with the last three, pool hosts keep all connections and share them with the other hosts. */
 const size = fc.constantFrom(
 	{proxies: 2, maxConnections: 22},
 	{proxies: 3, maxConnections: 5},
@@ -95,7 +95,7 @@
 	steps: fc.array(createSteps(restMs), {minLength: 1, maxLength: 4}),
 }), {...length, size: 'max'});
 
-/** Schedules. */
+/** Random schedules. */
 export const stopSchedules: fc.Arbitrary<StopSchedule> = size.chain(chosen => {
 	const host = fc.nat(chosen.proxies - 1);
 	return fc.record({
--- a/tests/proxy/stop-schedules-tests.ts
+++ b/tests/proxy/stop-schedules-tests.ts
@@ -3,21 +3,21 @@
 import {playStopSchedule} from './play-stop-schedule.js';
 import {stopSchedules, type StopTally} from './stop-schedule.js';
 
-/** Schedules that are played; raised by hand for longer hunts. */
+/** Number of schedules that are played; raised by hand for longer searches. */
 const SCHEDULES = 70;
 
 const SEED = 23;
 
-/** What the schedules have to reach at the moment of an order, and callers have to be told. */
+/** States that the schedules must reach at the moment of an order, and answers that callers must get. */
 const REACHED = [
-	'told while opening',
-	'told while idle',
-	'told while busy',
-	'told while resting',
-	'told while requests wait for a connection',
-	'told while it lends',
-	'told while it borrows',
-	'told while it replaces a primary',
+	'stopped while opening',
+	'stopped while idle',
+	'stopped while busy',
+	'stopped while resting',
+	'stopped while requests wait for a connection',
+	'stopped while its connections are checked out',
+	'stopped while it uses connections of pool hosts',
+	'stopped while it replaces a primary',
 	'answer done',
 	'answer overloaded',
 	'answer aborted',
@@ -25,11 +25,11 @@
 ];
 
 /**
- * Hosts are told to stop while callers open sessions, read, write and rest in transactions, with requests on their way; connections are few, and some are lent
- * by hosts that stop themselves. A host that has left is gone: whatever it took needs its answer or refusal by then, and each promise has to be true.
+ * Hosts are ordered to stop while callers open sessions, read, write and pause in transactions, with requests in transit; connections are few, and some belong
+ * to pool hosts that stop too. By the time a host has left, every request that it read needs an answer or a refusal, and each of these must be true.
  */
-describe('hosts that are told to stop at any moment', () => {
-	it('leave nothing that they took without an outcome, and say nothing of it that is not true', async () => {
+describe('hosts that are ordered to stop at any moment', () => {
+	it('leave no request that they read without an outcome, and report only true outcomes', async () => {
 		const tally: StopTally = {};
 		await fc.assert(fc.asyncProperty(stopSchedules, async schedule => {
 			expect(await playStopSchedule(schedule, tally)).to.deep.equal([]);
@@ -38,11 +38,11 @@
 	});
 
 	/**
-	 * A host without callers is told to stop while it replaces a primary, and has to go on until that is done. Callers still come, since most hosts are
-	 * stopping. One that comes then is greeted and told nothing more: all had been told, and final answers given, before it came.
-	 * Its request is on its way when the process ends, and it gets neither an answer nor a refusal.
+	 * A host without callers is ordered to stop while it replaces a primary, and has to go on until that is done. Callers still connect, since most hosts are
+	 * stopping. One of them was greeted after all others had been notified and all final answers had been sent, and was never notified itself.
+	 * Its request was in transit when the process ended, and it got neither an answer nor a refusal.
 	 */
-	it('tell also a caller that comes while only a replacement holds up their end', async () => {
+	it('notify a caller that connects while only a replacement delays their end', async () => {
 		expect(await playStopSchedule({
 			size: {proxies: 3, maxConnections: 22},
 			stops: [{host: 0, atMs: 1000}],
--- a/tests/proxy/store-restore-tests.ts
+++ b/tests/proxy/store-restore-tests.ts
@@ -10,14 +10,14 @@
 
 const OUTAGE_MS = 1000;
 
-/** A configuration is to be in force within so long of its acknowledgement. */
+/** Maximum time from the acknowledgement of a configuration until it is in force, in milliseconds. */
 const APPLY_MS = 3000;
 
 function getRouting(proxy: SimulatedProxy): Routing {
 	return proxy.kernel.getOrThrow('storeMirror').state.routing!;
 }
 
-/** The operator changes the configuration some times, each change in force before the next. */
+/** Changes the configuration `times` times, each change in force before the next; returns the last one. */
 async function changeRouting({clock, system, proxies}: ProxyBench, times: number): Promise<Routing> {
 	for (let i = 0; i < times; i++) {
 		const routing = getRouting(proxies[0]!);
@@ -28,7 +28,7 @@
 	return getRouting(proxies[0]!);
 }
 
-/** The store is away and comes back from a copy. */
+/** Makes the store silent for a while and then restores it from a backup. */
 async function restoreFrom({clock, system}: ProxyBench, copy: StoreCopy, rewriteMs?: number, outageMs = OUTAGE_MS) {
 	system.store.setTrouble(undefined, {silent: true});
 	await clock.advance(outageMs);
@@ -36,7 +36,7 @@
 	system.store.restore(copy, rewriteMs);
 }
 
-/** Crashes the primary and waits until another one leads; the former one is back as a replica. */
+/** Crashes the primary, waits until it is replaced, and restarts it as a replica; returns it. */
 async function losePrimary(bench: ProxyBench): Promise<PlainServer> {
 	const former = bench.getPrimary();
 	bench.group.crash(former);
@@ -60,7 +60,7 @@
 	expect.fail('no write was acknowledged within 30 s');
 }
 
-/** Writes at each host by turns for some time; tells the answers to writes that were not acknowledged. */
+/** Writes at each host in turn for `ms` milliseconds; returns the answers to writes that were not acknowledged. */
 async function writeFor(bench: ProxyBench, ms: number): Promise<readonly string[]> {
 	const until = bench.clock.now() + ms;
 	const refused: string[] = [];
@@ -92,7 +92,7 @@
 	}
 }
 
-/** Counts moments at which an order to promote has been given and a host still has evidence of the former primary. */
+/** Counts the moments at which a promotion has been ordered and a host still holds a lease on the former primary. */
 async function countBoth({clock, system}: ProxyBench, proxy: SimulatedProxy, former: PlainServer): Promise<number> {
 	let both = 0;
 	for (let ms = 0; ms < 12_000; ms += 10) {
@@ -104,14 +104,14 @@
 	return both;
 }
 
-/** Primaries that hosts have evidence of. */
+/** Returns the primaries on which hosts hold a lease. */
 function getUsedPrimaries({proxies}: ProxyBench): ReadonlyArray<string | undefined> {
 	return [...new Set(proxies.map(({kernel, clock}) => kernel.getOrThrow('primaryLeases').get('nights', clock.elapsed())?.primaryId))];
 }
 
-describe('a store that comes back from an older copy', () => {
+describe('a store that is restored from an older backup', () => {
 	function doConfigurationTest(hosts: number, lost: number) {
-		/** Guards against hosts that take a lower revision of the restored store for proof that their copy is complete. */
+		/** Guards against hosts that take the lower revision of the restored store for proof that their mirror is complete. */
 		it(`has a new configuration in force at each of ${hosts} hosts where ${lost} changes were lost`, async () => {
 			const bench = await createProxyBench({proxies: hosts, maxConnections: 100});
 			const copy = bench.system.store.takeCopy();
@@ -128,8 +128,8 @@
 	doConfigurationTest(3, 3);
 	doConfigurationTest(9, 30);
 
-	/** Guards against a restored record that names a primary which was replaced since: hosts would use it, or have nobody lead. */
-	it('leaves the primary in use that was promoted after the copy was made', async () => {
+	/** Guards against a restored record that names a primary replaced since the backup: hosts would use that primary, or none. */
+	it('leaves the primary in use that was promoted after the backup', async () => {
 		const bench = await createProxyBench({proxies: 9, maxConnections: 100, promoteMs: 600});
 		const copy = bench.system.store.takeCopy();
 		const former = await losePrimary(bench);
@@ -142,7 +142,7 @@
 		bench.system.stop();
 	});
 
-	/** Guards against hosts that know the restored store alone: nobody is left who saw the primary replaced, and the former one still calls itself one. */
+	/** Guards against hosts that know only the restored store: no host is left that knows of the replacement, and the former primary still reports that role. */
 	it('never has the primary of an old record used where all hosts are new', async () => {
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const former = bench.getPrimary();
@@ -170,7 +170,7 @@
 		bench.system.stop();
 	});
 
-	it('has its records of leadership written again in its new generation', async () => {
+	it('has its leadership records rewritten in its new generation', async () => {
 		const bench = await createProxyBench({proxies: 3});
 		await restoreFrom(bench, bench.system.store.takeCopy());
 		await bench.clock.advance(2000);
@@ -179,7 +179,7 @@
 		bench.system.stop();
 	});
 
-	/** Guards against an order to promote under a record that the store has lost: a host that was not reached vouches for the old primary and goes on with it. */
+	/** Guards against a promotion under a record that the store has lost: a host that was not reached rewrites the record of the old primary and goes on using it. */
 	it('has no primary promoted by a replacement whose record was lost', async () => {
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const [apart, ...others] = bench.proxies as [SimulatedProxy, ...SimulatedProxy[]];
@@ -190,7 +190,7 @@
 			bench.system.network.setFaultsBetween(apart.peerAddress, other.peerAddress, {cut: true});
 		}
 
-		// It cannot lift the fences of the others either.
+		// That host cannot remove the fences set by the others either.
 		for (const replica of bench.group.servers.filter(server => server !== former)) {
 			apart.cutFrom.add(replica.id);
 		}
@@ -198,14 +198,14 @@
 		const caller = await bench.open(others[0]!, 'sync');
 		void bench.send(caller, 'WRITE a 1');
 		await advanceUntil(bench, () => getStoredPhase(bench) === LeadPhase.Changing);
-		// Too short for the duty to be lost.
+		// Too short for the failover lease to expire.
 		await restoreFrom(bench, copy, 0, 50);
 		expect([await countBoth(bench, apart, former), bench.group.leader.id === former.id]).to.deep.equal([0, false]);
 		bench.system.stop();
 	});
 
-	/** Guards against replicas that receive nothing for ever: the host that fenced them died, and the store has lost its record. */
-	it('has replicas receive again that a lost replacement had fenced', async () => {
+	/** Guards against replicas that never receive the log again: the host that fenced them died, and the store has lost the record of its replacement. */
+	it('has the fences of a lost replacement removed from replicas', async () => {
 		const bench = await createProxyBench({proxies: 3});
 		const copy = bench.system.store.takeCopy();
 		const replicas = bench.group.servers.filter(server => server !== bench.getPrimary());
@@ -219,7 +219,7 @@
 		bench.system.stop();
 	});
 
-	/** Guards against a host that goes on with evidence and is not asked to give it up: its registration was lost, and the list shows all others. */
+	/** Guards against a host whose primary lease is not revoked before a promotion: its registration was lost, so the list of hosts lacks it. */
 	it('has no primary promoted while a host whose registration was lost uses the former one', async () => {
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const {system, clock} = bench;
@@ -243,8 +243,8 @@
 		system.stop();
 	});
 
-	/** Guards against an endpoint that gets new work again: the store came back without its word that it is leaving, which it writes again only later. */
-	it('does not take an endpoint for staying that has said it is leaving', async () => {
+	/** Guards against new work for an endpoint that is leaving: the restored entry lacks that state, and the endpoint rewrites it only later. */
+	it('does not make hosts forget that an endpoint is leaving', async () => {
 		const bench = await createProxyBench({proxies: 3});
 		const copy = bench.system.store.takeCopy();
 		bench.group.servers[2]!.leaving = true;
@@ -256,8 +256,8 @@
 		bench.system.stop();
 	});
 
-	/** Guards against a revoked key that is honoured anew: the store confirms the configuration of before, which the operator has not written again yet. */
-	it('has no revoked key honoured beyond its bound', async () => {
+	/** Guards against a revoked key that is accepted again: the restored store confirms the older configuration, until the operator has rewritten the newer one. */
+	it('has no revoked key accepted beyond its bound', async () => {
 		const workspace: Workspace = {name: 'north', keys: ['north-1', 'north-2'], priority: 0};
 		const bench = await createProxyBench({proxies: 3, workspaces: [workspace], revokeWithinMs: 5000});
 		const {clock, system} = bench;
--- a/tests/proxy/workspaces-tests.ts
+++ b/tests/proxy/workspaces-tests.ts
@@ -18,7 +18,7 @@
 
 const openFor = async (bench: ProxyBench, key: string, database = 'sync') => bench.open(bench.proxies[0]!, database, undefined, key);
 
-/** Writes a configuration in which workspaces have other keys or limits. */
+/** Writes a configuration with these workspaces. */
 function change({system}: ProxyBench, workspaces: readonly Workspace[]) {
 	const routing: Routing = {
 		version: 2,
@@ -33,7 +33,7 @@
 const withoutKey = (key: string) => WORKSPACES.map(workspace => ({...workspace, keys: workspace.keys.filter(other => other !== key)}));
 
 describe('a caller with a key', () => {
-	it('has its statements run in the name of its workspace', async () => {
+	it('has its statements run for its workspace', async () => {
 		const bench = await createBench();
 		const north = await openFor(bench, 'key-n1');
 		const south = await openFor(bench, 'key-s');
@@ -55,7 +55,7 @@
 	doTest('is refused its session where the key is unknown', 'key-x');
 	doTest('is refused its session where the key is empty', '');
 
-	it('is served nothing more once its key is revoked, in an open session and in an open transaction', async () => {
+	it('is refused once its key is revoked, in an open session and in an open transaction', async () => {
 		const bench = await createBench();
 		const single = await openFor(bench, 'key-n1');
 		const inTransaction = await openFor(bench, 'key-n1');
@@ -71,10 +71,10 @@
 	});
 
 	/**
-	 * The store turns a host away and no peer is heard, while the operator revokes a key. Evidence of the primary may outlast the outage; it says nothing of keys. A request
-	 * that ran under the key later than the bound would be served to somebody who was locked out.
+	 * The store does not answer, and no peer can confirm the configuration, while an operator may revoke a key. A primary lease may outlast the outage, but says
+	 * nothing about keys. A request that ran under the key later than the bound could be served to a caller whose access was revoked.
 	 */
-	it('is refused by a host without news of keys from the bound on, and told to come back', async () => {
+	it('is refused by a host that could not confirm the keys within the bound', async () => {
 		const bench = await createBench();
 		const caller = await openFor(bench, 'key-n1', 'review');
 		bench.system.store.setTrouble(undefined, {silent: true});
@@ -85,7 +85,7 @@
 		expect(bench.ran.filter(line => line.includes('late'))).to.deep.equal([]);
 	});
 
-	it('is served by a host that the store turns away while its peers read on', async () => {
+	it('is served by a host that the store refuses while its peers still read the store', async () => {
 		const bench = await createBench();
 		const caller = await openFor(bench, 'key-n1');
 		bench.system.store.setTrouble('entry-1', {refused: true});
@@ -93,7 +93,7 @@
 		expect(await bench.ask(caller, 'READ a')).to.equal('done - idle');
 	});
 
-	it('is refused beyond the limit of its workspace, before anything runs', async () => {
+	it('is refused over the rate limit of its workspace, before anything runs', async () => {
 		const bench = await createBench();
 		const caller = await openFor(bench, 'key-w');
 		const answers: string[] = [];
@@ -106,7 +106,7 @@
 		expect(bench.ran).to.have.length(answers.filter(answer => answer.startsWith('done')).length);
 	});
 
-	it('counts a transaction once against the limit', async () => {
+	it('has a transaction count once towards the rate limit', async () => {
 		const bench = await createBench();
 		await bench.clock.advance(5000);
 		const caller = await openFor(bench, 'key-w');
@@ -118,7 +118,7 @@
 		expect(await bench.ask(caller, 'COMMIT')).to.equal('done idle');
 	});
 
-	it('is named in log lines by its workspace, never by its key', async () => {
+	it('is identified in log lines by its workspace, never by its key', async () => {
 		const lines: string[] = [];
 		const bench = await createBench({log: createLineLog((sentence, fields) => lines.push(`${sentence} ${JSON.stringify(fields)}`))});
 		for (const key of ['key-w', 'key-x']) {
@@ -132,8 +132,8 @@
 		expect(lines.filter(line => line.includes('key-'))).to.deep.equal([]);
 	});
 
-	/** Many workspaces meet an endpoint that takes fewer connections than there are workspaces: one whose callers come anew must not wait for others to leave. */
-	it('is served though other workspaces hold every connection', async () => {
+	/** An endpoint accepts fewer connections than there are workspaces. A workspace whose callers connect last must not wait until others disconnect. */
+	it('is served even where other workspaces have used every connection', async () => {
 		const workspaces = Array.from({length: 30}, (_, i): Workspace => ({name: `w${i}`, keys: [`k${i}`], priority: 0}));
 		const bench = await createBench({workspaces, proxies: 1, maxConnections: 8});
 		const answers: string[] = [];
