--- a/src/gateway/caller-session.ts
+++ b/src/gateway/caller-session.ts
@@ -25,7 +25,7 @@
 import {
 	getStoppedAnswer, STOP_REASON, STOPPED_COMMIT, STOPPED_TRANSACTION, STOPPING,
 } from './stop-answers.js';
-import {mayBegin, mayTake} from './stop-plan.js';
+import {mayBegin, mayAccept} from './stop-plan.js';
 
 /** A caller's session on its connection. */
 export type CallerSession = {
@@ -34,7 +34,7 @@
 	/** Serves the caller until it disconnects or the session is closed. */
 	run(): Promise<void>;
 	/** Ends the session as soon as no statement and no transaction is under way. */
-	leave(): void;
+	drain(): void;
 	/** Rolls back an open transaction and ends the session, after the answer to a statement that is under way. */
 	end(): void;
 	/** Stops waiting for the statement that is under way and sends its final answer. */
@@ -73,7 +73,7 @@
 	/** Trace of the statement under way, or of the transaction that it belongs to. */
 	let trace = createStatementTrace();
 	let busy = false;
-	let leaving = false;
+	let draining = false;
 	let ending = false;
 	let opened = false;
 	let closing: GracefulClose | undefined;
@@ -158,7 +158,7 @@
 			return refuse(AnswerCode.UnknownStatement, 'no statement has that name');
 		}
 
-		if (!mayTake(plan, route, shape.access, clock.now())) {
+		if (!mayAccept(plan, route, shape.access, clock.now())) {
 			newTrace();
 			return STOPPING;
 		}
@@ -348,7 +348,7 @@
 		}
 
 		const continues = transaction !== undefined || SETUP_KINDS.has(kind);
-		return ending || (leaving && !continues);
+		return ending || (draining && !continues);
 	};
 
 	return {
@@ -371,14 +371,14 @@
 				channel.close();
 			}
 		},
-		leave() {
-			leaving = true;
+		drain() {
+			draining = true;
 			if (opened && !busy && !transaction && !channel.waiting) {
 				beginClose();
 			}
 		},
 		end() {
-			leaving = true;
+			draining = true;
 			ending = true;
 			if (busy || channel.waiting) {
 				transaction?.abort(STOP_REASON);
--- a/src/gateway/caller-transaction.ts
+++ b/src/gateway/caller-transaction.ts
@@ -60,7 +60,7 @@
 	};
 
 	/** Rolls back at the endpoint if the transaction was begun there, and releases the connection. */
-	const endAtEndpoint = (id?: string) => {
+	const rollBackAtEndpoint = (id?: string) => {
 		const ending = acquired;
 		acquired = undefined;
 		if (!ending) {
@@ -91,7 +91,7 @@
 			id: beginId, group, reason, wrote,
 		});
 		fail(AnswerCode.Aborted, reason);
-		endAtEndpoint();
+		rollBackAtEndpoint();
 	};
 
 	/** Begins the transaction at an endpoint. Returns undefined where no endpoint accepted it in time. */
@@ -153,7 +153,7 @@
 	const noteAnswer = (answer: EndpointAnswer): StatementResult => {
 		if (answer.end.kind === 'error') {
 			failure = answer;
-			endAtEndpoint();
+			rollBackAtEndpoint();
 		}
 
 		return answer;
@@ -176,7 +176,7 @@
 			acquired ??= await begin(until);
 			if (failure) {
 				// The transaction was rolled back during its begin, so none of its statements may run.
-				endAtEndpoint();
+				rollBackAtEndpoint();
 				return failure;
 			}
 
@@ -197,13 +197,13 @@
 
 			// The connection is cut, and no commit was sent, so the endpoint rolls back.
 			log.warn('a transaction is aborted: no whole answer came', {id, group, endpoint: acquired.endpoint.entry.id});
-			endAtEndpoint();
+			rollBackAtEndpoint();
 			return fail(AnswerCode.Aborted, 'no answer came within a transaction; it was rolled back');
 		},
 		async commit(id, until) {
 			if (failure) {
 				// The transaction may have been rolled back during its begin.
-				endAtEndpoint();
+				rollBackAtEndpoint();
 				return failure;
 			}
 
@@ -247,7 +247,7 @@
 			return answer;
 		},
 		rollback(id) {
-			endAtEndpoint(id);
+			rollBackAtEndpoint(id);
 		},
 		abort,
 	};
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -17,7 +17,7 @@
 	/** From now on accepts only what has time to complete under the plan of the host's stop. */
 	stop(plan: StopPlan): void;
 	/** Ends sessions as they become idle, including those that begin later. */
-	leave(): void;
+	drain(): void;
 	/** Rolls back open transactions and ends every session once nothing is under way in it; none begins after `now`. */
 	closeAdmission(now: number): void;
 	/** Sends a final answer to every statement that has none yet. */
@@ -36,7 +36,7 @@
 	const sessions = new Set<CallerSession>();
 	const budgets = new Map<string, RetryBudget>();
 	let plan: StopPlan | undefined;
-	let leaving = false;
+	let draining = false;
 
 	const getBudget = (group: string) => {
 		const known = budgets.get(group);
@@ -67,8 +67,8 @@
 			});
 			sessions.add(session);
 			// Guards against a caller that connects after the others were notified: it would stay until this host accepts nothing more, though another could serve it.
-			if (leaving) {
-				session.leave();
+			if (draining) {
+				session.drain();
 			}
 
 			metrics.setSessions(sessions.size);
@@ -88,10 +88,10 @@
 		stop(stopPlan) {
 			plan = stopPlan;
 		},
-		leave() {
-			leaving = true;
+		drain() {
+			draining = true;
 			for (const session of sessions) {
-				session.leave();
+				session.drain();
 			}
 		},
 		closeAdmission(now) {
--- a/src/gateway/open-session.ts
+++ b/src/gateway/open-session.ts
@@ -69,7 +69,7 @@
 	const admission = admitCaller(parts, memory.fingerprint, route);
 	if (!admission.admitted) {
 		const {code, text} = admission.refusal.end;
-		log.info('a session was refused: its key is not good', {database, code, routing: mirror.state.routing.version});
+		log.info('a session was refused: its key is not valid', {database, code, routing: mirror.state.routing.version});
 		channel.refuse(code, text);
 		return undefined;
 	}
--- a/src/gateway/stop-plan.ts
+++ b/src/gateway/stop-plan.ts
@@ -62,7 +62,7 @@
  * Whether a statement outside a transaction is accepted. Guards against one that is accepted and then ends with the process. For a read its usual duration
  * must fit, since an abandoned read has no effect; for a write its statement timeout must fit, since the outcome of an abandoned write is unknown.
  */
-export function mayTake(plan: StopPlan | undefined, route: Route, access: Access, now: number): boolean {
+export function mayAccept(plan: StopPlan | undefined, route: Route, access: Access, now: number): boolean {
 	if (!plan || now < plan.rotatedOutAt) {
 		return true;
 	}
--- a/src/proxy/leave.ts
+++ b/src/proxy/leave.ts
@@ -43,7 +43,7 @@
 	gateway.stop(plan);
 	await clock.sleep(plan.rotatedOutAt - startedAt);
 	log.info('callers are notified that their sessions end', {...gateway.countPhases(), lateMs: Math.round(clock.now() - plan.rotatedOutAt)});
-	gateway.leave();
+	gateway.drain();
 	await waitForSessions(plan.admitUntil);
 	gateway.closeAdmission(clock.now());
 	checkoutServer.endResting(STOP_REASON);
--- a/src/proxy/main.ts
+++ b/src/proxy/main.ts
@@ -57,11 +57,11 @@
 }
 
 /** Runs the proxy in this process. Resolves with the exit code of the process once its log is flushed. */
-export async function main(args: readonly string[], tells: NodeJS.WritableStream = process.stdout): Promise<number> {
+export async function main(args: readonly string[], commandOutput: NodeJS.WritableStream = process.stdout): Promise<number> {
 	const exitCode = await runProxy({
 		settingsPath: process.env[SETTINGS_VARIABLE],
 		args,
-		output: tells,
+		output: commandOutput,
 		errors: process.stderr,
 		events: process,
 		createParts,
--- a/tests/gateway/stop-plan-tests.ts
+++ b/tests/gateway/stop-plan-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {
-	closeAdmissionAt, createStopPlan, isPastAdmission, mayBegin, mayTake, type StopPlan,
+	closeAdmissionAt, createStopPlan, isPastAdmission, mayBegin, mayAccept, type StopPlan,
 } from '../../src/gateway/stop-plan.js';
 import {ReadPolicy, type Route} from '../../src/routes/routing.js';
 import {Access} from '../../src/statements/statement.js';
@@ -21,8 +21,8 @@
 /** A route whose latency target for reads is longer than that, too. */
 const SLOW_READS = createRoute(1200, 4000);
 
-const mayRead = (route: Route) => (plan: StopPlan | undefined, now: number) => mayTake(plan, route, Access.Read, now);
-const mayWrite = (route: Route) => (plan: StopPlan | undefined, now: number) => mayTake(plan, route, Access.Write, now);
+const mayRead = (route: Route) => (plan: StopPlan | undefined, now: number) => mayAccept(plan, route, Access.Read, now);
+const mayWrite = (route: Route) => (plan: StopPlan | undefined, now: number) => mayAccept(plan, route, Access.Write, now);
 const mayOpen = (plan: StopPlan | undefined, now: number) => !isPastAdmission(plan, now);
 const mayBeginOn = (route: Route) => (plan: StopPlan | undefined, now: number) => mayBegin(plan, route, now);
 
--- a/tests/proxy/stop-observations.ts
+++ b/tests/proxy/stop-observations.ts
@@ -141,7 +141,7 @@
 /** Returns the violations of the rules at the moment when a host has left. */
 export function findFaultsAtEnd({name, caller, taken, asks, greeted}: Played, orderedAt: number): string[] {
 	const faults: string[] = [];
-	for (const {what, atMs} of taken.filter(({resolved: settled}) => !settled)) {
+	for (const {what, atMs} of taken.filter(({resolved}) => !resolved)) {
 		faults.push(`${what} of ${name}, read at ${atMs}, has neither answer nor refusal when its host has left, ordered at ${orderedAt}`);
 	}
 
