--- a/src/gateway/caller-session.ts
+++ b/src/gateway/caller-session.ts
@@ -50,10 +50,7 @@
 /** Timeout of a commit whose route no longer exists, in milliseconds; without a route only commit and rollback are still run. */
 const ROUTELESS_COMMIT_TIMEOUT_MS = 1000;
 
-/**
- * On a stopping host a statement times out this long before its final answer is due, in milliseconds. Its own result can then still say whether it did not
- * run or may have run.
- */
+/** On a stopping host a statement times out this long before its final answer is due, in milliseconds, so that its result can still say whether it may have run. */
 const FINAL_ANSWER_MARGIN_MS = 100;
 
 /** Fingerprint of the key of a session that is not open yet. */
--- a/src/sessions/session-sightings.ts
+++ b/src/sessions/session-sightings.ts
@@ -7,7 +7,7 @@
  */
 export type SessionSightings = {
 	/** Records a request of a session. */
-	note(sighting: SessionRequest): void;
+	note(request: SessionRequest): void;
 	get(sessionId: string): SessionSighting | undefined;
 	/** Returns all recorded sessions, the one seen last first. */
 	getAll(): readonly SessionSighting[];
--- a/tests/gateway/graceful-close-tests.ts
+++ b/tests/gateway/graceful-close-tests.ts
@@ -53,8 +53,8 @@
 		});
 	}
 
-	doTest('notifies a caller that sends nothing at once', {inTransaction: false, inTransit: []});
-	doTest('notifies a caller whose transaction was rolled back at once', {inTransaction: true, inTransit: []});
+	doTest('notifies at once a caller that sends nothing', {inTransaction: false, inTransit: []});
+	doTest('notifies at once a caller whose transaction was rolled back', {inTransaction: true, inTransit: []});
 
 	for (const kind of Object.keys(STATEMENTS) as Array<Statement['kind']>) {
 		const isEnd = kind === 'commit' || kind === 'rollback';
