--- a/tests/proxy/play-stop-schedule.ts
+++ b/tests/proxy/play-stop-schedule.ts
@@ -5,13 +5,13 @@
 import {SessionState} from '../../src/statements/statement.js';
 import {createProxyBench} from './proxy-bench.js';
 import {
-	judge, judgeAtEnd, judgeCommits, getPromise, NOTHING_KEPT, noteStates, watchBegun, watchChannel, type Ask, type Played,
+	noteOutcome, findFaultsAtEnd, findCommitFaults, getPromise, NOTHING_KEPT, noteStates, watchBegun, watchChannel, type Ask, type Played,
 } from './stop-observations.js';
 import {
-	AFTERMATH_MS, GRACE_MS, LEAST_REST_MS, LONGEST_UNREAD_MS, PLAY_MS, type CallerPlan, type CallerStep, type StopOrder, type StopSchedule, type StopTally,
+	AFTERMATH_MS, GRACE_MS, MIN_REST_MS, MAX_UNREAD_MS, PLAY_MS, type CallerPlan, type CallerStep, type StopOrder, type StopSchedule, type StopTally,
 } from './stop-schedule.js';
 
-/** Plays a schedule; returns what was against the rules, each in one line. */
+/** Plays a schedule and returns the violations of the rules, each in one line. */
 export async function playStopSchedule(schedule: StopSchedule, tally: StopTally = {}): Promise<string[]> {
 	const bench = await createProxyBench({...schedule.size, promoteMs: schedule.promoteMs});
 	const {clock} = bench;
@@ -55,7 +55,7 @@
 			made.answer = await player.caller.ask(made.id, parseStatement(text));
 			made.ended = true;
 			if (!made.answer && !endedHosts.has(player.plan.host)) {
-				faults.push(`${made.id} (${text}) met the end of its session, at ${since()}`);
+				faults.push(`${made.id} (${text}) had no answer when its session ended, at ${since()}`);
 			}
 
 			return made;
@@ -81,7 +81,7 @@
 			}
 
 			const end = await ask('COMMIT');
-			judge(player, end, wrote, broken);
+			noteOutcome(player, end, wrote, broken);
 		};
 
 		while (!isOver()) {
@@ -94,10 +94,10 @@
 					await transact(next);
 				} else {
 					const made = await ask(next.kind === 'read' ? `READ ${player.name}` : (next.kind === 'write' ? `WRITE ${player.name} 1` : 'SET studio boston'));
-					judge(player, made, next.kind === 'write');
+					noteOutcome(player, made, next.kind === 'write');
 				}
 
-				await clock.sleep(Math.max(LEAST_REST_MS, next.restMs));
+				await clock.sleep(Math.max(MIN_REST_MS, next.restMs));
 			}
 		}
 	};
@@ -110,8 +110,8 @@
 		const orderedAt = since();
 		await leave({
 			gateway,
-			leadWatch: proxy.kernel.getOrThrow('leadWatch'),
-			lender: proxy.kernel.getOrThrow('linkLender'),
+			leadershipWatch: proxy.kernel.getOrThrow('leadershipWatch'),
+			checkoutServer: proxy.kernel.getOrThrow('checkoutServer'),
 			callerPort: {
 				close() {
 					closedPorts.add(host);
@@ -127,7 +127,7 @@
 		}
 
 		const own = players.filter(({plan}) => plan.host === host);
-		faults.push(...own.flatMap(player => judgeAtEnd(player, orderedAt)));
+		faults.push(...own.flatMap(player => findFaultsAtEnd(player, orderedAt)));
 		const soFar = begun.length;
 		await clock.sleep(schedule.lastLinesMs);
 		for (const {id, at} of begun.slice(soFar).filter(({id}) => id.startsWith(`h${host}c`))) {
@@ -142,7 +142,7 @@
 		}
 	};
 
-	/** Requests that the process's end leaves without an answer: only those of callers that were told. */
+	/** Records the requests without an answer at the end of a process; only callers that were notified may have any. */
 	const noteCut = ({caller, asks, name, promises}: Played, orderedAt: number) => {
 		for (const {id, text, ended} of asks) {
 			if (ended) {
@@ -172,9 +172,9 @@
 	}
 
 	const all = Promise.all([...schedule.stops.map(async order => stop(order)), ...schedule.callers.map(async (plan, i) => play(plan, i))]);
-	await clock.runUntil(all, PLAY_MS + GRACE_MS + LONGEST_UNREAD_MS + AFTERMATH_MS);
+	await clock.runUntil(all, PLAY_MS + GRACE_MS + MAX_UNREAD_MS + AFTERMATH_MS);
 	await clock.advance(AFTERMATH_MS);
-	faults.push(...judgeCommits(bench, players));
+	faults.push(...findCommitFaults(bench, players));
 	for (const answer of players.flatMap(({asks}) => asks.map(ask => ask.answer))) {
 		count(`answer ${answer ? (answer.end.kind === 'error' ? answer.end.code : 'done') : 'none'}`);
 	}
