--- a/src/gateway/acknowledge-commit.ts
+++ b/src/gateway/acknowledge-commit.ts
@@ -1,4 +1,4 @@
-import type {LeadEvidence} from '../leadership/lead-evidence.js';
+import type {PrimaryLease} from '../leadership/primary-leases.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import type {GatewayParts} from './gateway-parts.js';
 
@@ -17,7 +17,7 @@
  * has expired, so the host requests a new confirmation: the same epoch proves that there was no replacement, a later one leaves
  * the outcome unknown.
  */
-export async function mayAcknowledge(parts: GatewayParts, lease: LeadEvidence, id: string): Promise<boolean> {
+export async function mayAcknowledge(parts: GatewayParts, lease: PrimaryLease, id: string): Promise<boolean> {
 	const {primaryLeases, elapsedClock, clock, mirror, log, metrics} = parts;
 	if (primaryLeases.holds(lease, elapsedClock.elapsed())) {
 		return true;
--- a/src/gateway/acquire-link.ts
+++ b/src/gateway/acquire-link.ts
@@ -1,7 +1,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import type {KnownEndpoint} from '../links/endpoint-directory.js';
 import type {SessionLink} from '../links/link-session.js';
-import {EVIDENCE_MS, type LeadEvidence} from '../leadership/lead-evidence.js';
+import {PRIMARY_LEASE_MS, type PrimaryLease} from '../leadership/primary-leases.js';
 import {CONFIRM_INTERVAL_MS} from '../mirror/store-mirror.js';
 import type {ReadCandidate} from '../placement/choose-endpoint.js';
 import {predictCatchUp} from '../placement/catch-up.js';
@@ -21,7 +21,7 @@
 	readonly endpoint: KnownEndpoint;
 	readonly sessionLink: SessionLink;
 	/** Lease under which the endpoint is used as the primary; undefined where it is read as a replica. */
-	readonly lease?: LeadEvidence;
+	readonly lease?: PrimaryLease;
 	/** Log position that a replica must have reached; undefined at the primary. */
 	readonly floor?: LogPosition;
 	/** State of the connection after the last answer on it. */
@@ -75,7 +75,7 @@
  * Time without a confirmation after which this host counts as cut off from the store and from the hosts that reach it, in milliseconds. By then its primary
  * leases have expired, and another try to confirm has failed.
  */
-const ISOLATED_AFTER_MS = EVIDENCE_MS + CONFIRM_INTERVAL_MS;
+const ISOLATED_AFTER_MS = PRIMARY_LEASE_MS + CONFIRM_INTERVAL_MS;
 
 /** Maximum wait of a statement at an isolated host, in milliseconds: a host that was just resumed has its confirmation within that time. */
 const ISOLATED_WAIT_MS = 150;
@@ -183,7 +183,7 @@
  * Requests a position of the group's primary from a host that uses the primary more often, so that a replica can serve the read. Returns undefined where
  * no host has one.
  */
-async function fetchFloor(parts: GatewayParts, req: LinkRequest, lease: LeadEvidence | undefined): Promise<LogPosition | undefined> {
+async function fetchFloor(parts: GatewayParts, req: LinkRequest, lease: PrimaryLease | undefined): Promise<LogPosition | undefined> {
 	if (!lease || !await parts.sampleFetcher.borrow(lease.group, lease.primaryId)) {
 		return undefined;
 	}
@@ -200,7 +200,7 @@
 	return floor && record ? limitToStart(floor, record) : floor;
 }
 
-function getCandidates(parts: GatewayParts, req: LinkRequest, lease: LeadEvidence | undefined, floor: LogPosition | undefined): ReadCandidate[] {
+function getCandidates(parts: GatewayParts, req: LinkRequest, lease: PrimaryLease | undefined, floor: LogPosition | undefined): ReadCandidate[] {
 	const now = parts.clock.now();
 	const candidates: ReadCandidate[] = [];
 	for (const {entry, pool} of parts.directory.list(req.route.group)) {
@@ -225,7 +225,7 @@
 	return candidates;
 }
 
-async function acquireAt(parts: GatewayParts, req: LinkRequest, endpoint: KnownEndpoint, lease?: LeadEvidence, floor?: LogPosition): Promise<AcquiredLink | undefined> {
+async function acquireAt(parts: GatewayParts, req: LinkRequest, endpoint: KnownEndpoint, lease?: PrimaryLease, floor?: LogPosition): Promise<AcquiredLink | undefined> {
 	const {pool} = endpoint;
 	const requestedAt = parts.clock.now();
 	const sessionLink = await pool.acquire({
--- a/src/gateway/gateway-parts.ts
+++ b/src/gateway/gateway-parts.ts
@@ -1,6 +1,6 @@
 import type {EndpointDirectory} from '../links/endpoint-directory.js';
 import type {CutOffs} from '../leadership/cut-offs.js';
-import type {LeadEvidences} from '../leadership/lead-evidence.js';
+import type {PrimaryLeases} from '../leadership/primary-leases.js';
 import type {PrimaryWork} from '../leadership/primary-work.js';
 import type {SampleBorrowing} from '../lending/sample-borrowing.js';
 import type {Log} from '../log/log.js';
@@ -20,7 +20,7 @@
 	readonly log: Log;
 	readonly metrics: GatewayMetrics;
 	readonly mirror: StoreMirror;
-	readonly primaryLeases: LeadEvidences;
+	readonly primaryLeases: PrimaryLeases;
 	readonly directory: EndpointDirectory;
 	readonly knowledge: PlacementKnowledge;
 	readonly primaryWork: PrimaryWork;
--- a/src/leadership/choose-successor.ts
+++ b/src/leadership/choose-successor.ts
@@ -1,7 +1,7 @@
 import {EndpointRole} from '../endpoints/endpoint.js';
 import type {EndpointStatus} from '../links/endpoint-link.js';
 import {compareLogPositions} from '../terms/log-position.js';
-import {LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 
 /** An endpoint that could become primary, with the status it reported. */
 export type SuccessorCandidate = {
@@ -46,7 +46,7 @@
 }
 
 function isAlreadyLeading(candidate: SuccessorCandidate, before: FormerLeadership) {
-	const isUnreplaced = before.phase === LeadPhase.Steady && isNeverReplaced(candidate.endpointId, candidate.status, before);
+	const isUnreplaced = before.phase === LeadershipPhase.Steady && isNeverReplaced(candidate.endpointId, candidate.status, before);
 	return isUnreplaced || (isPrimary(candidate) && candidate.status.term > before.term);
 }
 
--- a/src/leadership/duty-lease.ts
+++ b/src/leadership/failover-lease.ts
@@ -4,10 +4,10 @@
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {PlatformConflictError, PlatformError} from '../object-store/platform-errors.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import {DUTY_NAME, type DutyRecord} from './leadership-record.js';
+import {FAILOVER_LEASE_NAME, type FailoverLeaseRecord} from './leadership-record.js';
 
 /** The failover lease: the right to replace primaries, which one host at a time holds. */
-export type DutyLease = {
+export type FailoverLease = {
 	/** Acquires or renews the lease; resolves to false if another host holds it or the store does not respond. */
 	take(): Promise<boolean>;
 	/** Returns the fencing token for an order that may take `ms` milliseconds; undefined if the lease may end earlier. */
@@ -16,8 +16,8 @@
 	getOtherHolder(): string | undefined;
 };
 
-/** What {@link createDutyLease} needs. */
-export type DutyLeaseOptions = {
+/** What {@link createFailoverLease} needs. */
+export type FailoverLeaseOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly elapsedClock: ElapsedClock;
@@ -30,7 +30,7 @@
  * Duration of the failover lease after each acquisition or renewal, in milliseconds of elapsed time. A replacement takes 1 to 2 s, and after the
  * holder's death the next holder waits this long.
  */
-export const DUTY_LEASE_MS = 3000;
+export const FAILOVER_LEASE_MS = 3000;
 
 /** Other hosts wait this much longer than the lease, in milliseconds, since clocks differ in rate. */
 const MARGIN_MS = 200;
@@ -38,7 +38,7 @@
 const STORE_TIMEOUT_MS = 900;
 
 /** Creates the lease. */
-export function createDutyLease({store, mirror, elapsedClock, log: parentLog, hostName, incarnation}: DutyLeaseOptions): DutyLease {
+export function createFailoverLease({store, mirror, elapsedClock, log: parentLog, hostName, incarnation}: FailoverLeaseOptions): FailoverLease {
 	const log = parentLog.part('duty: ');
 	let seenVersion = -1;
 	let seenSince = 0;
@@ -63,7 +63,7 @@
 
 	mirror.onChange(observe);
 
-	const isOwnRecord = (record: DutyRecord | undefined) => record?.holder === hostName && record.incarnation === incarnation;
+	const isOwnRecord = (record: FailoverLeaseRecord | undefined) => record?.holder === hostName && record.incarnation === incarnation;
 
 	const isHeld = (now: number) => held !== undefined && now < held.until;
 
@@ -71,7 +71,7 @@
 	 * Prevents two holders at once: a store restored from a backup may have lost the record of a holder whose lease is still running, and contain no
 	 * record, that of another host or an earlier one of this host. The holder itself may renew.
 	 */
-	const isRecentlyRestored = (now: number) => restoreSeenAt !== undefined && now - restoreSeenAt < DUTY_LEASE_MS + MARGIN_MS;
+	const isRecentlyRestored = (now: number) => restoreSeenAt !== undefined && now - restoreSeenAt < FAILOVER_LEASE_MS + MARGIN_MS;
 
 	/**
 	 * Prevents two holders at once: this host replaces the record of another holder only after it has seen the record unchanged
@@ -83,10 +83,10 @@
 			return isHeld(now) && (isOwnRecord(record) || getGeneration(record?.token ?? 0) < generation);
 		}
 
-		return !record || isOwnRecord(record) || now - seenSince >= DUTY_LEASE_MS + MARGIN_MS;
+		return !record || isOwnRecord(record) || now - seenSince >= FAILOVER_LEASE_MS + MARGIN_MS;
 	};
 
-	const getNext = (now: number): DutyRecord => {
+	const getNext = (now: number): FailoverLeaseRecord => {
 		const {duty: record} = mirror.state;
 		const renews = isHeld(now) && (isOwnRecord(record) || isRecentlyRestored(now));
 		return {
@@ -102,13 +102,13 @@
 		const next = getNext(now);
 		const version = mirror.state.duty?.version ?? 0;
 		try {
-			const stored = await store.putRecord(RecordKind.Leadership, {name: DUTY_NAME, version, value: next}, STORE_TIMEOUT_MS);
+			const stored = await store.putRecord(RecordKind.Leadership, {name: FAILOVER_LEASE_NAME, version, value: next}, STORE_TIMEOUT_MS);
 			if (getGeneration(stored.version) !== acquiredIn) {
 				log.info('the failover lease was not acquired: the store was restored from a backup meanwhile', {fence: next.token});
 				return false;
 			}
 
-			held = {token: next.token, until: now + DUTY_LEASE_MS};
+			held = {token: next.token, until: now + FAILOVER_LEASE_MS};
 			log.info('the failover lease is held', {fence: next.token, renewals: next.renewals});
 			return true;
 		} catch (err) {
--- a/src/leadership/fence-check.ts
+++ b/src/leadership/fence-check.ts
@@ -6,7 +6,7 @@
 import {withinMs} from '../time/deadline.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import type {LeadEvidences} from './lead-evidence.js';
+import type {PrimaryLeases} from './primary-leases.js';
 import type {LeadershipRecord} from './leadership-record.js';
 
 /** Renews leases from the responses of a group's endpoints while the store does not confirm. */
@@ -18,7 +18,7 @@
 /** What {@link createFenceCheck} needs. */
 export type FenceCheckOptions = {
 	readonly directory: EndpointDirectory;
-	readonly primaryLeases: LeadEvidences;
+	readonly primaryLeases: PrimaryLeases;
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
 	readonly log: Log;
--- a/src/leadership/first-record.ts
+++ b/src/leadership/first-record.ts
@@ -5,7 +5,7 @@
 import {getGeneration, getNextInGeneration} from '../mirror/store-generation.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {Clock} from '../time/clock.js';
-import {getLeadershipName, LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {getLeadershipName, LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 
 /** Writes the first record of a group. */
 export type FirstRecord = {
@@ -56,7 +56,7 @@
 
 			const generation = getGeneration(mirror.state.revision);
 			const record: LeadershipRecord = {
-				group, primaryId: leader.entry.id, term: status.term, epoch: getNextInGeneration(generation, 0), phase: LeadPhase.Steady, start: status.received, changedBy: hostName, generation,
+				group, primaryId: leader.entry.id, term: status.term, epoch: getNextInGeneration(generation, 0), phase: LeadershipPhase.Steady, start: status.received, changedBy: hostName, generation,
 			};
 			await store.putRecord(RecordKind.Leadership, {name: getLeadershipName(group), version: 0, value: record}, STORE_TIMEOUT_MS);
 			log.info('a group has a primary for the first time', {group, primary: record.primaryId, term: record.term});
--- a/src/leadership/host-census.ts
+++ b/src/leadership/host-liveness.ts
@@ -4,7 +4,7 @@
 import type {Peers} from '../peers/peers.js';
 import type {Clock} from '../time/clock.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
-import type {GoneHosts} from './gone-hosts.js';
+import type {UnresponsiveHosts} from './unresponsive-hosts.js';
 import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 
 /**
@@ -14,16 +14,16 @@
  * lease. Hosts receive the requests of those below them in the host tree and report upwards from whom they receive none; the host that reads the
  * store for all sends those hosts a request itself.
  */
-export type HostCensus = {
+export type HostLivenessCheck = {
 	start(): Promise<void>;
 	stop(): Promise<void>;
 };
 
-/** What {@link createHostCensus} needs. */
-export type HostCensusOptions = {
+/** What {@link createHostLivenessCheck} needs. */
+export type HostLivenessCheckOptions = {
 	readonly mirror: StoreMirror;
 	readonly peers: Peers;
-	readonly gone: GoneHosts;
+	readonly unresponsiveHosts: UnresponsiveHosts;
 	readonly clock: Clock;
 	readonly log: Log;
 	readonly ownPeerAddress: string;
@@ -36,7 +36,7 @@
 const HEARTBEAT_AFTER_MS = 3000;
 
 /** Creates the check; it does nothing before it is started. */
-export function createHostCensus({mirror, peers, gone: unresponsiveHosts, clock, log: parentLog, ownPeerAddress}: HostCensusOptions): HostCensus {
+export function createHostLivenessCheck({mirror, peers, unresponsiveHosts, clock, log: parentLog, ownPeerAddress}: HostLivenessCheckOptions): HostLivenessCheck {
 	const log = parentLog.part('hosts: ');
 	const stopping = createSleepAlarm();
 	/** Addresses that did not respond at the previous check. */
--- a/src/leadership/leadership-record.ts
+++ b/src/leadership/leadership-record.ts
@@ -3,13 +3,13 @@
 import type {LogPosition} from '../terms/log-position.js';
 
 /** Whether a group has a primary that may be used, or its primary is being replaced. */
-export const LeadPhase = {
+export const LeadershipPhase = {
 	Steady: 'steady',
 	Changing: 'changing',
 } as const;
 
-/** One of the phases in {@link LeadPhase}. */
-export type LeadPhase = typeof LeadPhase[keyof typeof LeadPhase];
+/** One of the phases in {@link LeadershipPhase}. */
+export type LeadershipPhase = typeof LeadershipPhase[keyof typeof LeadershipPhase];
 
 /** The stored leadership of a group; it is changed by conditional updates only. */
 export type LeadershipRecord = {
@@ -19,7 +19,7 @@
 	readonly term: number;
 	/** Increases with each change, including one after which the same primary leads again. */
 	readonly epoch: number;
-	readonly phase: LeadPhase;
+	readonly phase: LeadershipPhase;
 	/** End of the primary's log when it was first observed as primary. Entries of older terms that the promotion kept are at or below this position. */
 	readonly start: LogPosition;
 	/** Host that wrote the record. */
@@ -29,7 +29,7 @@
 };
 
 /** The stored failover lease: its holder may replace primaries. */
-export type DutyRecord = {
+export type FailoverLeaseRecord = {
 	readonly holder: string;
 	/** Identifies one process of the holder. A restarted process is another holder, since orders of the earlier process may still be in progress. */
 	readonly incarnation: string;
@@ -56,12 +56,12 @@
  *
  * A record of an earlier generation was restored from a backup, or is a copy that a host still holds: a later version of it may have been lost.
  */
-export function isAffirmed({generation = 0}: {readonly generation?: number}, revision: number): boolean {
+export function isInCurrentGeneration({generation = 0}: {readonly generation?: number}, revision: number): boolean {
 	return generation === getGeneration(revision);
 }
 
 /** Name of the record of the failover lease. The record of a group is named by a prefix and the group's name. */
-export const DUTY_NAME = 'duty';
+export const FAILOVER_LEASE_NAME = 'duty';
 
 const GROUP_PREFIX = 'group.';
 
@@ -77,13 +77,13 @@
 	primaryId: z.string(),
 	term: z.int(),
 	epoch: z.int(),
-	phase: z.enum(LeadPhase),
+	phase: z.enum(LeadershipPhase),
 	start: positionSchema,
 	changedBy: z.string(),
 	generation: z.int().optional(),
 });
 
-const failoverLeaseSchema: z.ZodType<DutyRecord> = z.object({
+const failoverLeaseSchema: z.ZodType<FailoverLeaseRecord> = z.object({
 	holder: z.string(), incarnation: z.string(), token: z.int(), renewals: z.int(),
 });
 
@@ -98,7 +98,7 @@
 }
 
 /** Parses the record of the failover lease; returns undefined if it is invalid. */
-export function parseDuty(value: unknown): DutyRecord | undefined {
+export function parseFailoverLease(value: unknown): FailoverLeaseRecord | undefined {
 	return failoverLeaseSchema.safeParse(value).data;
 }
 
@@ -122,7 +122,7 @@
 			primaryId: '',
 			term: 0,
 			epoch: version,
-			phase: LeadPhase.Changing,
+			phase: LeadershipPhase.Changing,
 			start: {term: 0, position: 0},
 			changedBy: UNREADABLE,
 			generation: getGeneration(version),
@@ -134,7 +134,7 @@
  * Returns the substitute for a failover lease that cannot be parsed: it has no known holder, and its token is above all earlier ones, since each
  * of those took a revision.
  */
-export function getUnreadableDuty(version: number): DutyRecord {
+export function getUnreadableFailoverLease(version: number): FailoverLeaseRecord {
 	return {
 		holder: UNREADABLE, incarnation: UNREADABLE, token: version, renewals: 0,
 	};
--- a/src/leadership/lead-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -12,11 +12,11 @@
 import type {ElapsedClock} from '../time/elapsed-clock.js';
 import {createSleepAlarm} from '../time/sleep-alarm.js';
 import type {CutOffs} from './cut-offs.js';
-import type {DutyLease} from './duty-lease.js';
+import type {FailoverLease} from './failover-lease.js';
 import {createFenceCheck} from './fence-check.js';
-import type {LeadEvidences} from './lead-evidence.js';
+import type {PrimaryLeases} from './primary-leases.js';
 import {createFirstRecord} from './first-record.js';
-import {isAffirmed, LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {isInCurrentGeneration, LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 import {createPrimaryReachability, ReachVerdict} from './primary-reachability.js';
 import type {PrimaryWork} from './primary-work.js';
 import {createRecordRewriter} from './rewrite-record.js';
@@ -25,7 +25,7 @@
 import {createUnresolvedGroups} from './unresolved-groups.js';
 
 /** Monitors the primaries of all groups and replaces those that are lost or leaving. */
-export type LeadWatch = {
+export type LeadershipWatch = {
 	/** Returns the groups that this host is changing, or whose leadership it knows to have changed since its copy of the store. */
 	getChanging(): readonly string[];
 	/** Stops beginning replacements, since this host is stopping; other hosts begin them. */
@@ -36,16 +36,16 @@
 	stop(): Promise<void>;
 };
 
-/** What {@link createLeadWatch} needs. */
-export type LeadWatchOptions = {
+/** What {@link createLeadershipWatch} needs. */
+export type LeadershipWatchOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
 	readonly lenders: Lenders;
-	readonly evidences: LeadEvidences;
+	readonly primaryLeases: PrimaryLeases;
 	readonly primaryWork: PrimaryWork;
 	readonly cutOffs: CutOffs;
-	readonly duty: DutyLease;
+	readonly failoverLease: FailoverLease;
 	readonly peers: Peers;
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
@@ -83,8 +83,8 @@
 };
 
 /** Creates the watch; it does nothing before it is started. */
-export function createLeadWatch(options: LeadWatchOptions): LeadWatch {
-	const {clock, directory, duty: failoverLease, elapsedClock, evidences: primaryLeases, mirror, peers, random, store} = options;
+export function createLeadershipWatch(options: LeadershipWatchOptions): LeadershipWatch {
+	const {clock, directory, failoverLease, elapsedClock, primaryLeases, mirror, peers, random, store} = options;
 	const log = options.log.part('leads: ');
 	const reachability = createPrimaryReachability({
 		mirror, directory, lenders: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
@@ -231,7 +231,7 @@
 		const record = mirror.state.leadership.get(group);
 		if (!record) {
 			await firstRecord.create(group);
-		} else if (record.phase === LeadPhase.Steady && isAffirmed(record, mirror.state.revision)) {
+		} else if (record.phase === LeadershipPhase.Steady && isInCurrentGeneration(record, mirror.state.revision)) {
 			await Promise.all([checkSteadyGroup(record, watch), fenceCheck.check(record)]);
 		} else {
 			await unresolvedGroups.check(record);
@@ -282,7 +282,7 @@
 	});
 	peers.handle('lead-replace', async ({group, epoch, reason}) => {
 		const record = mirror.state.leadership.get(group);
-		if (replacements.retired || !options.mayReplace() || record?.epoch !== epoch || record.phase !== LeadPhase.Steady || !isAffirmed(record, mirror.state.revision)) {
+		if (replacements.retired || !options.mayReplace() || record?.epoch !== epoch || record.phase !== LeadershipPhase.Steady || !isInCurrentGeneration(record, mirror.state.revision)) {
 			return {taken: false};
 		}
 
@@ -297,7 +297,7 @@
 	/** Whether this host checks the group at the short interval: it keeps connections to the primary, or the group has no steady one. */
 	const isWatchedClosely = (group: string) => {
 		const record = mirror.state.leadership.get(group);
-		return record?.phase !== LeadPhase.Steady || options.lenders.keepsOwn({id: record.primaryId, group});
+		return record?.phase !== LeadershipPhase.Steady || options.lenders.keepsOwn({id: record.primaryId, group});
 	};
 
 	const run = async () => {
--- a/src/leadership/lease-revocation.ts
+++ b/src/leadership/lease-revocation.ts
@@ -24,12 +24,12 @@
  * has lost its registration.
  */
 export function createLeaseRevocation(parts: ReplacePrimaryParts, changing: Versioned<LeadershipRecord>, settleMs: number): LeaseRevocation {
-	const {clock, elapsedClock, evidences: primaryLeases, primaryWork, log} = parts;
+	const {clock, elapsedClock, primaryLeases, primaryWork, log} = parts;
 	const {group, epoch} = changing;
 	let hosts: ReadonlyArray<Versioned<HostRecord>> | undefined;
 	let silent: ReadonlyArray<Versioned<HostRecord>> = [];
 	let isOwnRevoked = false;
-	const mayLackHosts = parts.returns.mayLackHosts(elapsedClock.elapsed());
+	const mayLackHosts = parts.storeRestores.mayLackHosts(elapsedClock.elapsed());
 
 	const revokeOwn = async () => {
 		primaryLeases.pause(group, epoch);
@@ -93,7 +93,7 @@
 }
 
 /** Returns the other hosts as registered after the record was updated, and those that a restored store has lost; undefined if the store does not respond. */
-async function listOtherHosts({mirror, returns, elapsedClock, ownPeerAddress}: ReplacePrimaryParts) {
+async function listOtherHosts({mirror, storeRestores: returns, elapsedClock, ownPeerAddress}: ReplacePrimaryParts) {
 	if (!await mirror.confirm()) {
 		return undefined;
 	}
--- a/src/leadership/lead-evidence.ts
+++ b/src/leadership/primary-leases.ts
@@ -2,19 +2,19 @@
 import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
 import type {UnfencedGroup} from '../mirror/mirror-calls.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
-import {isAffirmed, LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {isInCurrentGeneration, LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 
 /** The right of this host to use a primary for a limited time. */
-export type LeadEvidence = Pick<LeadershipRecord, 'group' | 'primaryId' | 'term' | 'epoch' | 'start'>;
+export type PrimaryLease = Pick<LeadershipRecord, 'group' | 'primaryId' | 'term' | 'epoch' | 'start'>;
 
 /** The primary leases that this host holds. */
-export type LeadEvidences = {
+export type PrimaryLeases = {
 	/** Returns the lease under which new work may begin; undefined if none is valid at the elapsed time `now`. */
-	get(group: string, now: number): LeadEvidence | undefined;
+	get(group: string, now: number): PrimaryLease | undefined;
 	/** Whether the lease under which work began is still valid at the elapsed time `now`, at which the response has arrived. */
-	holds(lease: LeadEvidence, now: number): boolean;
+	holds(lease: PrimaryLease, now: number): boolean;
 	/** Whether the lease was revoked or a later epoch is known, so that no later confirmation can make it valid again. */
-	isSuperseded(lease: LeadEvidence): boolean;
+	isSuperseded(lease: PrimaryLease): boolean;
 	/** Records that no endpoint of the group that could be promoted reported a fence, in responses to requests sent at the elapsed time `askedAt`. */
 	noteUnfenced(group: string, epoch: number, askedAt: number): void;
 	/** Returns the groups whose lease was renewed by their endpoints after the last confirmation, with the age of each lease at the elapsed time `now`. */
@@ -31,8 +31,8 @@
 	changed(signal: SleepSignal): Promise<void>;
 };
 
-/** What {@link createLeadEvidences} needs. */
-export type LeadEvidencesOptions = {
+/** What {@link createPrimaryLeases} needs. */
+export type PrimaryLeasesOptions = {
 	readonly mirror: StoreMirror;
 	/** This host's own address, as registered. A host that is not registered is not asked to give up its leases before a primary is replaced. */
 	readonly ownPeerAddress: string;
@@ -46,10 +46,10 @@
  * A host that replaces a primary waits this long if another host does not acknowledge, so a failover with a dead host takes that much longer.
  * A store outage shorter than this interrupts nothing; outages of 3 to 6 s are common.
  */
-export const EVIDENCE_MS = 3000;
+export const PRIMARY_LEASE_MS = 3000;
 
 /** Creates the leases of a host that holds none yet. */
-export function createLeadEvidences({mirror, ownPeerAddress, isKnownToAll}: LeadEvidencesOptions): LeadEvidences {
+export function createPrimaryLeases({mirror, ownPeerAddress, isKnownToAll}: PrimaryLeasesOptions): PrimaryLeases {
 	const pausedBelow = new Map<string, number>();
 	const revokedBelow = new Map<string, number>();
 	let waiters: Array<() => void> = [];
@@ -74,7 +74,7 @@
 
 	mirror.onChange(() => {
 		for (const record of mirror.state.leadership.values()) {
-			if (record.phase === LeadPhase.Steady && mirror.confirmedAt !== undefined && isAffirmed(record, mirror.state.revision)) {
+			if (record.phase === LeadershipPhase.Steady && mirror.confirmedAt !== undefined && isInCurrentGeneration(record, mirror.state.revision)) {
 				noteSteady(record, mirror.confirmedAt);
 			}
 		}
@@ -86,7 +86,7 @@
 
 	const isUnexpired = (group: string, epoch: number, now: number) => {
 		const steady = lastSteady.get(group);
-		return steady?.epoch === epoch && now < steady.askedAt + EVIDENCE_MS;
+		return steady?.epoch === epoch && now < steady.askedAt + PRIMARY_LEASE_MS;
 	};
 
 	/**
@@ -100,7 +100,7 @@
 
 	const getSteady = (group: string, now: number) => {
 		const record = mirror.state.leadership.get(group);
-		const usable = record?.phase === LeadPhase.Steady && record.epoch >= (revokedBelow.get(group) ?? 0);
+		const usable = record?.phase === LeadershipPhase.Steady && record.epoch >= (revokedBelow.get(group) ?? 0);
 		return usable && isUnexpired(group, record.epoch, now) && isRegistered() ? record : undefined;
 	};
 
--- a/src/leadership/promote-best.ts
+++ b/src/leadership/promote-best.ts
@@ -4,7 +4,7 @@
 import {
 	getMinTerm, isNeverReplaced, rankSuccessors, type SuccessorCandidate,
 } from './choose-successor.js';
-import {LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 import {ORDER_EFFECT_MS, OrderOutcome} from './promotion-orders.js';
 import {RETRY_MS, type ReplacePrimaryParts} from './replace-parts.js';
 
@@ -30,7 +30,7 @@
 	const ranked = [...rankSuccessors(candidates, before)];
 	const lastResort = [...former];
 	// Only if the group was steady is it certain that no other endpoint was ordered to be promoted since the candidates were asked.
-	let isFirst = before.phase === LeadPhase.Steady;
+	let isFirst = before.phase === LeadershipPhase.Steady;
 	while (parts.clock.now() < until) {
 		if (ranked.length === 0) {
 			ranked.push(...lastResort.splice(0));
@@ -102,7 +102,7 @@
  * Prevents an order of a former holder from arriving after one of its successor: the order and its connection are abandoned before another host can
  * hold the lease.
  */
-async function orderPromotion({duty: failoverLease, orders, log, hostName}: ReplacePrimaryParts, group: string, endpointId: string): Promise<OrderOutcome | undefined> {
+async function orderPromotion({failoverLease, orders, log, hostName}: ReplacePrimaryParts, group: string, endpointId: string): Promise<OrderOutcome | undefined> {
 	if (failoverLease.getToken(ORDER_TIMEOUT_MS) === undefined && !await failoverLease.take()) {
 		return undefined;
 	}
--- a/src/leadership/register-host.ts
+++ b/src/leadership/register-host.ts
@@ -7,7 +7,7 @@
 import type {Random} from '../random/random.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import {isAffirmed, type HostRecord} from './leadership-record.js';
+import {isInCurrentGeneration, type HostRecord} from './leadership-record.js';
 
 /**
  * Keeps this host in the list of hosts that must give up their leases before a primary is replaced. Its record outlives the process: a process that is
@@ -15,7 +15,7 @@
  */
 export type HostRegistration = {
 	/** Registers this host if the list does not contain its present record. */
-	keep(): Promise<void>;
+	ensureRegistered(): Promise<void>;
 	/** Whether every host that still continues without the store knows this one, at the elapsed time `now`. */
 	isKnownToAll(now: number): boolean;
 };
@@ -88,12 +88,12 @@
 	};
 
 	return {
-		async keep() {
+		async ensureRegistered() {
 			const record = findOwnRecord();
 			const isUpToDate = isListed(record);
 			wasListed ||= isUpToDate;
 			const isUnderWay = writtenAt !== undefined && elapsedClock.elapsed() - writtenAt < VISIBLE_WITHIN_MS;
-			if (busy || (isUpToDate && isAffirmed(record!, mirror.state.revision)) || isUnderWay || mirror.state.revision === 0) {
+			if (busy || (isUpToDate && isInCurrentGeneration(record!, mirror.state.revision)) || isUnderWay || mirror.state.revision === 0) {
 				return;
 			}
 
--- a/src/leadership/replace-parts.ts
+++ b/src/leadership/replace-parts.ts
@@ -5,23 +5,23 @@
 import type {Peers} from '../peers/peers.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import type {DutyLease} from './duty-lease.js';
-import type {GoneHosts} from './gone-hosts.js';
-import type {LeadEvidences} from './lead-evidence.js';
+import type {FailoverLease} from './failover-lease.js';
+import type {UnresponsiveHosts} from './unresponsive-hosts.js';
+import type {PrimaryLeases} from './primary-leases.js';
 import type {PrimaryWork} from './primary-work.js';
 import type {PromotionOrders} from './promotion-orders.js';
-import type {StoreReturns} from './store-returns.js';
+import type {StoreRestores} from './store-restores.js';
 
 /** What replacing a primary needs. */
 export type ReplacePrimaryParts = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly evidences: LeadEvidences;
+	readonly primaryLeases: PrimaryLeases;
 	readonly primaryWork: PrimaryWork;
-	readonly duty: DutyLease;
-	readonly gone: GoneHosts;
-	readonly returns: StoreReturns;
+	readonly failoverLease: FailoverLease;
+	readonly unresponsiveHosts: UnresponsiveHosts;
+	readonly storeRestores: StoreRestores;
 	readonly orders: PromotionOrders;
 	readonly peers: Peers;
 	readonly clock: Clock;
--- a/src/leadership/replace-primary.ts
+++ b/src/leadership/replace-primary.ts
@@ -1,7 +1,7 @@
 import {getGeneration, getNextInGeneration} from '../mirror/store-generation.js';
 import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
-import {EVIDENCE_MS} from './lead-evidence.js';
-import {isAffirmed, LeadPhase} from './leadership-record.js';
+import {PRIMARY_LEASE_MS} from './primary-leases.js';
+import {isInCurrentGeneration, LeadershipPhase} from './leadership-record.js';
 import {
 	restoreReplicas, gatherCandidates, keepFenced, liftFences, waitForCatchUp,
 } from './ask-endpoints.js';
@@ -39,7 +39,7 @@
  */
 export async function replacePrimary(outerParts: ReplacePrimaryParts, replacement: Replacement): Promise<boolean> {
 	const parts = {...outerParts, log: outerParts.log.part('replace: ')};
-	if (!await parts.duty.take()) {
+	if (!await parts.failoverLease.take()) {
 		return false;
 	}
 
@@ -53,7 +53,7 @@
 }
 
 /** Renews the failover lease, since the wait for primary leases to expire is as long as the failover lease lasts. */
-async function renewFailoverLease({duty: failoverLease, clock}: ReplacePrimaryParts, ended: AbortSignal) {
+async function renewFailoverLease({failoverLease, clock}: ReplacePrimaryParts, ended: AbortSignal) {
 	for (;;) {
 		await clock.sleep(RENEWAL_INTERVAL_MS, ended);
 		if (ended.aborted || !await failoverLease.take()) {
@@ -79,13 +79,13 @@
 	const {revision} = mirror.state;
 	const generation = getGeneration(revision);
 	// A record of an earlier store generation may be out of date: another primary may have been promoted since, as in an unfinished change.
-	const before = isAffirmed(held, revision) ? held : {...held, phase: LeadPhase.Changing};
+	const before = isInCurrentGeneration(held, revision) ? held : {...held, phase: LeadershipPhase.Changing};
 
 	log.info('a primary is replaced', {
 		group, reason, planned, primary: before.primaryId, epoch: before.epoch, term: before.term, version: before.version,
 	});
 	const changing = await updateRecord(parts, {
-		...before, epoch: getNextInGeneration(generation, before.epoch), phase: LeadPhase.Changing, changedBy: parts.hostName, generation,
+		...before, epoch: getNextInGeneration(generation, before.epoch), phase: LeadershipPhase.Changing, changedBy: parts.hostName, generation,
 	}, before.version, giveUpAt);
 	if (!changing) {
 		log.info('another host changed the record first', {group, epoch: before.epoch});
@@ -108,9 +108,9 @@
 
 	// Counted from the fences and not from the hosts' responses: a host that does not respond would lengthen the time without a primary by 800 ms, its timeout in each round.
 	const [{all, fencedAt}] = await Promise.all([fence(), revocation.request()]);
-	const byTime = await revocation.wait(Math.max(markedAt, fencedAt) + EVIDENCE_MS + LEASE_MARGIN_MS);
+	const byTime = await revocation.wait(Math.max(markedAt, fencedAt) + PRIMARY_LEASE_MS + LEASE_MARGIN_MS);
 	mark();
-	if (before.phase === LeadPhase.Changing) {
+	if (before.phase === LeadershipPhase.Changing) {
 		// Another host may have given a promotion order before it died.
 		await clock.sleep(markedAt + ORDER_EFFECT_MS - elapsedClock.elapsed());
 	}
@@ -138,7 +138,7 @@
 		...changing,
 		primaryId: leading.endpointId,
 		term: leading.status.term,
-		phase: LeadPhase.Steady,
+		phase: LeadershipPhase.Steady,
 		start: leading.endpointId === before.primaryId && leading.status.term === before.term ? before.start : leading.status.received,
 	}, changing.version, giveUpAt);
 	mark();
@@ -148,7 +148,7 @@
 	}
 
 	await notifyOtherHosts(parts, group);
-	await Promise.all(revocation.silent.map(async host => parts.gone.mark(host)));
+	await Promise.all(revocation.silent.map(async host => parts.unresponsiveHosts.mark(host)));
 	const [markMs, revokeMs, chooseMs, promoteMs, settleMs] = marks.slice(1).map((at, i) => Math.round(at - marks[i]!)) as [number, number, number, number, number];
 	const times = {
 		markMs, revokeMs, chooseMs, promoteMs, settleMs,
@@ -163,7 +163,7 @@
 /** Abandons a change whose record is lost. If another host is changing the group by now, that host lifts the fences. */
 function abandonChange(parts: ReplacePrimaryParts, group: string) {
 	const record = parts.mirror.state.leadership.get(group);
-	if (record?.phase === LeadPhase.Steady) {
+	if (record?.phase === LeadershipPhase.Steady) {
 		liftFences(parts, group, record.primaryId);
 	}
 }
--- a/src/leadership/replacements.ts
+++ b/src/leadership/replacements.ts
@@ -2,7 +2,7 @@
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {isPeerError} from '../peers/peer-errors.js';
 import type {Peers} from '../peers/peers.js';
-import type {DutyLease} from './duty-lease.js';
+import type {FailoverLease} from './failover-lease.js';
 import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 import type {Replacement} from './replace-primary.js';
 
@@ -21,7 +21,7 @@
 
 /** What {@link createReplacements} needs. */
 export type ReplacementsOptions = {
-	readonly failoverLease: DutyLease;
+	readonly failoverLease: FailoverLease;
 	readonly mirror: StoreMirror;
 	readonly peers: Peers;
 	readonly log: Log;
--- a/src/leadership/rewrite-record.ts
+++ b/src/leadership/rewrite-record.ts
@@ -8,8 +8,8 @@
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
 import {liftFences} from './ask-endpoints.js';
-import type {LeadEvidences} from './lead-evidence.js';
-import {getLeadershipName, isAffirmed, type LeadershipRecord} from './leadership-record.js';
+import type {PrimaryLeases} from './primary-leases.js';
+import {getLeadershipName, isInCurrentGeneration, type LeadershipRecord} from './leadership-record.js';
 
 /** Rewrites leadership records in a store that was restored from a backup. */
 export type RecordRewriter = {
@@ -24,7 +24,7 @@
 export type RecordRewriterOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
-	readonly primaryLeases: LeadEvidences;
+	readonly primaryLeases: PrimaryLeases;
 	readonly directory: EndpointDirectory;
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
@@ -57,7 +57,7 @@
 	/** Whether, after a wait, the stored record is unchanged and still has to be rewritten. */
 	const isPending = ({group, epoch, version}: Versioned<LeadershipRecord>) => {
 		const record = mirror.state.leadership.get(group);
-		return record?.epoch === epoch && record.version === version && !isAffirmed(record, mirror.state.revision);
+		return record?.epoch === epoch && record.version === version && !isInCurrentGeneration(record, mirror.state.revision);
 	};
 
 	const write = async ({version, ...value}: Versioned<LeadershipRecord>) => {
--- a/src/leadership/unresolved-groups.ts
+++ b/src/leadership/unresolved-groups.ts
@@ -2,8 +2,8 @@
 import type {Random} from '../random/random.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import {DUTY_LEASE_MS, type DutyLease} from './duty-lease.js';
-import {LeadPhase, type LeadershipRecord} from './leadership-record.js';
+import {FAILOVER_LEASE_MS, type FailoverLease} from './failover-lease.js';
+import {LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
 import type {RecordRewriter} from './rewrite-record.js';
 import type {Replacements} from './replacements.js';
 
@@ -15,7 +15,7 @@
 
 /** What {@link createUnresolvedGroups} needs. */
 export type UnresolvedGroupsOptions = {
-	readonly failoverLease: DutyLease;
+	readonly failoverLease: FailoverLease;
 	readonly rewriter: RecordRewriter;
 	readonly replacements: Replacements;
 	readonly clock: Clock;
@@ -29,7 +29,7 @@
 };
 
 /** A change without progress for this long, in milliseconds, has lost the host that was making it. */
-const STALLED_AFTER_MS = DUTY_LEASE_MS + 400;
+const STALLED_AFTER_MS = FAILOVER_LEASE_MS + 400;
 
 /** If no host has rewritten a record for this long after a store restore, in milliseconds, no host holds a lease of its primary: all attempts are made within this time. */
 const NOT_REWRITTEN_AFTER_MS = 1500;
@@ -73,6 +73,6 @@
 	};
 
 	return {
-		check: async record => record.phase === LeadPhase.Changing ? checkChanging(record) : checkNotRewritten(record),
+		check: async record => record.phase === LeadershipPhase.Changing ? checkChanging(record) : checkNotRewritten(record),
 	};
 }
--- a/src/leadership/gone-hosts.ts
+++ b/src/leadership/unresponsive-hosts.ts
@@ -4,7 +4,7 @@
 import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import {EVIDENCE_MS} from './lead-evidence.js';
+import {PRIMARY_LEASE_MS} from './primary-leases.js';
 import type {HostRecord} from './leadership-record.js';
 
 /**
@@ -14,15 +14,15 @@
  * could promote an endpoint while such a lease is valid. So its record stays, marked, for longer than a host may continue without the store, and
  * while it is there each replacement waits for the duration of a primary lease. The host registers again once it reads the store.
  */
-export type GoneHosts = {
+export type UnresponsiveHosts = {
 	/** Marks a host that did not respond, so that the next replacement sends it no request. */
 	mark(host: Versioned<HostRecord>): Promise<void>;
 	/** Deletes the records of hosts that have been marked for longer than {@link RETENTION_MS}. */
 	sweep(): Promise<void>;
 };
 
-/** What {@link createGoneHosts} needs. */
-export type GoneHostsOptions = {
+/** What {@link createUnresponsiveHosts} needs. */
+export type UnresponsiveHostsOptions = {
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly elapsedClock: ElapsedClock;
@@ -30,12 +30,12 @@
 };
 
 /** A marked record is deleted after this time, in milliseconds: longer than a host may continue without the store plus the duration of a primary lease. */
-const RETENTION_MS = LONGEST_WITHOUT_STORE_MS + (2 * EVIDENCE_MS);
+const RETENTION_MS = LONGEST_WITHOUT_STORE_MS + (2 * PRIMARY_LEASE_MS);
 
 const STORE_TIMEOUT_MS = 900;
 
 /** Creates the marking of unresponsive hosts. */
-export function createGoneHosts({store, mirror, elapsedClock, log: parentLog}: GoneHostsOptions): GoneHosts {
+export function createUnresponsiveHosts({store, mirror, elapsedClock, log: parentLog}: UnresponsiveHostsOptions): UnresponsiveHosts {
 	const log = parentLog.part('hosts: ');
 	const seenAt = new Map<string, number>();
 
--- a/src/leadership/update-record.ts
+++ b/src/leadership/update-record.ts
@@ -2,7 +2,7 @@
 import type {Versioned} from '../mirror/mirror-state.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {PlatformConflictError, PlatformError} from '../object-store/platform-errors.js';
-import {getLeadershipName, isAffirmed, type LeadershipRecord} from './leadership-record.js';
+import {getLeadershipName, isInCurrentGeneration, type LeadershipRecord} from './leadership-record.js';
 import {RETRY_MS, type ReplacePrimaryParts} from './replace-parts.js';
 
 const STORE_TIMEOUT_MS = 900;
@@ -46,7 +46,7 @@
 	while (clock.now() < until) {
 		if (await mirror.confirm()) {
 			const record = mirror.state.leadership.get(written.group);
-			return record?.version === written.version && isAffirmed(record, mirror.state.revision);
+			return record?.version === written.version && isInCurrentGeneration(record, mirror.state.revision);
 		}
 
 		await clock.sleep(RETRY_MS);
@@ -59,7 +59,7 @@
 async function findOwnUpdate(mirror: StoreMirror, record: LeadershipRecord) {
 	await mirror.confirm();
 	const found = mirror.state.leadership.get(record.group);
-	const isStored = found?.generation === record.generation && isAffirmed(record, mirror.state.revision);
+	const isStored = found?.generation === record.generation && isInCurrentGeneration(record, mirror.state.revision);
 	const isOwn = isStored && found?.changedBy === record.changedBy && found.epoch === record.epoch && found.phase === record.phase && found.primaryId === record.primaryId;
 	return isOwn ? found : undefined;
 }
--- a/src/lending/link-lender.ts
+++ b/src/lending/link-lender.ts
@@ -1,7 +1,7 @@
 import {LinkError} from '../links/link-errors.js';
 import type {EndpointDirectory, KnownEndpoint} from '../links/endpoint-directory.js';
 import type {SessionLink} from '../links/link-session.js';
-import type {LeadEvidences} from '../leadership/lead-evidence.js';
+import type {PrimaryLeases} from '../leadership/primary-leases.js';
 import type {Log} from '../log/log.js';
 import type {Peers} from '../peers/peers.js';
 import type {PlacementKnowledge} from '../placement/placement-knowledge.js';
@@ -35,7 +35,7 @@
 export type LinkLenderOptions = {
 	readonly peers: Peers;
 	readonly directory: EndpointDirectory;
-	readonly evidences: LeadEvidences;
+	readonly evidences: PrimaryLeases;
 	readonly knowledge: PlacementKnowledge;
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
--- a/src/mirror/mirror-state.ts
+++ b/src/mirror/mirror-state.ts
@@ -1,6 +1,6 @@
 import {
-	DUTY_NAME, getUnreadableDuty, getUnreadableHost, getUnreadableLeadership, isAffirmed, parseDuty, parseHost, parseLeadership,
-	type DutyRecord, type HostRecord, type LeadershipRecord,
+	FAILOVER_LEASE_NAME, getUnreadableFailoverLease, getUnreadableHost, getUnreadableLeadership, isInCurrentGeneration, parseFailoverLease, parseHost, parseLeadership,
+	type FailoverLeaseRecord, type HostRecord, type LeadershipRecord,
 } from '../leadership/leadership-record.js';
 import type {RegisteredEndpoint, Routing} from '../routes/routing.js';
 import type {StoredRecord} from './metadata-store.js';
@@ -16,7 +16,7 @@
 	readonly routing?: Routing;
 	readonly endpoints: readonly RegisteredEndpoint[];
 	readonly leadership: ReadonlyMap<string, Versioned<LeadershipRecord>>;
-	readonly duty?: Versioned<DutyRecord>;
+	readonly duty?: Versioned<FailoverLeaseRecord>;
 	readonly hosts: ReadonlyArray<Versioned<HostRecord>>;
 };
 
@@ -27,16 +27,16 @@
 
 /** Returns whether the state holds records that have not been rewritten in the current store generation, which is so for a while after a store restore. */
 export function holdsRecordsOfBefore({hosts, leadership, revision}: MirrorState): boolean {
-	return [...hosts, ...leadership.values()].some(record => !isAffirmed(record, revision));
+	return [...hosts, ...leadership.values()].some(record => !isInCurrentGeneration(record, revision));
 }
 
-/** Decodes the leadership records and the failover lease; unreadable ones are replaced by {@link getUnreadableLeadership} and {@link getUnreadableDuty}. */
+/** Decodes the leadership records and the failover lease; unreadable ones are replaced by {@link getUnreadableLeadership} and {@link getUnreadableFailoverLease}. */
 export function decodeLeadership(records: readonly StoredRecord[]): Pick<MirrorState, 'leadership' | 'duty'> {
 	const leadership = new Map<string, Versioned<LeadershipRecord>>();
-	let duty: Versioned<DutyRecord> | undefined;
+	let duty: Versioned<FailoverLeaseRecord> | undefined;
 	for (const {name, version, value} of records) {
-		if (name === DUTY_NAME) {
-			duty = {...(parseDuty(value) ?? getUnreadableDuty(version)), version};
+		if (name === FAILOVER_LEASE_NAME) {
+			duty = {...(parseFailoverLease(value) ?? getUnreadableFailoverLease(version)), version};
 			continue;
 		}
 
--- a/src/mirror/state-difference.ts
+++ b/src/mirror/state-difference.ts
@@ -1,5 +1,5 @@
 import {isDeepStrictEqual} from 'node:util';
-import type {DutyRecord, HostRecord, LeadershipRecord} from '../leadership/leadership-record.js';
+import type {FailoverLeaseRecord, HostRecord, LeadershipRecord} from '../leadership/leadership-record.js';
 import type {
 	RegisteredEndpoint, Route, RoutedGroup, Routing,
 } from '../routes/routing.js';
@@ -30,7 +30,7 @@
 		readonly workspaces: ItemsDifference<Workspace>;
 	}, number>;
 	readonly endpoints?: FromPart<ItemsDifference<RegisteredEndpoint>>;
-	readonly leadership?: FromPart<ItemsDifference<Versioned<LeadershipRecord>> & {readonly duty?: Versioned<DutyRecord>}>;
+	readonly leadership?: FromPart<ItemsDifference<Versioned<LeadershipRecord>> & {readonly duty?: Versioned<FailoverLeaseRecord>}>;
 	readonly hosts?: FromPart<ItemsDifference<Versioned<HostRecord>>>;
 };
 
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -2,17 +2,17 @@
 import type {ProxyMetrics} from '../gateway/prom-gateway-metrics.js';
 import {createKernel, type Kernel} from '../kernel/kernel.js';
 import {createCutOffs} from '../leadership/cut-offs.js';
-import {createDutyLease, type DutyLease} from '../leadership/duty-lease.js';
-import {createGoneHosts} from '../leadership/gone-hosts.js';
-import {createHostCensus, type HostCensus} from '../leadership/host-census.js';
-import {createLeadEvidences, type LeadEvidences} from '../leadership/lead-evidence.js';
-import {createLeadWatch, type LeadWatch} from '../leadership/lead-watch.js';
+import {createFailoverLease, type FailoverLease} from '../leadership/failover-lease.js';
+import {createUnresponsiveHosts} from '../leadership/unresponsive-hosts.js';
+import {createHostLivenessCheck, type HostLivenessCheck} from '../leadership/host-liveness.js';
+import {createPrimaryLeases, type PrimaryLeases} from '../leadership/primary-leases.js';
+import {createLeadershipWatch, type LeadershipWatch} from '../leadership/leadership-watch.js';
 import {createPrimaryWork} from '../leadership/primary-work.js';
-import {LeadPhase, type HostRecord} from '../leadership/leadership-record.js';
+import {LeadershipPhase, type HostRecord} from '../leadership/leadership-record.js';
 import type {PromotionOrders} from '../leadership/promotion-orders.js';
 import {createHostRegistration, type HostRegistration} from '../leadership/register-host.js';
 import {replacePrimary} from '../leadership/replace-primary.js';
-import {createStoreReturns} from '../leadership/store-returns.js';
+import {createStoreRestores} from '../leadership/store-restores.js';
 import {createEndpointDirectory, type EndpointDirectory} from '../links/endpoint-directory.js';
 import type {LinkOpener} from '../links/endpoint-link.js';
 import {createLenders, type Lenders} from '../lending/lenders.js';
@@ -29,7 +29,7 @@
 import {getHigherFloor, limitToStart} from '../placement/position-samples.js';
 import {WeighedPlacement, type ReadPlacement} from '../placement/read-placement.js';
 import type {Random} from '../random/random.js';
-import {getLongestRestMs} from '../routes/routing.js';
+import {getMaxTransactionIdleMs} from '../routes/routing.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
 import {createCallerAccess} from '../workspaces/caller-access.js';
@@ -40,10 +40,10 @@
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
 		storeMirror: StoreMirror;
-		primaryLeases: LeadEvidences;
-		dutyLease: DutyLease;
-		leadershipWatch: LeadWatch;
-		hostLiveness: HostCensus;
+		primaryLeases: PrimaryLeases;
+		dutyLease: FailoverLease;
+		leadershipWatch: LeadershipWatch;
+		hostLiveness: HostLivenessCheck;
 		hostRegistration: HostRegistration;
 		endpointDirectory: EndpointDirectory;
 		poolHosts: Lenders;
@@ -99,7 +99,7 @@
 			primaryLeases.noteUnfenced(group, epoch, askedAt);
 		},
 	});
-	const primaryLeases: LeadEvidences = createLeadEvidences({mirror, ownPeerAddress: peerAddress, isKnownToAll: at => registration.isKnownToAll(at)});
+	const primaryLeases: PrimaryLeases = createPrimaryLeases({mirror, ownPeerAddress: peerAddress, isKnownToAll: at => registration.isKnownToAll(at)});
 	const knowledge = createPlacementKnowledge();
 	const primaryWork = createPrimaryWork(clock);
 	const cutOffs = createCutOffs();
@@ -116,7 +116,7 @@
 		}),
 		getLeastPosition({id, group}) {
 			const record = mirror.state.leadership.get(group);
-			const leads = record?.phase === LeadPhase.Steady && record.primaryId === id;
+			const leads = record?.phase === LeadershipPhase.Steady && record.primaryId === id;
 			const seen = knowledge.getSamples(group).getNewest()?.position;
 			return leads ? getHigherFloor(record.start, seen && limitToStart(seen, record)) : undefined;
 		},
@@ -130,7 +130,7 @@
 		elapsedClock,
 		random,
 		log,
-		getLongestRestMs: () => getLongestRestMs(mirror.state.routing),
+		getLongestRestMs: () => getMaxTransactionIdleMs(mirror.state.routing),
 	});
 	const sampleFetcher = createSampleBorrowing({
 		peers, lenders: poolHosts, knowledge, clock, elapsedClock, unreachable,
@@ -144,25 +144,25 @@
 		getKnown: () => ({routing: mirror.state.routing, routingConfirmedAt: mirror.routingConfirmedAt}),
 		revokeWithinMs: parts.revokeWithinMs,
 	});
-	const failoverLease = createDutyLease({
+	const failoverLease = createFailoverLease({
 		store, mirror, elapsedClock, log, hostName, incarnation,
 	});
-	const unresponsiveHosts = createGoneHosts({
+	const unresponsiveHosts = createUnresponsiveHosts({
 		store, mirror, elapsedClock, log,
 	});
-	const storeRestores = createStoreReturns({mirror, elapsedClock});
+	const storeRestores = createStoreRestores({mirror, elapsedClock});
 	const registration: HostRegistration = createHostRegistration({
 		store, mirror, log, clock, elapsedClock, random, host,
 	});
-	const leadershipWatch: LeadWatch = createLeadWatch({
+	const leadershipWatch: LeadershipWatch = createLeadershipWatch({
 		store,
 		mirror,
 		directory,
 		lenders: poolHosts,
-		evidences: primaryLeases,
+		primaryLeases,
 		primaryWork,
 		cutOffs,
-		duty: failoverLease,
+		failoverLease,
 		peers,
 		clock,
 		elapsedClock,
@@ -175,11 +175,11 @@
 			store,
 			mirror,
 			directory,
-			evidences: primaryLeases,
+			primaryLeases,
 			primaryWork,
-			duty: failoverLease,
-			gone: unresponsiveHosts,
-			returns: storeRestores,
+			failoverLease,
+			unresponsiveHosts,
+			storeRestores,
 			orders,
 			peers,
 			clock,
@@ -219,7 +219,7 @@
 		}
 
 		knowledge.keepOnly(new Set(mirror.state.endpoints.map(({id}) => id)));
-		void registration.keep();
+		void registration.ensureRegistered();
 	});
 
 	kernel.register('clock', clock);
@@ -236,8 +236,8 @@
 	kernel.register('dutyLease', failoverLease);
 	kernel.register('hostRegistration', registration);
 	kernel.register('leadershipWatch', leadershipWatch);
-	kernel.register('hostLiveness', createHostCensus({
-		mirror, peers, gone: unresponsiveHosts, clock, log, ownPeerAddress: peerAddress,
+	kernel.register('hostLiveness', createHostLivenessCheck({
+		mirror, peers, unresponsiveHosts, clock, log, ownPeerAddress: peerAddress,
 	}));
 	kernel.register('gateway', gateway);
 	kernel.register('storeMirror', mirror);
--- a/src/proxy/leave.ts
+++ b/src/proxy/leave.ts
@@ -1,7 +1,7 @@
 import type {Gateway} from '../gateway/gateway.js';
 import {STOP_REASON} from '../gateway/stop-answers.js';
 import {createStopPlan} from '../gateway/stop-plan.js';
-import type {LeadWatch} from '../leadership/lead-watch.js';
+import type {LeadershipWatch} from '../leadership/leadership-watch.js';
 import type {LinkLender} from '../lending/link-lender.js';
 import type {Log} from '../log/log.js';
 import type {Clock} from '../time/clock.js';
@@ -9,7 +9,7 @@
 /** Options of {@link leave}. */
 export type LeaveOptions = {
 	readonly gateway: Gateway;
-	readonly leadershipWatch: Pick<LeadWatch, 'retire' | 'replacing'>;
+	readonly leadershipWatch: Pick<LeadershipWatch, 'retire' | 'replacing'>;
 	/** Checkouts of this host's connections by other hosts. */
 	readonly checkoutServer: Pick<LinkLender, 'loans' | 'retire' | 'endResting'>;
 	/** The port to which callers connect. */
--- a/src/routes/routing.ts
+++ b/src/routes/routing.ts
@@ -56,7 +56,7 @@
  * Returns the longest time between two requests of a transaction on its connection, in milliseconds, after which its host ends it: the longest statement
  * and the idle time. Without a configuration no transaction begins.
  */
-export function getLongestRestMs(routing: Routing | undefined): number {
+export function getMaxTransactionIdleMs(routing: Routing | undefined): number {
 	const longestStatementMs = Math.max(0, ...[...routing?.routes.values() ?? []].map(({statementTimeoutMs}) => statementTimeoutMs));
 	return longestStatementMs + (routing?.idleTransactionMs ?? 0);
 }
--- a/tests/gateway/acknowledge-commit-tests.ts
+++ b/tests/gateway/acknowledge-commit-tests.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
 import type {GatewayParts} from '../../src/gateway/gateway-parts.js';
 import {mayAcknowledge} from '../../src/gateway/acknowledge-commit.js';
-import type {LeadEvidence} from '../../src/leadership/lead-evidence.js';
+import type {PrimaryLease} from '../../src/leadership/primary-leases.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-const LEASE: LeadEvidence = {
+const LEASE: PrimaryLease = {
 	group: 'g', primaryId: 'p', term: 1, epoch: 1, start: {term: 1, position: 0},
 };
 
@@ -40,7 +40,7 @@
 					},
 				},
 				primaryLeases: {
-					holds: (_lease: LeadEvidence, now: number) => now < times.holdsUntil || now >= (times.holdsFrom ?? Number.POSITIVE_INFINITY),
+					holds: (_lease: PrimaryLease, now: number) => now < times.holdsUntil || now >= (times.holdsFrom ?? Number.POSITIVE_INFINITY),
 					isSuperseded: () => elapsed() >= (times.supersededFrom ?? Number.POSITIVE_INFINITY),
 					changed: async (signal: AbortSignal) => clock.sleep(50, signal),
 				},
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -60,12 +60,12 @@
 	{
 		name: 'duty-end',
 		without: 'the end of the duty before an order',
-		changes: [inLeadership('duty-lease.ts', 'return held && elapsedClock.elapsed() + ms < held.until ? held.token : undefined;', 'return held && ms > 0 ? held.token : undefined;')],
+		changes: [inLeadership('failover-lease.ts', 'return held && elapsedClock.elapsed() + ms < held.until ? held.token : undefined;', 'return held && ms > 0 ? held.token : undefined;')],
 	},
 	{
 		name: 'duty-of-another',
 		without: 'the wait for the end of another\'s duty',
-		changes: [inLeadership('duty-lease.ts', 'now - seenSince >= DUTY_LEASE_MS + MARGIN_MS;', 'now >= seenSince;')],
+		changes: [inLeadership('failover-lease.ts', 'now - seenSince >= FAILOVER_LEASE_MS + MARGIN_MS;', 'now >= seenSince;')],
 	},
 	{
 		name: 'shown-term',
@@ -116,24 +116,24 @@
 		name: 'registered',
 		without: 'registration as a condition of evidence',
 		changes: [
-			inLeadership('lead-evidence.ts', 'isUnexpired(group, record.epoch, now) && isRegistered() ?', 'isUnexpired(group, record.epoch, now) ?'),
-			inLeadership('lead-evidence.ts', '!isRevoked && isUnexpired(group, epoch, now) && isRegistered()', '!isRevoked && isUnexpired(group, epoch, now)'),
+			inLeadership('primary-leases.ts', 'isUnexpired(group, record.epoch, now) && isRegistered() ?', 'isUnexpired(group, record.epoch, now) ?'),
+			inLeadership('primary-leases.ts', '!isRevoked && isUnexpired(group, epoch, now) && isRegistered()', '!isRevoked && isUnexpired(group, epoch, now)'),
 		],
 	},
 	{
 		name: 'steady',
 		without: 'the phase of a record: one that is changing gives evidence too',
 		changes: [
-			inLeadership('lead-evidence.ts', 'if (record.phase === LeadPhase.Steady && mirror', 'if (mirror'),
-			inLeadership('lead-evidence.ts', 'const usable = record?.phase === LeadPhase.Steady && record.epoch', 'const usable = record !== undefined && record.epoch'),
+			inLeadership('primary-leases.ts', 'if (record.phase === LeadershipPhase.Steady && mirror', 'if (mirror'),
+			inLeadership('primary-leases.ts', 'const usable = record?.phase === LeadershipPhase.Steady && record.epoch', 'const usable = record !== undefined && record.epoch'),
 		],
 	},
 	{
 		name: 'give-up',
 		without: 'the giving up of evidence when asked',
 		changes: [
-			inLeadership('lead-watch.ts', 'primaryLeases.pause(group, epoch);', ''),
-			inLeadership('lead-watch.ts', 'primaryLeases.revoke(group, epoch);', ''),
+			inLeadership('leadership-watch.ts', 'primaryLeases.pause(group, epoch);', ''),
+			inLeadership('leadership-watch.ts', 'primaryLeases.revoke(group, epoch);', ''),
 		],
 	},
 	{
@@ -167,12 +167,12 @@
 	{
 		name: 'affirmed-evidence',
 		without: 'the generation of a record as a condition of evidence',
-		changes: [inLeadership('lead-evidence.ts', ' && isAffirmed(record, mirror.state.revision)) {', ') {')],
+		changes: [inLeadership('primary-leases.ts', ' && isInCurrentGeneration(record, mirror.state.revision)) {', ') {')],
 	},
 	{
 		name: 'affirmed-change',
 		without: 'the care for a record of before in a replacement: it is taken as it stands',
-		changes: [inLeadership('replace-primary.ts', 'const before = isAffirmed(held, revision) ? held :', 'const before = isAffirmed(held, held.version) ? held :')],
+		changes: [inLeadership('replace-primary.ts', 'const before = isInCurrentGeneration(held, revision) ? held :', 'const before = isInCurrentGeneration(held, held.version) ? held :')],
 	},
 	{
 		name: 'later-epoch',
@@ -200,12 +200,12 @@
 	{
 		name: 'duty-after-return',
 		without: 'the wait for a duty that a restored store may have lost',
-		changes: [inLeadership('duty-lease.ts', 'if (isRecentlyRestored(now)) {', 'if (isRecentlyRestored(now) && now < 0) {')],
+		changes: [inLeadership('failover-lease.ts', 'if (isRecentlyRestored(now)) {', 'if (isRecentlyRestored(now) && now < 0) {')],
 	},
 	{
 		name: 'token-of-generation',
 		without: 'tokens above all of earlier generations',
-		changes: [inLeadership('duty-lease.ts', 'getNextInGeneration(generation, record?.token ?? 0)', '(record?.token ?? 0) + 1')],
+		changes: [inLeadership('failover-lease.ts', 'getNextInGeneration(generation, record?.token ?? 0)', '(record?.token ?? 0) + 1')],
 	},
 	{
 		name: 'versions-of-before',
--- a/tests/leadership/ask-endpoints-tests.ts
+++ b/tests/leadership/ask-endpoints-tests.ts
@@ -39,11 +39,11 @@
 		hostName: 'entry-1',
 		ownPeerAddress: 'entry-1:7000',
 		directory: {list: () => endpoints, get: (id: string) => endpoints.find(({entry}) => entry.id === id)},
-		duty: {take: async () => true, getToken: () => 1, getOtherHolder: () => undefined},
-		evidences: {pause: () => undefined, revoke: () => undefined},
+		failoverLease: {take: async () => true, getToken: () => 1, getOtherHolder: () => undefined},
+		primaryLeases: {pause: () => undefined, revoke: () => undefined},
 		primaryWork: {drain: async () => undefined},
-		gone: {mark: async () => undefined, sweep: async () => undefined},
-		returns: {mayLackHosts: () => false, getLostHosts: () => []},
+		unresponsiveHosts: {mark: async () => undefined, sweep: async () => undefined},
+		storeRestores: {mayLackHosts: () => false, getLostHosts: () => []},
 		mirror: {
 			confirm: async () => true,
 			state: {
--- a/tests/leadership/duty-lease-tests.ts
+++ b/tests/leadership/failover-lease-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createDutyLease, DUTY_LEASE_MS, type DutyLease} from '../../src/leadership/duty-lease.js';
+import {createFailoverLease, FAILOVER_LEASE_MS, type FailoverLease} from '../../src/leadership/failover-lease.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import {createStoreMirror, type StoreMirror} from '../../src/mirror/store-mirror.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
@@ -10,8 +10,8 @@
 type Fixture = {
 	readonly clock: VirtualClock;
 	readonly store: InMemoryMetadataStore;
-	create(hostName: string, incarnation: string): Promise<{readonly lease: DutyLease; readonly mirror: StoreMirror}>;
-	take(lease: DutyLease): Promise<boolean>;
+	create(hostName: string, incarnation: string): Promise<{readonly lease: FailoverLease; readonly mirror: StoreMirror}>;
+	take(lease: FailoverLease): Promise<boolean>;
 	confirm(mirror: StoreMirror): Promise<boolean>;
 };
 
@@ -38,7 +38,7 @@
 				noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 			});
 			await clock.runUntil(mirror.confirm());
-			const lease = createDutyLease({
+			const lease = createFailoverLease({
 				store: store.getClient(hostName), mirror, elapsedClock, log: createSilentLog(), hostName, incarnation,
 			});
 			lease.getOtherHolder();
@@ -60,9 +60,9 @@
 		const fixture = createFixture();
 		const {lease} = await fixture.create('a', '1');
 		await fixture.take(lease);
-		await fixture.clock.advance(DUTY_LEASE_MS - 500);
+		await fixture.clock.advance(FAILOVER_LEASE_MS - 500);
 		await fixture.take(lease);
-		await fixture.clock.advance(DUTY_LEASE_MS - 500);
+		await fixture.clock.advance(FAILOVER_LEASE_MS - 500);
 		expect(lease.getToken(100)).to.equal(1);
 	});
 
@@ -70,7 +70,7 @@
 		const fixture = createFixture();
 		const {lease} = await fixture.create('a', '1');
 		await fixture.take(lease);
-		await fixture.clock.advance(DUTY_LEASE_MS - 500);
+		await fixture.clock.advance(FAILOVER_LEASE_MS - 500);
 		expect([lease.getToken(400), lease.getToken(600)]).to.deep.equal([1, undefined]);
 	});
 
@@ -82,7 +82,7 @@
 		await fixture.take(first.lease);
 		await fixture.clock.runUntil(second.mirror.confirm());
 		expect([await fixture.take(second.lease), second.lease.getOtherHolder()]).to.deep.equal([false, 'a']);
-		await fixture.clock.advance(DUTY_LEASE_MS);
+		await fixture.clock.advance(FAILOVER_LEASE_MS);
 		expect(await fixture.take(second.lease)).to.equal(false);
 		await fixture.clock.advance(300);
 		expect([first.lease.getToken(1), await fixture.take(second.lease), second.lease.getToken(100)]).to.deep.equal([undefined, true, 2]);
@@ -114,7 +114,7 @@
 		fixture.store.restore(backup);
 		await fixture.confirm(second.mirror);
 		expect([await fixture.take(second.lease), first.lease.getToken(100) !== undefined]).to.deep.equal([false, true]);
-		await fixture.clock.advance(DUTY_LEASE_MS + 300);
+		await fixture.clock.advance(FAILOVER_LEASE_MS + 300);
 		expect([await fixture.take(second.lease), first.lease.getToken(1)]).to.deep.equal([true, undefined]);
 	});
 
@@ -125,7 +125,7 @@
 		await fixture.take(first.lease);
 		const backup = fixture.store.takeCopy();
 		const second = await fixture.create('b', '1');
-		await fixture.clock.advance(DUTY_LEASE_MS + 300);
+		await fixture.clock.advance(FAILOVER_LEASE_MS + 300);
 		await fixture.take(second.lease);
 		fixture.store.restore(backup);
 		await fixture.confirm(first.mirror);
@@ -141,7 +141,7 @@
 		const before = first.lease.getToken(100)!;
 		fixture.store.restore(backup);
 		const second = await fixture.create('b', '1');
-		await fixture.clock.advance(DUTY_LEASE_MS + 300);
+		await fixture.clock.advance(FAILOVER_LEASE_MS + 300);
 		expect(await fixture.take(second.lease)).to.equal(true);
 		expect(second.lease.getToken(100)).to.be.greaterThan(before);
 	});
@@ -154,7 +154,7 @@
 		await fixture.clock.advance(1000);
 		fixture.store.restore(backup);
 		await fixture.confirm(mirror);
-		expect([await fixture.take(lease), lease.getToken(DUTY_LEASE_MS - 200)]).to.deep.equal([true, 1]);
+		expect([await fixture.take(lease), lease.getToken(FAILOVER_LEASE_MS - 200)]).to.deep.equal([true, 1]);
 	});
 
 	/** The host read the store before its restore, but its update was done afterwards, when the lease of another holder may be running. */
--- a/tests/leadership/lease-revocation-tests.ts
+++ b/tests/leadership/lease-revocation-tests.ts
@@ -23,13 +23,13 @@
 		elapsedClock: {elapsed: () => clock.now()},
 		log: createSilentLog(),
 		ownPeerAddress: OWN,
-		evidences: {
+		primaryLeases: {
 			pause: () => undefined,
 			revoke() {
 				revoked.push('entry-1');
 			},
 		},
-		returns: {mayLackHosts: () => mayLackHosts, getLostHosts: () => lost.map(({name}) => ({name, peerAddress: `${name}:7000`}))},
+		storeRestores: {mayLackHosts: () => mayLackHosts, getLostHosts: () => lost.map(({name}) => ({name, peerAddress: `${name}:7000`}))},
 		primaryWork: {drain: async () => undefined},
 		mirror: {
 			confirm: async () => confirms,
--- a/tests/leadership/lead-evidence-tests.ts
+++ b/tests/leadership/primary-leases-tests.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {
-	createLeadEvidences, EVIDENCE_MS, type LeadEvidence,
-} from '../../src/leadership/lead-evidence.js';
-import type {LeadPhase} from '../../src/leadership/leadership-record.js';
+	createPrimaryLeases, PRIMARY_LEASE_MS, type PrimaryLease,
+} from '../../src/leadership/primary-leases.js';
+import type {LeadershipPhase} from '../../src/leadership/leadership-record.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import {LONGEST_WITHOUT_STORE_MS} from '../../src/mirror/peer-help.js';
 import type {StoreMirror} from '../../src/mirror/store-mirror.js';
@@ -31,7 +31,7 @@
 
 	return {
 		mirror,
-		set(phase: LeadPhase, epoch: number, askedAt: number, gone = false) {
+		set(phase: LeadershipPhase, epoch: number, askedAt: number, gone = false) {
 			held.state = {
 				...EMPTY_STATE,
 				revision: epoch,
@@ -52,11 +52,11 @@
 
 function create(isKnownToAll = true) {
 	const set = createSettableMirror();
-	const primaryLeases = createLeadEvidences({mirror: set.mirror, ownPeerAddress: SELF, isKnownToAll: () => isKnownToAll});
+	const primaryLeases = createPrimaryLeases({mirror: set.mirror, ownPeerAddress: SELF, isKnownToAll: () => isKnownToAll});
 	return {...set, primaryLeases};
 }
 
-function getOrThrow(lease: LeadEvidence | undefined): LeadEvidence {
+function getOrThrow(lease: PrimaryLease | undefined): PrimaryLease {
 	expect(lease).to.not.equal(undefined);
 	return lease!;
 }
@@ -65,15 +65,15 @@
 	it('runs from the request, not from the response', () => {
 		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
-		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS - 1)?.primaryId).to.equal('p');
-		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
+		expect(primaryLeases.get('g', 1000 + PRIMARY_LEASE_MS - 1)?.primaryId).to.equal('p');
+		expect(primaryLeases.get('g', 1000 + PRIMARY_LEASE_MS)).to.equal(undefined);
 	});
 
 	it('is renewed by each confirmation', () => {
 		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
 		set('steady', 1, 2000);
-		expect(primaryLeases.get('g', 2000 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
+		expect(primaryLeases.get('g', 2000 + PRIMARY_LEASE_MS - 1)?.epoch).to.equal(1);
 	});
 
 	it('is not given while the group is changing, and work in progress may still finish', () => {
@@ -83,7 +83,7 @@
 		set('changing', 2, 1500);
 		expect(primaryLeases.get('g', 1600)).to.equal(undefined);
 		expect(primaryLeases.holds(begun, 1600)).to.equal(true);
-		expect(primaryLeases.holds(begun, 1000 + EVIDENCE_MS)).to.equal(false);
+		expect(primaryLeases.holds(begun, 1000 + PRIMARY_LEASE_MS)).to.equal(false);
 	});
 
 	it('ends permanently once it is revoked', () => {
@@ -116,7 +116,7 @@
 		const {set, primaryLeases} = create();
 		set('steady', 1, 1000);
 		primaryLeases.noteUnfenced('g', 1, 3500);
-		expect(primaryLeases.get('g', 3500 + EVIDENCE_MS - 1)?.epoch).to.equal(1);
+		expect(primaryLeases.get('g', 3500 + PRIMARY_LEASE_MS - 1)?.epoch).to.equal(1);
 		primaryLeases.noteUnfenced('g', 1, 1000 + LONGEST_WITHOUT_STORE_MS);
 		expect(primaryLeases.get('g', 1000 + LONGEST_WITHOUT_STORE_MS)).to.equal(undefined);
 	});
@@ -137,7 +137,7 @@
 		const {set, primaryLeases} = create(false);
 		set('steady', 1, 1000);
 		primaryLeases.noteUnfenced('g', 1, 3500);
-		expect(primaryLeases.get('g', 1000 + EVIDENCE_MS)).to.equal(undefined);
+		expect(primaryLeases.get('g', 1000 + PRIMARY_LEASE_MS)).to.equal(undefined);
 	});
 
 	it('is not renewed for another epoch', () => {
--- a/tests/leadership/promote-best-tests.ts
+++ b/tests/leadership/promote-best-tests.ts
@@ -45,7 +45,7 @@
 		clock,
 		log: createSilentLog(),
 		hostName: 'entry-1',
-		duty: {getToken: () => 1, take: async () => true, getOtherHolder: () => undefined},
+		failoverLease: {getToken: () => 1, take: async () => true, getOtherHolder: () => undefined},
 		directory: {get: (endpointId: string) => ({pool: {ask: async () => ask(endpointId)}})},
 		orders: {
 			async promote({endpointId}: {readonly endpointId: string}) {
--- a/tests/leadership/store-returns-tests.ts
+++ b/tests/leadership/store-restores-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
-import {EVIDENCE_MS} from '../../src/leadership/lead-evidence.js';
-import {createStoreReturns} from '../../src/leadership/store-returns.js';
+import {PRIMARY_LEASE_MS} from '../../src/leadership/primary-leases.js';
+import {createStoreRestores} from '../../src/leadership/store-restores.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import {LONGEST_WITHOUT_STORE_MS} from '../../src/mirror/peer-help.js';
 import {placeInGeneration} from '../../src/mirror/store-generation.js';
@@ -31,7 +31,7 @@
 			notify = listener;
 		},
 	} as unknown as StoreMirror;
-	const restores = createStoreReturns({mirror, elapsedClock: {elapsed: () => now}});
+	const restores = createStoreRestores({mirror, elapsedClock: {elapsed: () => now}});
 	for (const {at, ...next} of readings) {
 		state = {...EMPTY_STATE, ...next};
 		now = at;
@@ -53,15 +53,15 @@
 	}
 
 	doTest('if the store was never restored', [{at: 100, revision: 5, hosts: [ONE]}, {at: 800, revision: 6, hosts: [ONE]}], 0);
-	doTest('after a restore that this host observed', [{at: 100, revision: 5}, {at: 3000, revision: RESTORED}], EVIDENCE_MS + 150);
-	doTest('after a restore that it observed late', [{at: 100, revision: 5}, {at: 100 + LONGEST_WITHOUT_STORE_MS, revision: RESTORED}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
-	doTest('on a host that starts while others have not registered again yet', [{at: 100, revision: RESTORED, hosts: [ONE]}], LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS);
+	doTest('after a restore that this host observed', [{at: 100, revision: 5}, {at: 3000, revision: RESTORED}], PRIMARY_LEASE_MS + 150);
+	doTest('after a restore that it observed late', [{at: 100, revision: 5}, {at: 100 + LONGEST_WITHOUT_STORE_MS, revision: RESTORED}], LONGEST_WITHOUT_STORE_MS + PRIMARY_LEASE_MS);
+	doTest('on a host that starts while others have not registered again yet', [{at: 100, revision: RESTORED, hosts: [ONE]}], LONGEST_WITHOUT_STORE_MS + PRIMARY_LEASE_MS);
 	doTest('on a host that starts after all have registered again', [{at: 100, revision: RESTORED, hosts: [{...ONE, generation: 1}]}], 0);
 
 	it('returns the hosts that were listed before and are missing now', () => {
 		const restores = createRestores({at: 100, revision: 5, hosts: [ONE, TWO]}, {at: 900, revision: RESTORED, hosts: [ONE]});
 		expect(restores.getLostHosts(900)).to.deep.equal([TWO]);
-		expect(restores.getLostHosts(900 + LONGEST_WITHOUT_STORE_MS + EVIDENCE_MS)).to.deep.equal([]);
+		expect(restores.getLostHosts(900 + LONGEST_WITHOUT_STORE_MS + PRIMARY_LEASE_MS)).to.deep.equal([]);
 	});
 
 	it('returns no host that has registered again', () => {
--- a/tests/lending/link-lender-tests.ts
+++ b/tests/lending/link-lender-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import type {LeadEvidence} from '../../src/leadership/lead-evidence.js';
+import type {PrimaryLease} from '../../src/leadership/primary-leases.js';
 import type {EndpointRequest} from '../../src/links/endpoint-link.js';
 import {createLinkLost} from '../../src/links/link-errors.js';
 import type {SessionLink} from '../../src/links/link-session.js';
@@ -40,7 +40,7 @@
 	let waiting: ReturnType<typeof createPromise<EndpointAnswer>> | undefined;
 	let released = 0;
 	let closed = false;
-	let lease: Pick<LeadEvidence, 'epoch' | 'primaryId'> | undefined;
+	let lease: Pick<PrimaryLease, 'epoch' | 'primaryId'> | undefined;
 	const link = {
 		get pending() {
 			return waiting ? 1 : 0;
--- a/tests/proxy/store-restore-tests.ts
+++ b/tests/proxy/store-restore-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {LeadPhase, type LeadershipRecord} from '../../src/leadership/leadership-record.js';
+import {LeadershipPhase, type LeadershipRecord} from '../../src/leadership/leadership-record.js';
 import {RecordKind} from '../../src/mirror/metadata-store.js';
 import type {Routing} from '../../src/routes/routing.js';
 import type {SimulatedProxy} from '../../src/stand-ins/proxies/simulated-proxies.js';
@@ -81,7 +81,7 @@
 	return refused;
 }
 
-function getStoredPhase({system}: ProxyBench): LeadPhase | undefined {
+function getStoredPhase({system}: ProxyBench): LeadershipPhase | undefined {
 	return (system.store.getRecord(RecordKind.Leadership, 'group.nights')?.value as LeadershipRecord | undefined)?.phase;
 }
 
@@ -197,7 +197,7 @@
 
 		const caller = await bench.open(others[0]!, 'sync');
 		void bench.send(caller, 'WRITE a 1');
-		await advanceUntil(bench, () => getStoredPhase(bench) === LeadPhase.Changing);
+		await advanceUntil(bench, () => getStoredPhase(bench) === LeadershipPhase.Changing);
 		// Too short for the failover lease to expire.
 		await restoreFrom(bench, copy, 0, 50);
 		expect([await countBoth(bench, apart, former), bench.group.leader.id === former.id]).to.deep.equal([0, false]);
