--- a/src/bench/workspace-links/busy-endpoint.ts
+++ b/src/bench/workspace-links/busy-endpoint.ts
@@ -112,7 +112,7 @@
 				}
 
 				await clock.sleep(wayMs);
-				listener.onHeard();
+				listener.onReceived();
 				return createLink(listener);
 			},
 		},
--- a/src/bench/workspace-links/play-keepers.ts
+++ b/src/bench/workspace-links/play-keepers.ts
@@ -59,8 +59,8 @@
 		opener: endpoint.opener,
 		clock,
 		log: createSilentLog(),
-		getLimits: () => ({maxConnections: 46, hosts: keepers, keepsOwn: true}),
-		getLeastPosition: () => undefined,
+		getLimits: () => ({maxConnections: 46, hosts: keepers, isPoolHost: true}),
+		getMinPosition: () => undefined,
 	}));
 	const sizes = Array.from({length: workspaces}, (_, i) => 1 / ((i + 1) ** skew));
 	const total = sizes.reduce((sum, size) => sum + size, 0);
@@ -152,7 +152,7 @@
 		while (!stopped) {
 			await clock.sleep(KEEP_EVERY_MS);
 			for (const pool of pools) {
-				pool.keep();
+				pool.maintain();
 			}
 		}
 	})();
--- a/src/gateway/acquire-link.ts
+++ b/src/gateway/acquire-link.ts
@@ -184,7 +184,7 @@
  * no host has one.
  */
 async function fetchFloor(parts: GatewayParts, req: LinkRequest, lease: PrimaryLease | undefined): Promise<LogPosition | undefined> {
-	if (!lease || !await parts.sampleFetcher.borrow(lease.group, lease.primaryId)) {
+	if (!lease || !await parts.sampleFetcher.fetch(lease.group, lease.primaryId)) {
 		return undefined;
 	}
 
@@ -215,7 +215,7 @@
 			endpointId: entry.id,
 			isPrimary,
 			sameZone: entry.availabilityZone === parts.availabilityZone,
-			load: pool.lent + pool.waiting,
+			load: pool.inUse + pool.waiting,
 			slots: entry.slots,
 			serviceMs: figures.serviceMs,
 			catchUpMs: isPrimary || !floor ? 0 : predictCatchUp(parts.knowledge.getSamples(entry.group), figures, floor, parts.elapsedClock.elapsed()),
@@ -235,7 +235,7 @@
 		workspace: req.workspace?.name,
 		single: req.single ?? false,
 		read: req.reads ? {epoch: lease?.epoch} : undefined,
-		least: lease?.start,
+		minPosition: lease?.start,
 	});
 	if (!sessionLink) {
 		return undefined;
--- a/src/leadership/ask-endpoints.ts
+++ b/src/leadership/ask-endpoints.ts
@@ -45,7 +45,7 @@
 /** Sends a command to one endpoint; resolves to undefined if no status arrives in time. */
 export async function askStatus({clock}: Pick<ReplacePrimaryParts, 'clock'>, {pool}: KnownEndpoint, command: EndpointCommand): Promise<EndpointStatus | undefined> {
 	try {
-		const bounded = await withinMs(clock, STATUS_TIMEOUT_MS, pool.ask(command, STATUS_TIMEOUT_MS));
+		const bounded = await withinMs(clock, STATUS_TIMEOUT_MS, pool.sendCommand(command, STATUS_TIMEOUT_MS));
 		return bounded.timedOut ? undefined : bounded.value;
 	} catch (err) {
 		if (!(err instanceof LinkError)) {
--- a/src/leadership/fence-check.ts
+++ b/src/leadership/fence-check.ts
@@ -82,7 +82,7 @@
 
 	const isUnfenced = async (pool: EndpointPool, term: number) => {
 		try {
-			const bounded = await withinMs(clock, FENCE_CHECK_TIMEOUT_MS, pool.ask({kind: 'status'}, FENCE_CHECK_TIMEOUT_MS));
+			const bounded = await withinMs(clock, FENCE_CHECK_TIMEOUT_MS, pool.sendCommand({kind: 'status'}, FENCE_CHECK_TIMEOUT_MS));
 			return !bounded.timedOut && bounded.value.role === EndpointRole.Replica && bounded.value.fencedTerm <= term && bounded.value.term <= term;
 		} catch (err) {
 			if (!(err instanceof LinkError)) {
--- a/src/leadership/first-record.ts
+++ b/src/leadership/first-record.ts
@@ -49,7 +49,7 @@
 				return;
 			}
 
-			const status = await leader.pool.ask({kind: 'status'}, STORE_TIMEOUT_MS);
+			const status = await leader.pool.sendCommand({kind: 'status'}, STORE_TIMEOUT_MS);
 			if (status.role !== EndpointRole.Primary) {
 				return;
 			}
--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -2,7 +2,7 @@
 import type {EndpointDirectory} from '../links/endpoint-directory.js';
 import {LinkError} from '../links/link-errors.js';
 import type {Log} from '../log/log.js';
-import type {Lenders} from '../lending/lenders.js';
+import type {PoolHosts} from '../lending/pool-hosts.js';
 import type {MetadataStore} from '../mirror/metadata-store.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {PlatformConflictError, PlatformError} from '../object-store/platform-errors.js';
@@ -41,7 +41,7 @@
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly lenders: Lenders;
+	readonly lenders: PoolHosts;
 	readonly primaryLeases: PrimaryLeases;
 	readonly primaryWork: PrimaryWork;
 	readonly cutOffs: CutOffs;
@@ -167,7 +167,7 @@
 			return;
 		}
 
-		if (!options.lenders.keepsOwn({id: primaryId, group})) {
+		if (!options.lenders.isPoolHost({id: primaryId, group})) {
 			// The hosts that keep connections to it monitor it.
 			return;
 		}
@@ -176,7 +176,7 @@
 			reachability.probeEarly(primaryId);
 			watch.suspectedSince = undefined;
 			options.cutOffs.clear(group);
-			if (health.heardAt !== undefined && now - health.heardAt > HEARTBEAT_AFTER_MS) {
+			if (health.lastReceivedAt !== undefined && now - health.lastReceivedAt > HEARTBEAT_AFTER_MS) {
 				await reachability.probe(primaryId);
 			}
 
@@ -193,7 +193,7 @@
 		if (watch.suspectedSince === undefined) {
 			watch.suspectedSince = now;
 			log.warn('a primary seems lost', {
-				group, endpoint: primaryId, suspicion, epoch, heardAgoMs: health.heardAt === undefined ? undefined : Math.round(now - health.heardAt),
+				group, endpoint: primaryId, suspicion, epoch, heardAgoMs: health.lastReceivedAt === undefined ? undefined : Math.round(now - health.lastReceivedAt),
 			});
 		}
 
@@ -220,7 +220,7 @@
 	/** Hosts that keep connections to the primary act first; all others act only if those have not, since hundreds would send requests to the failover coordinator at once. */
 	const waitForTurn = async ({group, primaryId}: LeadershipRecord) => {
 		await sleepJitter();
-		if (!options.lenders.keepsOwn({id: primaryId, group})) {
+		if (!options.lenders.isPoolHost({id: primaryId, group})) {
 			await clock.sleep(UNCONNECTED_WAIT_MS);
 		}
 	};
@@ -246,7 +246,7 @@
 	const checkGroupSafely = async (group: string) => {
 		const watch = getWatch(group);
 		const primaryId = mirror.state.leadership.get(group)?.primaryId;
-		if (primaryId !== undefined && !options.lenders.keepsOwn({id: primaryId, group})) {
+		if (primaryId !== undefined && !options.lenders.isPoolHost({id: primaryId, group})) {
 			watch.notBefore = clock.now() + UNCONNECTED_POLL_INTERVAL_MS;
 		}
 
@@ -297,7 +297,7 @@
 	/** Whether this host checks the group at the short interval: it keeps connections to the primary, or the group has no steady one. */
 	const isWatchedClosely = (group: string) => {
 		const record = mirror.state.leadership.get(group);
-		return record?.phase !== LeadershipPhase.Steady || options.lenders.keepsOwn({id: record.primaryId, group});
+		return record?.phase !== LeadershipPhase.Steady || options.lenders.isPoolHost({id: record.primaryId, group});
 	};
 
 	const run = async () => {
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -1,7 +1,7 @@
 import type {EndpointDirectory} from '../links/endpoint-directory.js';
 import {SILENT_AFTER_MS, Suspicion} from '../links/endpoint-health.js';
 import {LinkError} from '../links/link-errors.js';
-import type {Lenders} from '../lending/lenders.js';
+import type {PoolHosts} from '../lending/pool-hosts.js';
 import type {Log} from '../log/log.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {isPeerError} from '../peers/peer-errors.js';
@@ -39,7 +39,7 @@
 export type PrimaryReachabilityOptions = {
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly lenders: Lenders;
+	readonly lenders: PoolHosts;
 	readonly peers: Peers;
 	readonly clock: Clock;
 	readonly log: Log;
@@ -76,8 +76,8 @@
 
 		try {
 			const askedAt = clock.now();
-			await withinMs(clock, PROBE_TIMEOUT_MS, endpoint.pool.ask({kind: 'status'}, PROBE_TIMEOUT_MS));
-			return (endpoint.pool.health.heardAt ?? 0) >= askedAt;
+			await withinMs(clock, PROBE_TIMEOUT_MS, endpoint.pool.sendCommand({kind: 'status'}, PROBE_TIMEOUT_MS));
+			return (endpoint.pool.health.lastReceivedAt ?? 0) >= askedAt;
 		} catch (err) {
 			if (!(err instanceof LinkError)) {
 				throw err;
@@ -89,7 +89,7 @@
 	};
 
 	const probe = async (endpointId: string): Promise<boolean> => {
-		const heardAt = directory.get(endpointId)?.pool.health.heardAt ?? 0;
+		const heardAt = directory.get(endpointId)?.pool.health.lastReceivedAt ?? 0;
 		const failed = failedAt.get(endpointId);
 		if (failed !== undefined && heardAt < failed && clock.now() - failed < PROBE_TIMEOUT_MS) {
 			return false;
@@ -120,7 +120,7 @@
 			return false;
 		}
 
-		const respondedRecently = health?.heardAt !== undefined && clock.now() - health.heardAt < RECENT_RESPONSE_MS;
+		const respondedRecently = health?.lastReceivedAt !== undefined && clock.now() - health.lastReceivedAt < RECENT_RESPONSE_MS;
 		return respondedRecently || probe(endpointId);
 	};
 
@@ -150,7 +150,7 @@
 	 * connections, hosts that are marked as unresponsive count as well: the smaller part of a partitioned fleet may have marked the larger.
 	 */
 	const getPoolHosts = (group: string, id: string) => {
-		const keepers = lenders.getKeepers({id, group});
+		const keepers = lenders.getHosts({id, group});
 		return {keepers, count: lenders.isShared({id, group}) ? keepers.length : mirror.state.hosts.length};
 	};
 
@@ -201,7 +201,7 @@
 	};
 
 	const probeEarly = (endpointId: string) => {
-		const owesSince = directory.get(endpointId)?.pool.health.owesSince;
+		const owesSince = directory.get(endpointId)?.pool.health.awaitingSince;
 		if (owesSince !== undefined && clock.now() - owesSince > EARLY_PROBE_AFTER_MS) {
 			probe(endpointId).catch((err: unknown) => {
 				log.error('a probe failed', {err});
--- a/src/lending/link-lender.ts
+++ b/src/lending/checkout-server.ts
@@ -17,32 +17,32 @@
 } from './checkout-calls.js';
 
 /** Serves checkouts of this host's connections to hosts that keep none. */
-export type LinkLender = {
+export type CheckoutServer = {
 	/** Number of connections that are checked out. */
-	readonly loans: number;
+	readonly checkouts: number;
 	/** Refuses further checkouts; those that are open may be used until they end. */
 	retire(): void;
 	/**
 	 * Refuses further checkouts and revokes those that have no request in flight, with a rollback of their transactions; each other one is revoked once its request is answered.
 	 * Remote hosts learn of it by their next request.
 	 */
-	endResting(reason: string): void;
+	revokeIdle(reason: string): void;
 	start(): Promise<void>;
 	stop(): Promise<void>;
 };
 
 /** What the checkout server needs. */
-export type LinkLenderOptions = {
+export type CheckoutServerOptions = {
 	readonly peers: Peers;
 	readonly directory: EndpointDirectory;
-	readonly evidences: PrimaryLeases;
+	readonly primaryLeases: PrimaryLeases;
 	readonly knowledge: PlacementKnowledge;
 	readonly clock: Clock;
 	readonly elapsedClock: ElapsedClock;
 	readonly random: Random;
 	readonly log: Log;
 	/** Returns the maximum idle time between two requests of a checkout, in milliseconds. */
-	getLongestRestMs(): number;
+	getMaxIdleMs(): number;
 };
 
 /** Interval of the check for checkouts whose remote host may have failed, in milliseconds. */
@@ -78,9 +78,9 @@
 };
 
 /** Creates a checkout server without checkouts. */
-export function createLinkLender(options: LinkLenderOptions): LinkLender {
+export function createCheckoutServer(options: CheckoutServerOptions): CheckoutServer {
 	const {
-		peers, directory, evidences: primaryLeases, knowledge, clock, elapsedClock, random, getLongestRestMs: getMaxIdleMs,
+		peers, directory, primaryLeases, knowledge, clock, elapsedClock, random, getMaxIdleMs,
 	} = options;
 	const log = options.log.part('loans: ');
 	const checkouts = new Map<string, Checkout>();
@@ -131,7 +131,7 @@
 
 		const {ownPool} = endpoint;
 		const sessionLink = await ownPool.acquire({
-			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, least: minPosition,
+			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, minPosition,
 		});
 		if (retired) {
 			// The host was told to stop during the wait: a transaction would begin on a host that is about to end.
@@ -237,11 +237,11 @@
 
 	const sendCommand = async ({endpointId, command, timeoutMs}: {
 		readonly endpointId: string;
-		readonly command: Parameters<KnownEndpoint['ownPool']['ask']>[0];
+		readonly command: Parameters<KnownEndpoint['ownPool']['sendCommand']>[0];
 		readonly timeoutMs: number;
 	}) => {
 		try {
-			const asked = directory.get(endpointId)?.ownPool.ask(command, timeoutMs);
+			const asked = directory.get(endpointId)?.ownPool.sendCommand(command, timeoutMs);
 			const bounded = asked && await withinMs(clock, timeoutMs, asked);
 			return bounded?.timedOut === false ? {status: bounded.value} : {};
 		} catch (err) {
@@ -291,13 +291,13 @@
 	};
 
 	return {
-		get loans() {
+		get checkouts() {
 			return checkouts.size;
 		},
 		retire() {
 			retired = true;
 		},
-		endResting(reason) {
+		revokeIdle(reason) {
 			retired = true;
 			revokeReason = reason;
 			for (const checkout of checkouts.values()) {
--- a/src/lending/lenders.ts
+++ b/src/lending/pool-hosts.ts
@@ -5,17 +5,17 @@
 import type {RegisteredEndpoint} from '../routes/routing.js';
 
 /** Selects the pool hosts of an endpoint: the hosts that keep connections to it. */
-export type Lenders = {
+export type PoolHosts = {
 	/** This host's own zone. */
 	readonly availabilityZone: string;
 	/** Returns whether this host keeps connections of its own to the endpoint. */
-	keepsOwn(endpoint: EndpointKey): boolean;
+	isPoolHost(endpoint: EndpointKey): boolean;
 	/** Returns whether only some hosts keep connections to the endpoint, which all others share. */
 	isShared(endpoint: EndpointKey): boolean;
 	/** Returns how many hosts keep connections to the endpoint. */
-	countKeepers(endpoint: EndpointKey): number;
+	countHosts(endpoint: EndpointKey): number;
 	/** Returns the hosts that keep connections to the endpoint, those in this host's zone first; all live hosts where each keeps its own. */
-	getKeepers(endpoint: EndpointKey): readonly HostRecord[];
+	getHosts(endpoint: EndpointKey): readonly HostRecord[];
 };
 
 /** The fields of an endpoint by which its pool hosts are selected. */
@@ -42,7 +42,7 @@
 };
 
 /** Creates the selection. Every host computes the same from its copy of the store; where copies differ, more hosts keep connections for a while. */
-export function createLenders({mirror, hostName, availabilityZone, minShare = MIN_SHARE}: PoolHostsOptions): Lenders {
+export function createPoolHosts({mirror, hostName, availabilityZone, minShare = MIN_SHARE}: PoolHostsOptions): PoolHosts {
 	let hostCache: {readonly hosts: readonly HostRecord[]; readonly routing: unknown; readonly zones: ReadonlyMap<string, HostRanking<HostRecord>>; readonly live: readonly HostRecord[]} | undefined;
 	let selections = new Map<string, Selection>();
 
@@ -83,14 +83,14 @@
 
 	return {
 		availabilityZone,
-		keepsOwn(endpoint) {
+		isPoolHost(endpoint) {
 			const {all, names} = getSelection(endpoint);
 			// A host that is not registered yet, or is marked as unresponsive, is in no selection; it keeps its own connections only where no host is selected.
 			return names.has(hostName) || all.length === 0;
 		},
 		isShared: endpoint => getSelection(endpoint).shared,
-		countKeepers: endpoint => getSelection(endpoint).all.length,
-		getKeepers: endpoint => getSelection(endpoint).all,
+		countHosts: endpoint => getSelection(endpoint).all.length,
+		getHosts: endpoint => getSelection(endpoint).all,
 	};
 }
 
--- a/src/lending/remote-read.ts
+++ b/src/lending/remote-read.ts
@@ -64,7 +64,7 @@
 				values: [...acquireRequest.values],
 				workspace: acquireRequest.workspace,
 				single: true,
-				least: acquireRequest.least,
+				least: acquireRequest.minPosition,
 				epoch: acquireRequest.read?.epoch,
 				needed: neededNow,
 				request,
--- a/src/lending/sample-borrowing.ts
+++ b/src/lending/sample-fetcher.ts
@@ -4,23 +4,23 @@
 import type {PlacementKnowledge} from '../placement/placement-knowledge.js';
 import type {Clock} from '../time/clock.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
-import type {Lenders} from './lenders.js';
+import type {PoolHosts} from './pool-hosts.js';
 
 /** Fetches position samples of primaries from hosts that send them more requests. */
-export type SampleBorrowing = {
+export type SampleFetcher = {
 	/**
 	 * Fetches a position of the group's primary and notes it; resolves with false where no host had one.
 	 *
 	 * A host of a large fleet reaches each primary only about once a second. Without a position that is recent enough for a route's maximum age, its reads have to go
 	 * to the primary, whose connections are needed for all writes and transactions.
 	 */
-	borrow(group: string, primaryId: string): Promise<boolean>;
+	fetch(group: string, primaryId: string): Promise<boolean>;
 };
 
 /** What the fetcher needs. */
-export type SampleBorrowingOptions = {
+export type SampleFetcherOptions = {
 	readonly peers: Peers;
-	readonly lenders: Lenders;
+	readonly poolHosts: PoolHosts;
 	readonly knowledge: PlacementKnowledge;
 	readonly unreachable: UnreachableHosts;
 	readonly clock: Clock;
@@ -34,13 +34,13 @@
 const RETRY_DELAY_MS = 250;
 
 /** Creates a fetcher. */
-export function createSampleBorrowing({peers, lenders: poolHosts, knowledge, unreachable, clock, elapsedClock}: SampleBorrowingOptions): SampleBorrowing {
+export function createSampleFetcher({peers, poolHosts, knowledge, unreachable, clock, elapsedClock}: SampleFetcherOptions): SampleFetcher {
 	const inFlight = new Map<string, Promise<boolean>>();
 	const notBefore = new Map<string, number>();
 
 	const callPoolHost = async (group: string, primaryId: string): Promise<boolean> => {
 		const now = clock.now();
-		const poolHost = poolHosts.getKeepers({id: primaryId, group}).find(({peerAddress}) => !unreachable.has(peerAddress, now));
+		const poolHost = poolHosts.getHosts({id: primaryId, group}).find(({peerAddress}) => !unreachable.has(peerAddress, now));
 		if (!poolHost) {
 			return false;
 		}
@@ -64,8 +64,8 @@
 	};
 
 	return {
-		async borrow(group, primaryId) {
-			if (!poolHosts.isShared({id: primaryId, group}) || poolHosts.keepsOwn({id: primaryId, group}) || clock.now() < (notBefore.get(group) ?? 0)) {
+		async fetch(group, primaryId) {
+			if (!poolHosts.isShared({id: primaryId, group}) || poolHosts.isPoolHost({id: primaryId, group}) || clock.now() < (notBefore.get(group) ?? 0)) {
 				return false;
 			}
 
--- a/src/lending/shared-pool.ts
+++ b/src/lending/shared-pool.ts
@@ -9,7 +9,7 @@
 import type {RegisteredEndpoint} from '../routes/routing.js';
 import type {Clock} from '../time/clock.js';
 import {createRemoteLink, type RemoteLink} from './remote-link.js';
-import type {Lenders} from './lenders.js';
+import type {PoolHosts} from './pool-hosts.js';
 import {POOL_HOST_WAIT_MS, POOL_HOST_ROUND_TRIP_MS} from './pool-host-timeouts.js';
 import {CheckoutRefusal, type CheckoutExchange} from './checkout-calls.js';
 import {createRemoteRead} from './remote-read.js';
@@ -19,7 +19,7 @@
 	readonly entry: RegisteredEndpoint;
 	/** This host's own connections to the endpoint. */
 	readonly ownPool: EndpointPool;
-	readonly lenders: Lenders;
+	readonly poolHosts: PoolHosts;
 	/** Pool hosts that did not answer recently, over all endpoints. */
 	readonly unreachable: UnreachableHosts;
 	readonly peers: Peers;
@@ -45,21 +45,21 @@
  * Guards against an endpoint's few connections being split among many hosts: each would have less than one, and a host with one is blocked by a
  * transaction while those of others are idle. Where no pool host answers, the host opens its own connections as far as the endpoint allows.
  */
-export function createSharedPool({entry, ownPool, lenders: poolHosts, unreachable, peers, clock, ownPeerAddress}: SharedPoolOptions): EndpointPool {
+export function createSharedPool({entry, ownPool, poolHosts, unreachable, peers, clock, ownPeerAddress}: SharedPoolOptions): EndpointPool {
 	const checkouts = new Map<SessionLink, RemoteLink>();
 	const received = createEndpointHealth();
 	let unreachableUntil = Number.NEGATIVE_INFINITY;
 	let waiting = 0;
 	let rotation = 0;
 
-	const isPoolHost = () => poolHosts.keepsOwn(entry);
+	const isPoolHost = () => poolHosts.isPoolHost(entry);
 
 	const sharedHealth: EndpointHealth = {
 		...received,
-		get heardAt() {
-			return received.heardAt;
+		get lastReceivedAt() {
+			return received.lastReceivedAt;
 		},
-		get owesSince() {
+		get awaitingSince() {
 			return undefined;
 		},
 		getSuspicion: now => now < unreachableUntil ? Suspicion.Refused : undefined,
@@ -78,7 +78,7 @@
 		const now = clock.now();
 		const near: string[] = [];
 		const far: string[] = [];
-		for (const {peerAddress, availabilityZone} of poolHosts.getKeepers(entry)) {
+		for (const {peerAddress, availabilityZone} of poolHosts.getHosts(entry)) {
 			if (peerAddress !== ownPeerAddress && !unreachable.has(peerAddress, now)) {
 				(availabilityZone === poolHosts.availabilityZone ? near : far).push(peerAddress);
 			}
@@ -103,7 +103,7 @@
 				values: [...acquireRequest.values],
 				workspace: acquireRequest.workspace,
 				single: acquireRequest.single,
-				least: acquireRequest.least,
+				least: acquireRequest.minPosition,
 			}, waitMs + POOL_HOST_ROUND_TRIP_MS);
 			unreachable.delete(poolHost);
 			if ('refused' in response) {
@@ -232,8 +232,8 @@
 		get health() {
 			return isPoolHost() ? ownPool.health : sharedHealth;
 		},
-		get lent() {
-			return ownPool.lent + checkouts.size;
+		get inUse() {
+			return ownPool.inUse + checkouts.size;
 		},
 		get waiting() {
 			return ownPool.waiting + waiting;
@@ -267,9 +267,9 @@
 			checkouts.delete(sessionLink);
 			checkout.release();
 		},
-		async ask(command, timeoutMs) {
+		async sendCommand(command, timeoutMs) {
 			if (isPoolHost()) {
-				return ownPool.ask(command, timeoutMs);
+				return ownPool.sendCommand(command, timeoutMs);
 			}
 
 			const until = clock.now() + timeoutMs;
@@ -281,10 +281,10 @@
 				}
 			}
 
-			return ownPool.ask(command, Math.max(1, until - clock.now()));
+			return ownPool.sendCommand(command, Math.max(1, until - clock.now()));
 		},
-		keep() {
-			ownPool.keep();
+		maintain() {
+			ownPool.maintain();
 		},
 		retire() {
 			ownPool.retire();
--- a/src/links/create-endpoint-pool.ts
+++ b/src/links/create-endpoint-pool.ts
@@ -51,10 +51,10 @@
 	};
 
 	const listener: LinkListener = {
-		onAsked() {
+		onSent() {
 			health.noteSent(clock.now());
 		},
-		onHeard() {
+		onReceived() {
 			health.noteReceived(clock.now());
 			noteIfNothingPending();
 		},
@@ -73,7 +73,7 @@
 	/** Opens a connection and keeps it in the pool until it closes. */
 	const openLink = async (timeoutMs: number, workspace: string | undefined) => {
 		usage.noteOpening(workspace);
-		listener.onAsked();
+		listener.onSent();
 		let opened = false;
 		try {
 			const link = await openCheckedLink(options, workspace, timeoutMs, listener);
@@ -116,7 +116,7 @@
 	 * Guards against connections to an incarnation of the endpoint that lost its log. They were opened to what seemed a replica, before this host knew that the
 	 * previous incarnation is recorded as the primary. A primary's own connections that are older than its promotion are also reopened, once.
 	 */
-	const cutStaleIdle = ({least: minPosition}: AcquireRequest) => {
+	const cutStaleIdle = ({minPosition}: AcquireRequest) => {
 		idle.cutWhere(({link}) => !heldPositionAtOpen(link, minPosition));
 	};
 
@@ -136,7 +136,7 @@
 	};
 
 	const assignTo = (waiter: Waiter, sessionLink: SessionLink) => {
-		if (heldPositionAtOpen(sessionLink.link, waiter.least)) {
+		if (heldPositionAtOpen(sessionLink.link, waiter.minPosition)) {
 			waiters = waiters.filter(other => other !== waiter);
 			waiter.resolve(noteAcquired(sessionLink, waiter));
 		} else {
@@ -325,7 +325,7 @@
 	return {
 		target,
 		health,
-		get lent() {
+		get inUse() {
 			return all.size - idle.size;
 		},
 		get waiting() {
@@ -357,7 +357,7 @@
 			assignOrKeepIdle(sessionLink);
 			trim();
 		},
-		async ask(command, timeoutMs) {
+		async sendCommand(command, timeoutMs) {
 			const open = idle.newest ?? [...all].find(({link}) => !link.closed);
 			if (open) {
 				return open.link.readStatus({command});
@@ -368,7 +368,7 @@
 			assignOrKeepIdle(sessionLink);
 			return status;
 		},
-		keep() {
+		maintain() {
 			trim();
 			retrySuspect();
 		},
--- a/src/links/endpoint-directory.ts
+++ b/src/links/endpoint-directory.ts
@@ -35,11 +35,11 @@
 	readonly clock: Clock;
 	readonly log: Log;
 	/** Returns how many hosts share the endpoint's connections, and whether this host is one of them. */
-	getSharing(entry: RegisteredEndpoint): Pick<LinkLimits, 'hosts' | 'keepsOwn'>;
+	getSharing(entry: RegisteredEndpoint): Pick<LinkLimits, 'hosts' | 'isPoolHost'>;
 	/** Creates the pool that requests use on top of this host's own connections. */
 	sharePool(entry: RegisteredEndpoint, ownPool: EndpointPool): EndpointPool;
 	/** Returns the position that an endpoint's log holds at least in this incarnation, as far as this host knows. */
-	getLeastPosition(entry: RegisteredEndpoint): LogPosition | undefined;
+	getMinPosition(entry: RegisteredEndpoint): LogPosition | undefined;
 };
 
 /**
@@ -64,7 +64,7 @@
 };
 
 /** Creates an empty directory. */
-export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getLeastPosition: getMinPosition}: EndpointDirectoryOptions): EndpointDirectory {
+export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getMinPosition}: EndpointDirectoryOptions): EndpointDirectory {
 	const log = parentLog.part('endpoints: ');
 	const tracked = new Map<string, TrackedEndpoint>();
 	/** Cache of endpoints by group, filled on demand since the last update: each read asks for a list, and a fleet has thousands of endpoints. */
@@ -76,7 +76,7 @@
 		const ownPool = createEndpointPool({
 			target: {address: entry.address, group: entry.group, endpointId: entry.id},
 			opener,
-			getLeastPosition: () => getMinPosition(entry),
+			getMinPosition: () => getMinPosition(entry),
 			clock,
 			log,
 			getLimits: () => ({
@@ -171,7 +171,7 @@
 			logAdded(added);
 
 			for (const known of tracked.values()) {
-				known.pool.keep();
+				known.pool.maintain();
 				if (!listed.has(known.entry.id)) {
 					noteMissing(known, now, servers.has(known.entry.server));
 				}
--- a/src/links/endpoint-health.ts
+++ b/src/links/endpoint-health.ts
@@ -11,9 +11,9 @@
 	/** Returns why the endpoint is suspected to have failed, or undefined where it is not. */
 	getSuspicion(now: number): Suspicion | undefined;
 	/** Time since which a request waits for an answer and nothing was received; undefined where none waits. */
-	readonly owesSince: number | undefined;
+	readonly awaitingSince: number | undefined;
 	/** Time at which something was last received, undefined before the first time. */
-	readonly heardAt: number | undefined;
+	readonly lastReceivedAt: number | undefined;
 };
 
 /** Reasons to suspect that an endpoint has failed. */
@@ -41,10 +41,10 @@
 	let refused = false;
 
 	return {
-		get heardAt() {
+		get lastReceivedAt() {
 			return lastReceivedAt;
 		},
-		get owesSince() {
+		get awaitingSince() {
 			return awaitingSince;
 		},
 		noteReceived(now) {
--- a/src/links/endpoint-link.ts
+++ b/src/links/endpoint-link.ts
@@ -81,9 +81,9 @@
 /** Observes the traffic on a link. */
 export type LinkListener = {
 	/** Called when something is sent that has to be answered. */
-	onAsked(): void;
+	onSent(): void;
 	/** Called when something was received, after the answers that it completes have been passed on. */
-	onHeard(): void;
+	onReceived(): void;
 	/** Called when a request was answered, or rejected because too much work waits. */
 	onAnswered(isRejected: boolean): void;
 };
--- a/src/links/endpoint-pool.ts
+++ b/src/links/endpoint-pool.ts
@@ -23,7 +23,7 @@
 	/** Set where the connection serves one read, which is sent at once and may run more than once; `epoch` is that of the primary lease under which the read goes to a primary. */
 	readonly read?: {readonly epoch?: number};
 	/** Position that the endpoint's log must have held when the connection was opened; undefined where any log will do. */
-	readonly least?: LogPosition;
+	readonly minPosition?: LogPosition;
 };
 
 /** The connections of this host to one endpoint. */
@@ -31,7 +31,7 @@
 	readonly target: LinkTarget;
 	readonly health: EndpointHealth;
 	/** Connections that are acquired. */
-	readonly lent: number;
+	readonly inUse: number;
 	/** Requests that wait for a connection. */
 	readonly waiting: number;
 	/** Connections that are open. */
@@ -41,9 +41,9 @@
 	/** Returns a connection to the pool; it must be in no transaction, with no request in flight. A closed one is dropped. */
 	release(sessionLink: SessionLink): void;
 	/** Sends a command of the host's own, on any open connection or a new one, and resolves with the endpoint's status. */
-	ask(command: EndpointRequest['command'], timeoutMs: number): Promise<EndpointStatus>;
+	sendCommand(command: EndpointRequest['command'], timeoutMs: number): Promise<EndpointStatus>;
 	/** Closes connections that have been idle for too long, so that other hosts can open them, and tries a suspected endpoint again. */
-	keep(): void;
+	maintain(): void;
 	/** Closes idle connections; no more are opened, and acquired ones are closed once they are released. */
 	retire(): void;
 };
@@ -56,5 +56,5 @@
 	readonly log: Log;
 	getLimits(): LinkLimits;
 	/** Returns the position that the endpoint's log holds at least; undefined where nothing is known of its log. */
-	getLeastPosition(): LogPosition | undefined;
+	getMinPosition(): LogPosition | undefined;
 };
--- a/src/links/link-budget.ts
+++ b/src/links/link-budget.ts
@@ -35,7 +35,7 @@
 	/** Number of hosts that share the connections. */
 	readonly hosts: number;
 	/** Whether this host is one of them; any other host keeps none open. */
-	readonly keepsOwn: boolean;
+	readonly isPoolHost: boolean;
 };
 
 /** Creates the budget for one endpoint. */
@@ -43,7 +43,7 @@
 	let rejectedAt: number | undefined;
 
 	const getShare = () => {
-		const {maxConnections, hosts, keepsOwn: isPoolHost} = getLimits();
+		const {maxConnections, hosts, isPoolHost} = getLimits();
 		return isPoolHost ? Math.max(1, Math.floor((maxConnections - RESERVED_CONNECTIONS) / Math.max(1, hosts))) : 0;
 	};
 
--- a/src/links/open-checked-link.ts
+++ b/src/links/open-checked-link.ts
@@ -16,7 +16,7 @@
  * so a read there would miss acknowledged commits, and a write would begin a divergent history. Its log is shorter than a position that was seen in it.
  */
 export async function openCheckedLink(
-	{target, opener, log, getLeastPosition: getMinPosition}: Pick<EndpointPoolOptions, 'target' | 'opener' | 'log' | 'getLeastPosition'>,
+	{target, opener, log, getMinPosition}: Pick<EndpointPoolOptions, 'target' | 'opener' | 'log' | 'getMinPosition'>,
 	workspace: string | undefined,
 	timeoutMs: number,
 	listener: LinkListener,
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -128,7 +128,7 @@
 				throw createLinkLost(address, 'it had ended before');
 			}
 
-			listener.onAsked();
+			listener.onSent();
 			return new Promise((resolve, reject) => {
 				waiters.push({resolve, reject});
 				socket.write(formatRequest(req), 'latin1');
@@ -183,7 +183,7 @@
 				}
 			}
 
-			listener.onHeard();
+			listener.onReceived();
 		});
 		socket.on('error', err => {
 			reject(createLinkLost(address, err.message, err));
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -15,9 +15,9 @@
 import {createStoreRestores} from '../leadership/store-restores.js';
 import {createEndpointDirectory, type EndpointDirectory} from '../links/endpoint-directory.js';
 import type {LinkOpener} from '../links/endpoint-link.js';
-import {createLenders, type Lenders} from '../lending/lenders.js';
-import {createLinkLender, type LinkLender} from '../lending/link-lender.js';
-import {createSampleBorrowing} from '../lending/sample-borrowing.js';
+import {createPoolHosts, type PoolHosts} from '../lending/pool-hosts.js';
+import {createCheckoutServer, type CheckoutServer} from '../lending/checkout-server.js';
+import {createSampleFetcher} from '../lending/sample-fetcher.js';
 import {createSharedPool} from '../lending/shared-pool.js';
 import type {Log} from '../log/log.js';
 import {createUnreachableHosts} from '../membership/unreachable-hosts.js';
@@ -46,9 +46,9 @@
 		hostLiveness: HostLivenessCheck;
 		hostRegistration: HostRegistration;
 		endpointDirectory: EndpointDirectory;
-		poolHosts: Lenders;
+		poolHosts: PoolHosts;
 		rateLimiter: RateLimiter;
-		checkoutServer: LinkLender;
+		checkoutServer: CheckoutServer;
 		proxyMetrics: ProxyMetrics;
 		gateway: Gateway;
 		elapsedClock: ElapsedClock;
@@ -103,37 +103,37 @@
 	const knowledge = createPlacementKnowledge();
 	const primaryWork = createPrimaryWork(clock);
 	const cutOffs = createCutOffs();
-	const poolHosts = createLenders({mirror, hostName, availabilityZone: parts.availabilityZone});
+	const poolHosts = createPoolHosts({mirror, hostName, availabilityZone: parts.availabilityZone});
 	const unreachable = createUnreachableHosts();
 	const directory = createEndpointDirectory({
 		mirror,
 		opener,
 		clock,
 		log,
-		getSharing: entry => ({hosts: poolHosts.countKeepers(entry), keepsOwn: poolHosts.keepsOwn(entry)}),
+		getSharing: entry => ({hosts: poolHosts.countHosts(entry), isPoolHost: poolHosts.isPoolHost(entry)}),
 		sharePool: (entry, ownPool) => createSharedPool({
-			entry, ownPool, lenders: poolHosts, unreachable, peers, clock, ownPeerAddress: peerAddress,
+			entry, ownPool, poolHosts, unreachable, peers, clock, ownPeerAddress: peerAddress,
 		}),
-		getLeastPosition({id, group}) {
+		getMinPosition({id, group}) {
 			const record = mirror.state.leadership.get(group);
 			const leads = record?.phase === LeadershipPhase.Steady && record.primaryId === id;
 			const seen = knowledge.getSamples(group).getNewest()?.position;
 			return leads ? getHigherFloor(record.start, seen && limitToStart(seen, record)) : undefined;
 		},
 	});
-	const checkoutServer = createLinkLender({
+	const checkoutServer = createCheckoutServer({
 		peers,
 		directory,
-		evidences: primaryLeases,
+		primaryLeases,
 		knowledge,
 		clock,
 		elapsedClock,
 		random,
 		log,
-		getLongestRestMs: () => getMaxTransactionIdleMs(mirror.state.routing),
+		getMaxIdleMs: () => getMaxTransactionIdleMs(mirror.state.routing),
 	});
-	const sampleFetcher = createSampleBorrowing({
-		peers, lenders: poolHosts, knowledge, clock, elapsedClock, unreachable,
+	const sampleFetcher = createSampleFetcher({
+		peers, poolHosts, knowledge, clock, elapsedClock, unreachable,
 	});
 	const issuer = createTokenIssuer({getLimit: workspace => mirror.state.routing?.workspaces.get(workspace)?.limit});
 	const tokenSource = createTokenSource({
--- a/src/proxy/leave.ts
+++ b/src/proxy/leave.ts
@@ -2,7 +2,7 @@
 import {STOP_REASON} from '../gateway/stop-answers.js';
 import {createStopPlan} from '../gateway/stop-plan.js';
 import type {LeadershipWatch} from '../leadership/leadership-watch.js';
-import type {LinkLender} from '../lending/link-lender.js';
+import type {CheckoutServer} from '../lending/checkout-server.js';
 import type {Log} from '../log/log.js';
 import type {Clock} from '../time/clock.js';
 
@@ -11,7 +11,7 @@
 	readonly gateway: Gateway;
 	readonly leadershipWatch: Pick<LeadershipWatch, 'retire' | 'replacing'>;
 	/** Checkouts of this host's connections by other hosts. */
-	readonly checkoutServer: Pick<LinkLender, 'loans' | 'retire' | 'endResting'>;
+	readonly checkoutServer: Pick<CheckoutServer, 'checkouts' | 'retire' | 'revokeIdle'>;
 	/** The port to which callers connect. */
 	readonly callerPort: {close(): unknown};
 	readonly clock: Clock;
@@ -31,7 +31,7 @@
 	const startedAt = clock.now();
 	const plan = createStopPlan(startedAt, graceMs);
 	// If a replacement were abandoned half way, its group would have no primary until another host had waited for the failover lease to expire.
-	const isUnderWay = () => gateway.sessions > 0 || checkoutServer.loans > 0 || leadershipWatch.replacing;
+	const isUnderWay = () => gateway.sessions > 0 || checkoutServer.checkouts > 0 || leadershipWatch.replacing;
 	const waitForSessions = async (until: number) => {
 		while (isUnderWay() && clock.now() < until) {
 			await clock.sleep(POLL_INTERVAL_MS);
@@ -46,7 +46,7 @@
 	gateway.drain();
 	await waitForSessions(plan.admitUntil);
 	gateway.closeAdmission(clock.now());
-	checkoutServer.endResting(STOP_REASON);
+	checkoutServer.revokeIdle(STOP_REASON);
 	await waitForSessions(plan.answerBy);
 	gateway.giveUp();
 
@@ -54,6 +54,6 @@
 	callerPort.close();
 	await waitForSessions(plan.endBy);
 	log.info('sessions have ended', {
-		left: gateway.sessions, ...gateway.countPhases(), loans: checkoutServer.loans, tookMs: Math.round(clock.now() - startedAt),
+		left: gateway.sessions, ...gateway.countPhases(), loans: checkoutServer.checkouts, tookMs: Math.round(clock.now() - startedAt),
 	});
 }
--- a/src/proxy/run-proxy.ts
+++ b/src/proxy/run-proxy.ts
@@ -146,7 +146,7 @@
 		hosts: mirror.state.hosts.length,
 	});
 	for (const {entry, pool} of mirror.state.endpoints.map(({id}) => directory.get(id)).filter(endpoint => endpoint !== undefined)) {
-		metrics.setPool(entry.id, pool.open, pool.lent, pool.waiting);
+		metrics.setPool(entry.id, pool.open, pool.inUse, pool.waiting);
 	}
 }
 
--- a/src/stand-ins/plain-group/line-front.ts
+++ b/src/stand-ins/plain-group/line-front.ts
@@ -55,7 +55,7 @@
 	}
 
 	try {
-		const link = await group.open({address: server.address, group: name, endpointId}, {onAsked() {}, onHeard() {}, onAnswered() {}}, () => false); // eslint-disable-line @typescript-eslint/no-empty-function
+		const link = await group.open({address: server.address, group: name, endpointId}, {onSent() {}, onReceived() {}, onAnswered() {}}, () => false); // eslint-disable-line @typescript-eslint/no-empty-function
 		link.onClose(() => socket.destroy());
 		socket.write(formatReady(SessionState.Idle, link.firstPosition), 'latin1');
 		return link;
--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -202,7 +202,7 @@
 			pending--;
 			listener.onAnswered(isTurnedAway(answer));
 			resolve(answer);
-			listener.onHeard();
+			listener.onReceived();
 		};
 
 		const link: EndpointLink = {
@@ -218,7 +218,7 @@
 					throw createLinkLost(server.address, 'it had ended before');
 				}
 
-				listener.onAsked();
+				listener.onSent();
 				pending++;
 				return new Promise((resolve, reject) => {
 					rejects.add(reject);
@@ -278,7 +278,7 @@
 				throw createLinkRefused(target.address, AnswerCode.WrongEndpoint);
 			}
 
-			listener.onHeard();
+			listener.onReceived();
 			return connect(server, target.workspace, listener, isCut, options.getWayMs?.(hostZone, server.availabilityZone) ?? WAY_MS);
 		},
 		promote(endpointId) {
--- a/tests/leadership/ask-endpoints-tests.ts
+++ b/tests/leadership/ask-endpoints-tests.ts
@@ -30,7 +30,7 @@
 		};
 	};
 
-	const endpoints = ['x', 'y'].map(id => ({entry: {id, leaving: false}, pool: {ask: async (command: EndpointCommand) => ask(id, command)}}));
+	const endpoints = ['x', 'y'].map(id => ({entry: {id, leaving: false}, pool: {sendCommand: async (command: EndpointCommand) => ask(id, command)}}));
 	let record: Record<string, unknown> = BEFORE;
 	const parts = {
 		clock,
--- a/tests/leadership/primary-reachability-tests.ts
+++ b/tests/leadership/primary-reachability-tests.ts
@@ -16,7 +16,7 @@
 		ownPeerAddress: 'own',
 		directory: {get: () => undefined},
 		mirror: {state: {hosts}},
-		lenders: {isShared: () => false, getKeepers: () => hosts},
+		lenders: {isShared: () => false, getHosts: () => hosts},
 		peers: {
 			handle: () => undefined,
 			async call(address: string, kind: string, _req: unknown, timeoutMs: number) {
--- a/tests/leadership/promote-best-tests.ts
+++ b/tests/leadership/promote-best-tests.ts
@@ -46,7 +46,7 @@
 		log: createSilentLog(),
 		hostName: 'entry-1',
 		failoverLease: {getToken: () => 1, take: async () => true, getOtherHolder: () => undefined},
-		directory: {get: (endpointId: string) => ({pool: {ask: async () => ask(endpointId)}})},
+		directory: {get: (endpointId: string) => ({pool: {sendCommand: async () => ask(endpointId)}})},
 		orders: {
 			async promote({endpointId}: {readonly endpointId: string}) {
 				await clock.sleep(10);
--- a/tests/lending/link-lender-tests.ts
+++ b/tests/lending/checkout-server-tests.ts
@@ -3,7 +3,7 @@
 import type {EndpointRequest} from '../../src/links/endpoint-link.js';
 import {createLinkLost} from '../../src/links/link-errors.js';
 import type {SessionLink} from '../../src/links/link-session.js';
-import {createLinkLender, type LinkLenderOptions} from '../../src/lending/link-lender.js';
+import {createCheckoutServer, type CheckoutServerOptions} from '../../src/lending/checkout-server.js';
 import type {CheckoutResponse, CheckoutRequest} from '../../src/lending/checkout-calls.js';
 import type {PeerCalls} from '../../src/peers/peer-calls.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
@@ -65,20 +65,20 @@
 			released++;
 		},
 	};
-	const checkoutServer = createLinkLender({
+	const checkoutServer = createCheckoutServer({
 		peers: {
 			handle(kind: string, handler: (req: unknown, from: unknown) => Promise<unknown>) {
 				handlers.set(kind, handler);
 			},
 		},
 		directory: {get: () => ({entry: {id: 'i-1', group: 'nights'}, ownPool})},
-		evidences: {get: () => lease},
+		primaryLeases: {get: () => lease},
 		clock,
 		elapsedClock: {elapsed: () => clock.now()},
 		random: createSeededRandom(1),
 		log: createSilentLog(),
-		getLongestRestMs: () => 3000,
-	} as unknown as LinkLenderOptions);
+		getMaxIdleMs: () => 3000,
+	} as unknown as CheckoutServerOptions);
 
 	return {
 		checkoutServer,
@@ -131,7 +131,7 @@
 		const asked = bench.open();
 		bench.checkoutServer.retire();
 		bench.give();
-		expect([await asked, bench.checkoutServer.loans, bench.released]).to.deep.equal([{refused: 'stopping'}, 0, 1]);
+		expect([await asked, bench.checkoutServer.checkouts, bench.released]).to.deep.equal([{refused: 'stopping'}, 0, 1]);
 	});
 
 	/**
@@ -141,8 +141,8 @@
 	it('revokes an idle checkout with its transaction, and answers a later commit as not sent', async () => {
 		const bench = createBench();
 		const checkoutId = await openTransaction(bench);
-		bench.checkoutServer.endResting('the host is stopping');
-		expect([bench.checkoutServer.loans, bench.closed, bench.released]).to.deep.equal([0, true, 1]);
+		bench.checkoutServer.revokeIdle('the host is stopping');
+		expect([bench.checkoutServer.checkouts, bench.closed, bench.released]).to.deep.equal([0, true, 1]);
 		expect([await bench.exchange(checkoutId, 2, 'commit'), bench.sent]).to.deep.equal([{over: true}, ['begin']]);
 	});
 
@@ -151,10 +151,10 @@
 		const bench = createBench();
 		const checkoutId = await openTransaction(bench);
 		const answered = bench.exchange(checkoutId, 2, 'commit');
-		bench.checkoutServer.endResting('the host is stopping');
-		expect([bench.checkoutServer.loans, bench.closed]).to.deep.equal([1, false]);
+		bench.checkoutServer.revokeIdle('the host is stopping');
+		expect([bench.checkoutServer.checkouts, bench.closed]).to.deep.equal([1, false]);
 		bench.answer({...ANSWERED, state: SessionState.Idle});
-		expect([await answered, bench.checkoutServer.loans, bench.closed]).to.deep.equal([{answer: {...ANSWERED, state: SessionState.Idle}}, 0, false]);
+		expect([await answered, bench.checkoutServer.checkouts, bench.closed]).to.deep.equal([{answer: {...ANSWERED, state: SessionState.Idle}}, 0, false]);
 	});
 
 	/** The same with another statement in flight: its answer is passed on, and the transaction, which is still open, is rolled back. */
@@ -162,9 +162,9 @@
 		const bench = createBench();
 		const checkoutId = await openTransaction(bench);
 		const answered = bench.exchange(checkoutId, 2, 'run');
-		bench.checkoutServer.endResting('the host is stopping');
+		bench.checkoutServer.revokeIdle('the host is stopping');
 		bench.answer(ANSWERED);
-		expect([await answered, bench.checkoutServer.loans, bench.closed]).to.deep.equal([{answer: ANSWERED}, 0, true]);
+		expect([await answered, bench.checkoutServer.checkouts, bench.closed]).to.deep.equal([{answer: ANSWERED}, 0, true]);
 		expect([await bench.exchange(checkoutId, 3, 'commit'), bench.sent]).to.deep.equal([{over: true}, ['begin', 'run']]);
 	});
 
@@ -176,7 +176,7 @@
 		await new Promise(setImmediate);
 		bench.answer({...ANSWERED, state: SessionState.Idle});
 		expect(await run).to.have.nested.property('answer.end.kind', 'complete');
-		expect([bench.checkoutServer.loans, bench.released, bench.closed]).to.deep.equal([0, 1, false]);
+		expect([bench.checkoutServer.checkouts, bench.released, bench.closed]).to.deep.equal([0, 1, false]);
 	});
 
 	/**
@@ -188,6 +188,6 @@
 		bench.setLease(5);
 		bench.give();
 		expect(await bench.run(4)).to.deep.equal({refused: 'unproven'});
-		expect([bench.sent, bench.checkoutServer.loans, bench.released]).to.deep.equal([[], 0, 1]);
+		expect([bench.sent, bench.checkoutServer.checkouts, bench.released]).to.deep.equal([[], 0, 1]);
 	});
 });
--- a/tests/lending/lenders-tests.ts
+++ b/tests/lending/pool-hosts-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createLenders} from '../../src/lending/lenders.js';
+import {createPoolHosts} from '../../src/lending/pool-hosts.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import type {StoreMirror} from '../../src/mirror/store-mirror.js';
 import type {Routing} from '../../src/routes/routing.js';
@@ -25,7 +25,7 @@
 	};
 }
 
-const createAt = (state: MirrorState, i: number) => createLenders({
+const createAt = (state: MirrorState, i: number) => createPoolHosts({
 	mirror: {state} as unknown as StoreMirror, hostName: `entry-${i}`, availabilityZone: state.hosts[i]!.availabilityZone,
 });
 
@@ -35,10 +35,10 @@
 		it(name, () => {
 			const state = makeState(fleet);
 			const views = state.hosts.map((_, i) => createAt(state, i));
-			const poolHosts = state.hosts.filter((_, i) => views[i]!.keepsOwn(ENDPOINT)).map(({name: host}) => host);
+			const poolHosts = state.hosts.filter((_, i) => views[i]!.isPoolHost(ENDPOINT)).map(({name: host}) => host);
 			expect({shared: views[0]!.isShared(ENDPOINT), poolHosts: poolHosts.length}).to.deep.equal(expected);
 			for (const view of views) {
-				expect(view.getKeepers(ENDPOINT).map(({name: host}) => host).toSorted()).to.deep.equal(poolHosts.toSorted());
+				expect(view.getHosts(ENDPOINT).map(({name: host}) => host).toSorted()).to.deep.equal(poolHosts.toSorted());
 			}
 		});
 	}
@@ -54,7 +54,7 @@
 		const selection = createAt(makeState({hosts: 68, zones: 3, maxConnections: 34}), 0);
 		const counts = new Map<string, number>();
 		for (let i = 0; i < 300; i++) {
-			for (const {name} of selection.getKeepers({id: `i-${i}`, group: 'nights'})) {
+			for (const {name} of selection.getHosts({id: `i-${i}`, group: 'nights'})) {
 				counts.set(name, (counts.get(name) ?? 0) + 1);
 			}
 		}
@@ -65,9 +65,9 @@
 
 	it('are replaced by others of the same zone once they are marked as unresponsive', () => {
 		const state = makeState({hosts: 12, zones: 3, maxConnections: 8});
-		const first = createAt(state, 0).getKeepers(ENDPOINT).find(({availabilityZone}) => availabilityZone === 'zone-0');
+		const first = createAt(state, 0).getHosts(ENDPOINT).find(({availabilityZone}) => availabilityZone === 'zone-0');
 		const marked = {...state, hosts: state.hosts.map(host => host.name === first!.name ? {...host, gone: true} : host)};
-		const left = createAt(marked, 3).getKeepers(ENDPOINT);
+		const left = createAt(marked, 3).getHosts(ENDPOINT);
 		expect(left.map(({availabilityZone}) => availabilityZone).toSorted()).to.deep.equal(['zone-0', 'zone-1', 'zone-2']);
 		expect(left.map(({name}) => name)).to.not.include(first!.name);
 	});
--- a/tests/lending/shared-pool-tests.ts
+++ b/tests/lending/shared-pool-tests.ts
@@ -21,8 +21,8 @@
 		const unreachable = createUnreachableHosts();
 		const pool = createSharedPool({
 			entry: {id: 'i-1', group: 'nights'},
-			ownPool: {ask: async () => ({role: 'replica'})},
-			lenders: {availabilityZone: 'hall-a', keepsOwn: () => false, getKeepers: () => [{peerAddress: POOL_HOST, availabilityZone: 'hall-a'}]},
+			ownPool: {sendCommand: async () => ({role: 'replica'})},
+			poolHosts: {availabilityZone: 'hall-a', isPoolHost: () => false, getHosts: () => [{peerAddress: POOL_HOST, availabilityZone: 'hall-a'}]},
 			unreachable,
 			peers: {
 				async call(address: string, kind: string, req: {readonly timeoutMs: number}, timeoutMs: number) {
@@ -33,7 +33,7 @@
 			clock,
 			ownPeerAddress: 'own:7000',
 		} as unknown as SharedPoolOptions);
-		await clock.runUntil(pool.ask({kind: 'status'}, 500));
+		await clock.runUntil(pool.sendCommand({kind: 'status'}, 500));
 		expect(unreachable.has(POOL_HOST, clock.now())).to.equal(false);
 	});
 
@@ -51,10 +51,10 @@
 					await clock.sleep(until - clock.now());
 				},
 			},
-			lenders: {
+			poolHosts: {
 				availabilityZone: 'hall-a',
-				keepsOwn: () => false,
-				getKeepers: () => [...granted.keys()].map((peerAddress, i) => ({peerAddress, availabilityZone: i === 0 ? 'hall-a' : 'hall-b'})),
+				isPoolHost: () => false,
+				getHosts: () => [...granted.keys()].map((peerAddress, i) => ({peerAddress, availabilityZone: i === 0 ? 'hall-a' : 'hall-b'})),
 			},
 			unreachable: createUnreachableHosts(),
 			peers: {
--- a/tests/links/create-endpoint-pool-tests.ts
+++ b/tests/links/create-endpoint-pool-tests.ts
@@ -17,7 +17,7 @@
 		opener: {
 			async open({workspace}, _timeoutMs, listener) {
 				await clock.sleep(12);
-				listener.onHeard();
+				listener.onReceived();
 				openedFor.push(workspace);
 				const closeListeners: Array<() => void> = [];
 				const close = () => {
@@ -33,8 +33,8 @@
 		},
 		clock,
 		log: createSilentLog(),
-		getLimits: () => ({maxConnections, hosts: Math.max(1, Math.floor((maxConnections - 2) / 3)), keepsOwn: true}),
-		getLeastPosition: () => undefined,
+		getLimits: () => ({maxConnections, hosts: Math.max(1, Math.floor((maxConnections - 2) / 3)), isPoolHost: true}),
+		getMinPosition: () => undefined,
 	});
 	const makeRequest = (single: boolean, workspace?: string): AcquireRequest => ({
 		priority: 1, until: clock.now() + 500, values: new Map(), single, workspace,
@@ -148,8 +148,8 @@
 			},
 			clock,
 			log: createSilentLog(),
-			getLimits: () => ({maxConnections: 5, hosts: 1, keepsOwn: true}),
-			getLeastPosition: () => undefined,
+			getLimits: () => ({maxConnections: 5, hosts: 1, isPoolHost: true}),
+			getMinPosition: () => undefined,
 		});
 		const acquire = async (workspace: string) => pool.acquire({
 			priority: 1, until: clock.now() + 50, values: new Map(), single: true, workspace,
--- a/tests/links/endpoint-directory-tests.ts
+++ b/tests/links/endpoint-directory-tests.ts
@@ -24,9 +24,9 @@
 				opener: {open: async () => NEVER},
 				clock: createVirtualClock(),
 				log: createSilentLog(),
-				getSharing: () => ({hosts: 1, keepsOwn: true}),
+				getSharing: () => ({hosts: 1, isPoolHost: true}),
 				sharePool: (_entry, ownPool) => ownPool,
-				getLeastPosition: () => undefined,
+				getMinPosition: () => undefined,
 			});
 			for (const {afterMs, entries} of lists) {
 				mirror.state = {...EMPTY_STATE, endpoints: entries};
@@ -54,9 +54,9 @@
 			opener: {open: async () => NEVER},
 			clock: createVirtualClock(),
 			log,
-			getSharing: () => ({hosts: 1, keepsOwn: true}),
+			getSharing: () => ({hosts: 1, isPoolHost: true}),
 			sharePool: (_entry, ownPool) => ownPool,
-			getLeastPosition: () => undefined,
+			getMinPosition: () => undefined,
 		});
 		const entries = Array.from({length: 42}, (_, i) => makeEntry(`i-${i}`, `i-${i}`));
 		for (const [at, count] of [41, 42].entries()) {
--- a/tests/links/link-budget-tests.ts
+++ b/tests/links/link-budget-tests.ts
@@ -4,7 +4,7 @@
 describe('the budget of connections to an endpoint', () => {
 	function doTest(name: string, open: number, rejectedAgoMs: number | undefined, expected: boolean) {
 		it(name, () => {
-			const budget = createLinkBudget(() => ({maxConnections: 22, hosts: 9, keepsOwn: true}));
+			const budget = createLinkBudget(() => ({maxConnections: 22, hosts: 9, isPoolHost: true}));
 			if (rejectedAgoMs !== undefined) {
 				budget.noteRejected(10_000 - rejectedAgoMs);
 			}
@@ -24,6 +24,6 @@
 	doTest('allows one beyond the share 500 ms after a rejection', 2, 500, true);
 
 	it('allows each host at least one, however many hosts there are', () => {
-		expect(createLinkBudget(() => ({maxConnections: 22, hosts: 900, keepsOwn: true})).share).to.equal(1);
+		expect(createLinkBudget(() => ({maxConnections: 22, hosts: 900, isPoolHost: true})).share).to.equal(1);
 	});
 });
--- a/tests/proxy/connection-sharing-tests.ts
+++ b/tests/proxy/connection-sharing-tests.ts
@@ -13,7 +13,7 @@
 const createFleet = async () => createProxyBench({proxies: PROXIES, maxConnections: 8});
 
 const keepsPrimaryConnections = (bench: ProxyBench, proxy: SimulatedProxy) =>
-	proxy.kernel.getOrThrow('poolHosts').keepsOwn({id: bench.getPrimary().id, group: 'nights'});
+	proxy.kernel.getOrThrow('poolHosts').isPoolHost({id: bench.getPrimary().id, group: 'nights'});
 
 const getRemoteHost = (bench: ProxyBench) => bench.proxies.find(proxy => !keepsPrimaryConnections(bench, proxy))!;
 
@@ -133,10 +133,10 @@
 		await bench.ask(caller, 'BEGIN');
 		await bench.ask(caller, 'WRITE night 41');
 		const checkoutServer = getPoolHost(bench, remoteHost).kernel.getOrThrow('checkoutServer');
-		expect(checkoutServer.loans).to.equal(1);
+		expect(checkoutServer.checkouts).to.equal(1);
 		bench.system.kill(remoteHost);
 		await bench.clock.advance(6000);
-		expect(checkoutServer.loans).to.equal(0);
+		expect(checkoutServer.checkouts).to.equal(0);
 	});
 
 	/** A pool host is stopped in order: it accepts no more checkouts, and remote hosts use other pool hosts without a refused statement. */
@@ -186,12 +186,12 @@
 		const caller = await bench.open(remoteHost, 'sync');
 		await bench.ask(caller, 'WRITE night 41');
 		const answer = bench.send(caller, 'WRITE night 42', 'late');
-		while (checkoutServer.loans === 0) {
+		while (checkoutServer.checkouts === 0) {
 			await bench.clock.advance(1);
 		}
 
-		checkoutServer.endResting('the host is stopping');
-		expect(checkoutServer.loans).to.equal(0);
+		checkoutServer.revokeIdle('the host is stopping');
+		expect(checkoutServer.checkouts).to.equal(0);
 		expect(describeAnswer(await bench.clock.runUntil(answer))).to.equal('done idle');
 		expect(bench.ran.filter(line => line.endsWith('commit late')).length).to.equal(1);
 	});
@@ -221,13 +221,13 @@
 		const bench = await createFleet();
 		const replica = bench.group.servers[1]!;
 		const name = {id: replica.id, group: 'nights'};
-		const asker = bench.proxies.find(({kernel}) => !kernel.getOrThrow('poolHosts').keepsOwn(name))!;
-		for (const poolHost of bench.proxies.filter(({kernel}) => kernel.getOrThrow('poolHosts').keepsOwn(name)).slice(1)) {
+		const asker = bench.proxies.find(({kernel}) => !kernel.getOrThrow('poolHosts').isPoolHost(name))!;
+		for (const poolHost of bench.proxies.filter(({kernel}) => kernel.getOrThrow('poolHosts').isPoolHost(name)).slice(1)) {
 			bench.system.kill(poolHost);
 		}
 
 		const {pool} = asker.kernel.getOrThrow('endpointDirectory').get(replica.id)!;
-		const status = await bench.clock.runUntil(pool.ask({kind: 'status'}, 500));
+		const status = await bench.clock.runUntil(pool.sendCommand({kind: 'status'}, 500));
 		expect(status.role).to.equal('replica');
 	});
 });
--- a/tests/proxy/leaving-bench.ts
+++ b/tests/proxy/leaving-bench.ts
@@ -65,7 +65,7 @@
 export const countInUse = ({group}: ProxyBench, {kernel}: SimulatedProxy) => {
 	let inUse = 0;
 	for (const {ownPool} of kernel.getOrThrow('endpointDirectory').list(group.name)) {
-		inUse += ownPool.lent;
+		inUse += ownPool.inUse;
 	}
 
 	return inUse;
--- a/tests/proxy/stop-observations.ts
+++ b/tests/proxy/stop-observations.ts
@@ -132,8 +132,8 @@
 
 	const known = kernel.getOrThrow('endpointDirectory').list(bench.group.name);
 	const poolHosts = kernel.getOrThrow('poolHosts');
-	count('stopped while its connections are checked out', kernel.getOrThrow('checkoutServer').loans);
-	count('stopped while it uses connections of pool hosts', known.filter(({entry, pool}) => !poolHosts.keepsOwn(entry) && pool.lent > 0).length);
+	count('stopped while its connections are checked out', kernel.getOrThrow('checkoutServer').checkouts);
+	count('stopped while it uses connections of pool hosts', known.filter(({entry, pool}) => !poolHosts.isPoolHost(entry) && pool.inUse > 0).length);
 	count('stopped while requests wait for a connection', known.filter(({pool, ownPool}) => pool.waiting > 0 || ownPool.waiting > 0).length);
 	count('stopped while it replaces a primary', kernel.getOrThrow('leadershipWatch').replacing ? 1 : 0);
 }
--- a/tests/stand-ins/plain-group/plain-server-tests.ts
+++ b/tests/stand-ins/plain-group/plain-server-tests.ts
@@ -24,7 +24,7 @@
 			},
 		});
 		const [server] = group.servers;
-		const listener = {onHeard() {}, onAsked() {}, onAnswered() {}}; // eslint-disable-line @typescript-eslint/no-empty-function
+		const listener = {onReceived() {}, onSent() {}, onAnswered() {}}; // eslint-disable-line @typescript-eslint/no-empty-function
 		const link = await clock.runUntil(group.open({endpointId: server!.id, address: server!.address, group: group.name}, listener, () => false));
 		await clock.runUntil(link.exchange({id: 'b', command: {kind: 'begin', readOnly: false}}));
 		server!.slowMs = SLOW_MS;
