--- a/src/leadership/host-liveness.ts
+++ b/src/leadership/host-liveness.ts
@@ -50,7 +50,7 @@
 			return;
 		}
 
-		const silentAddresses = new Set(mirror.getUnheard(HEARTBEAT_AFTER_MS));
+		const silentAddresses = new Set(mirror.getSilentHosts(HEARTBEAT_AFTER_MS));
 		const silentHosts = mirror.state.hosts.filter(({peerAddress, gone}) => !gone && peerAddress !== ownPeerAddress && silentAddresses.has(peerAddress));
 		const previouslyUnresponsive = lastUnresponsive;
 		const unresponsive = new Set<string>();
@@ -67,7 +67,7 @@
 		 */
 		if (unresponsive.size * 2 < mirror.state.hosts.length) {
 			await Promise.all(silentHosts.filter(({peerAddress}) => unresponsive.has(peerAddress) && previouslyUnresponsive.has(peerAddress)).map(async host => {
-				const heardAt = mirror.getHeardAt(host.peerAddress);
+				const heardAt = mirror.getLastPolledAt(host.peerAddress);
 				log.info('a host is silent', {host: host.name, heardAgoMs: heardAt === undefined ? undefined : Math.round(now - heardAt)});
 				await unresponsiveHosts.mark(host);
 			}));
--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -277,7 +277,7 @@
 		return {revoked: true as const};
 	});
 	peers.handle('lead-changed', async (_req, from) => {
-		void mirror.confirmBy(from.address);
+		void mirror.confirmWithPeer(from.address);
 		return {heard: true as const};
 	});
 	peers.handle('lead-replace', async ({group, epoch, reason}) => {
--- a/src/leadership/primary-leases.ts
+++ b/src/leadership/primary-leases.ts
@@ -1,5 +1,5 @@
 import type {SleepSignal} from '../time/sleep-alarm.js';
-import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
+import {MAX_WITHOUT_STORE_MS} from '../mirror/peer-confirmation.js';
 import type {UnfencedGroup} from '../mirror/mirror-calls.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {isInCurrentGeneration, LeadershipPhase, type LeadershipRecord} from './leadership-record.js';
@@ -95,7 +95,7 @@
 	 */
 	const mayRenewFromEndpoints = (askedAt: number) => {
 		const confirmedAt = mirror.storeConfirmedAt;
-		return confirmedAt !== undefined && askedAt - confirmedAt < LONGEST_WITHOUT_STORE_MS && isKnownToAll(confirmedAt);
+		return confirmedAt !== undefined && askedAt - confirmedAt < MAX_WITHOUT_STORE_MS && isKnownToAll(confirmedAt);
 	};
 
 	const getSteady = (group: string, now: number) => {
@@ -127,7 +127,7 @@
 			if (steady?.epoch === epoch && askedAt > steady.askedAt && mayRenewFromEndpoints(askedAt)) {
 				lastSteady.set(group, {epoch, askedAt});
 				notifyWaiters();
-				mirror.tellUnfenced();
+				mirror.notifyUnfenced();
 			}
 		},
 		getUnfenced(now) {
--- a/src/leadership/register-host.ts
+++ b/src/leadership/register-host.ts
@@ -1,6 +1,6 @@
 import type {Log} from '../log/log.js';
 import {RecordKind, type MetadataStore} from '../mirror/metadata-store.js';
-import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
+import {MAX_WITHOUT_STORE_MS} from '../mirror/peer-confirmation.js';
 import {getGeneration} from '../mirror/store-generation.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {PlatformConflictError, PlatformError} from '../object-store/platform-errors.js';
@@ -72,7 +72,7 @@
 	 * the time: a host without the store holds either its earlier record, and sends it requests, or the marked one, and then peers
 	 * that are without the store as well cannot confirm its copy. Without this case a group has no primary for 9 s after hosts were marked by mistake.
 	 */
-	const isKnownToAll = (now: number) => registeredAt === undefined ? wasListed : now - registeredAt > LONGEST_WITHOUT_STORE_MS;
+	const isKnownToAll = (now: number) => registeredAt === undefined ? wasListed : now - registeredAt > MAX_WITHOUT_STORE_MS;
 
 	const isListed = (record: HostRecord | undefined) => record !== undefined && !record.gone && record.peerAddress === host.peerAddress;
 
--- a/src/leadership/store-restores.ts
+++ b/src/leadership/store-restores.ts
@@ -1,5 +1,5 @@
-import {holdsRecordsOfBefore, type Versioned} from '../mirror/mirror-state.js';
-import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
+import {hasRecordsToRewrite, type Versioned} from '../mirror/mirror-state.js';
+import {MAX_WITHOUT_STORE_MS} from '../mirror/peer-confirmation.js';
 import {getGeneration} from '../mirror/store-generation.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
@@ -21,7 +21,7 @@
 };
 
 /** Time after a restore by which a host whose registration was lost holds no lease any more, in milliseconds: the longest time that a host may continue without the store, and a lease. */
-const LOST_HOST_LEASE_MS = LONGEST_WITHOUT_STORE_MS + PRIMARY_LEASE_MS;
+const LOST_HOST_LEASE_MS = MAX_WITHOUT_STORE_MS + PRIMARY_LEASE_MS;
 
 /** The same for a host that registered shortly before the store was lost, in milliseconds: endpoints do not renew its lease. */
 const NEW_HOST_LEASE_MS = PRIMARY_LEASE_MS + 150;
@@ -40,7 +40,7 @@
 	let mayLackUntil = Number.NEGATIVE_INFINITY;
 
 	const noteRestore = (now: number) => {
-		const isCurrent = confirmedAt !== undefined && now - confirmedAt < LONGEST_WITHOUT_STORE_MS;
+		const isCurrent = confirmedAt !== undefined && now - confirmedAt < MAX_WITHOUT_STORE_MS;
 		mayLackUntil = Math.max(mayLackUntil, now + (isCurrent ? NEW_HOST_LEASE_MS : LOST_HOST_LEASE_MS));
 		lost = [...lost, ...listed.map(host => ({host, until: now + LOST_HOST_LEASE_MS}))];
 	};
@@ -49,7 +49,7 @@
 		const now = elapsedClock.elapsed();
 		const current = getGeneration(mirror.state.revision);
 		// A process that starts after a restore finds records of an earlier generation.
-		if (generation === undefined ? holdsRecordsOfBefore(mirror.state) : current !== generation) {
+		if (generation === undefined ? hasRecordsToRewrite(mirror.state) : current !== generation) {
 			noteRestore(now);
 		}
 
--- a/src/leadership/unresponsive-hosts.ts
+++ b/src/leadership/unresponsive-hosts.ts
@@ -1,7 +1,7 @@
 import type {Log} from '../log/log.js';
 import {RecordKind, type MetadataStore} from '../mirror/metadata-store.js';
 import type {Versioned} from '../mirror/mirror-state.js';
-import {LONGEST_WITHOUT_STORE_MS} from '../mirror/peer-help.js';
+import {MAX_WITHOUT_STORE_MS} from '../mirror/peer-confirmation.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {ElapsedClock} from '../time/elapsed-clock.js';
 import {PRIMARY_LEASE_MS} from './primary-leases.js';
@@ -30,7 +30,7 @@
 };
 
 /** A marked record is deleted after this time, in milliseconds: longer than a host may continue without the store plus the duration of a primary lease. */
-const RETENTION_MS = LONGEST_WITHOUT_STORE_MS + (2 * PRIMARY_LEASE_MS);
+const RETENTION_MS = MAX_WITHOUT_STORE_MS + (2 * PRIMARY_LEASE_MS);
 
 const STORE_TIMEOUT_MS = 900;
 
--- a/src/links/endpoint-directory.ts
+++ b/src/links/endpoint-directory.ts
@@ -1,5 +1,5 @@
 import type {Log} from '../log/log.js';
-import {formatPlaced, getGeneration} from '../mirror/store-generation.js';
+import {formatQualified, getGeneration} from '../mirror/store-generation.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {RegisteredEndpoint} from '../routes/routing.js';
 import type {LogPosition} from '../terms/log-position.js';
@@ -93,7 +93,7 @@
 	const logAdded = (added: readonly RegisteredEndpoint[]) => {
 		if (added.length > MAX_LOGGED_INDIVIDUALLY) {
 			log.info('endpoints are registered', {
-				endpoints: added.length, groups: new Set(added.map(({group}) => group)).size, leaving: added.filter(({leaving}) => leaving).length, revision: formatPlaced(mirror.state.revision),
+				endpoints: added.length, groups: new Set(added.map(({group}) => group)).size, leaving: added.filter(({leaving}) => leaving).length, revision: formatQualified(mirror.state.revision),
 			});
 			return;
 		}
@@ -118,7 +118,7 @@
 		}
 
 		if (entry.leaving && !known.entry.leaving) {
-			log.info('an endpoint is leaving', {endpoint: entry.id, group: entry.group, revision: formatPlaced(mirror.state.revision)});
+			log.info('an endpoint is leaving', {endpoint: entry.id, group: entry.group, revision: formatQualified(mirror.state.revision)});
 		}
 
 		const generation = getGeneration(mirror.state.revision);
--- a/src/mirror/change-feed-client.ts
+++ b/src/mirror/change-feed-client.ts
@@ -6,7 +6,7 @@
 import {createContentsReceiver} from './contents-receiver.js';
 import type {StoreUpdateRequest, StoreUpdate, UnfencedGroup} from './mirror-calls.js';
 import type {MirrorCopy} from './mirror-copy.js';
-import {formatPlaced, getGeneration} from './store-generation.js';
+import {formatQualified, getGeneration} from './store-generation.js';
 
 /** A host's response, and its effect on the copy. */
 export type PollResult = {
@@ -92,7 +92,7 @@
 		requestsFullUpdate = difference !== undefined && !isApplied && revision > copy.state.revision;
 		if (requestsFullUpdate) {
 			log.info('a peer\'s update does not match the contents held; the full contents are requested', {
-				peer: address, revision: formatPlaced(revision), held: formatPlaced(copy.state.revision),
+				peer: address, revision: formatQualified(revision), held: formatQualified(copy.state.revision),
 			});
 		}
 
--- a/src/mirror/change-feed-source.ts
+++ b/src/mirror/change-feed-source.ts
@@ -3,7 +3,7 @@
 import {hashName} from '../membership/rendezvous.js';
 import {createHostTree, type HostTree} from './host-tree.js';
 import type {MirrorCopy} from './mirror-copy.js';
-import {formatPlaced} from './store-generation.js';
+import {formatQualified} from './store-generation.js';
 
 /** Chooses the host that this one polls for store updates. */
 export type ChangeFeedSource = {
@@ -72,7 +72,7 @@
 	return {
 		getParent: now => getKnown().living.length === 0 ? getSeed(now) : getTreeWithoutAvoided(now).getParent(host)?.peerAddress,
 		avoid(address, now) {
-			log.info('the host that is polled for store updates does not respond', {peer: address, revision: formatPlaced(copy.state.revision)});
+			log.info('the host that is polled for store updates does not respond', {peer: address, revision: formatQualified(copy.state.revision)});
 			avoidedUntil.set(address, now + AVOID_MS);
 			treeWithoutAvoided = undefined;
 		},
--- a/src/mirror/mirror-copy.ts
+++ b/src/mirror/mirror-copy.ts
@@ -3,10 +3,10 @@
 	EMPTY_ID, getContentsId, isSameContents, type ContentsId,
 } from './contents-id.js';
 import {
-	EMPTY_STATE, getLaterLeadership, getLaterRouting, holdsRecordsOfBefore, type MirrorState,
+	EMPTY_STATE, getLaterLeadership, getLaterRouting, hasRecordsToRewrite, type MirrorState,
 } from './mirror-state.js';
 import {createRoutingConfirmation} from './routing-confirmation.js';
-import {formatPlaced, getGeneration} from './store-generation.js';
+import {formatQualified, getGeneration} from './store-generation.js';
 import {applyStateDifference, getStateDifference, type StateDifference} from './state-difference.js';
 
 /** A host's copy of the store, and the time up to which it was confirmed to be complete. */
@@ -44,7 +44,7 @@
 
 	const detectRestore = (before: MirrorState, read: MirrorState) => {
 		const isFirst = before.revision === 0;
-		const isRestored = isFirst ? holdsRecordsOfBefore(read) : getGeneration(read.revision) !== getGeneration(before.revision);
+		const isRestored = isFirst ? hasRecordsToRewrite(read) : getGeneration(read.revision) !== getGeneration(before.revision);
 		if (!isRestored) {
 			return;
 		}
@@ -52,8 +52,8 @@
 		routingConfirmation.noteRestore((isFirst ? read : before).routing?.version ?? 0);
 		log.warn('the store has come back from a copy', {
 			generation: getGeneration(read.revision),
-			held: formatPlaced(before.revision),
-			revision: formatPlaced(read.revision),
+			held: formatQualified(before.revision),
+			revision: formatQualified(read.revision),
 			routing: before.routing?.version,
 			routingRead: read.routing?.version,
 		});
@@ -64,7 +64,7 @@
 		detectRestore(before, read);
 		state = {...read, routing: getLaterRouting(before.routing, read.routing), leadership: getLaterLeadership(before.leadership, read.leadership)};
 		if (state.routing?.version !== before.routing?.version) {
-			log.info('a configuration is in force', {version: state.routing?.version, before: before.routing?.version, revision: formatPlaced(state.revision)});
+			log.info('a configuration is in force', {version: state.routing?.version, before: before.routing?.version, revision: formatQualified(state.revision)});
 		}
 
 		const id = getContentsId(state);
--- a/src/mirror/mirror-state.ts
+++ b/src/mirror/mirror-state.ts
@@ -26,7 +26,7 @@
 };
 
 /** Returns whether the state holds records that have not been rewritten in the current store generation, which is so for a while after a store restore. */
-export function holdsRecordsOfBefore({hosts, leadership, revision}: MirrorState): boolean {
+export function hasRecordsToRewrite({hosts, leadership, revision}: MirrorState): boolean {
 	return [...hosts, ...leadership.values()].some(record => !isInCurrentGeneration(record, revision));
 }
 
--- a/src/mirror/peer-help.ts
+++ b/src/mirror/peer-confirmation.ts
@@ -4,7 +4,7 @@
 import type {StoreUpdate} from './mirror-calls.js';
 import type {MirrorCopy} from './mirror-copy.js';
 import {createPeerChoice} from './peer-choice.js';
-import {formatPlaced} from './store-generation.js';
+import {formatQualified} from './store-generation.js';
 
 /** Confirms the copy by the responses of other hosts if the store does not respond to this one. */
 export type PeerConfirmation = {
@@ -31,7 +31,7 @@
  * host's own record may have been deleted as that of an unresponsive host, and hosts that it does not know may replace primaries. Outages of 3 to
  * 9 s are common; but a dead host's record is kept for this long too, and each replacement of a primary waits for that host meanwhile.
  */
-export const LONGEST_WITHOUT_STORE_MS = 9000;
+export const MAX_WITHOUT_STORE_MS = 9000;
 
 /** Creates the confirmation by peers. */
 export function createPeerConfirmation(options: PeerConfirmationOptions): PeerConfirmation {
@@ -50,7 +50,7 @@
 	const isUnanimous = (responses: ReadonlyArray<StoreUpdate | undefined>, revision: number) =>
 		copy.state.hosts.length > 0
 		&& copy.state.hosts.every(host => !host.gone)
-		&& elapsedClock.elapsed() - (copy.storeConfirmedAt ?? Number.NEGATIVE_INFINITY) < LONGEST_WITHOUT_STORE_MS
+		&& elapsedClock.elapsed() - (copy.storeConfirmedAt ?? Number.NEGATIVE_INFINITY) < MAX_WITHOUT_STORE_MS
 		&& copy.state.revision === revision
 		&& options.getChanging().length === 0
 		&& responses.every(response => response?.revision === revision && response.changing.length === 0);
@@ -72,7 +72,7 @@
 
 			const responses = await Promise.all(requests);
 			if (others.length > 0 && others.length === all.length && isUnanimous(responses.map(response => response?.update), revision)) {
-				log.info('every host confirms that no primary is being changed', {revision: formatPlaced(revision), hosts: others.length + 1});
+				log.info('every host confirms that no primary is being changed', {revision: formatQualified(revision), hosts: others.length + 1});
 				copy.noteConfirmed(askedAt);
 				return true;
 			}
--- a/src/mirror/store-generation.ts
+++ b/src/mirror/store-generation.ts
@@ -8,7 +8,7 @@
 const NUMBERS_PER_GENERATION = 2 ** 32;
 
 /** Qualifies a number that the store assigned by its generation, so that it can be compared across generations. */
-export function placeInGeneration(generation: number, number: number): number {
+export function qualifyByGeneration(generation: number, number: number): number {
 	return (generation * NUMBERS_PER_GENERATION) + number;
 }
 
@@ -28,7 +28,7 @@
 }
 
 /** Formats a qualified number for the log, with the generation first unless that is 0. */
-export function formatPlaced(qualified: number): string {
+export function formatQualified(qualified: number): string {
 	const generation = getGeneration(qualified);
 	return generation === 0 ? String(qualified) : `${generation}.${getWithinGeneration(qualified)}`;
 }
--- a/src/mirror/store-mirror.ts
+++ b/src/mirror/store-mirror.ts
@@ -13,7 +13,7 @@
 import {createChangeFeedServer} from './change-feed-server.js';
 import {createChangeFeedClient} from './change-feed-client.js';
 import {createChangeFeedSource} from './change-feed-source.js';
-import {createPeerConfirmation} from './peer-help.js';
+import {createPeerConfirmation} from './peer-confirmation.js';
 import {createReadRateLimiter} from './read-rate-limiter.js';
 import {createStoreReader} from './store-reader.js';
 import {createSilentHosts} from './silent-hosts.js';
@@ -32,17 +32,17 @@
 	/** Requests a confirmation without waiting for it. */
 	confirmSoon(): void;
 	/** Has one peer, which reported a change, read the store, and applies its response; resolves with whether that confirmed the copy. */
-	confirmBy(peerAddress: string): Promise<boolean>;
+	confirmWithPeer(peerAddress: string): Promise<boolean>;
 	/** Resolves at the next confirmation, without requesting one. */
 	nextConfirmation(): Promise<void>;
 	/** Notifies the hosts that poll this one of the groups whose endpoints showed no fence. */
-	tellUnfenced(): void;
+	notifyUnfenced(): void;
 	/** Whether this host reads the store for all others. */
 	readonly readsForAll: boolean;
 	/** Returns the steady time at which a peer last polled this host; undefined if it never did. */
-	getHeardAt(peerAddress: string): number | undefined;
+	getLastPolledAt(peerAddress: string): number | undefined;
 	/** Returns the addresses of hosts that have polled nobody for `silentAfterMs` milliseconds, as far as this host and those that poll it know. */
-	getUnheard(silentAfterMs: number): readonly string[];
+	getSilentHosts(silentAfterMs: number): readonly string[];
 	/** Calls `listener` after each confirmation, once the contents that it confirms are applied. */
 	onChange(listener: () => void): void;
 	/** Confirms the copy at an interval until stopped: one host reads the store, and the others receive its updates along a tree. */
@@ -255,7 +255,7 @@
 				readUnscheduled();
 			}
 		},
-		async confirmBy(address) {
+		async confirmWithPeer(address) {
 			const result = await feedClient.pollUrgently(address);
 			return result?.confirmed ?? false;
 		},
@@ -264,12 +264,12 @@
 				confirmationWaiters.push(resolve);
 			});
 		},
-		tellUnfenced: feedServer.respondSoon,
+		notifyUnfenced: feedServer.respondSoon,
 		get readsForAll() {
 			return readsForAll();
 		},
-		getHeardAt: silentHosts.getLastPolledAt,
-		getUnheard: getSilent,
+		getLastPolledAt: silentHosts.getLastPolledAt,
+		getSilentHosts: getSilent,
 		onChange: copy.onChange,
 		async start() {
 			void run();
--- a/src/mirror/store-reader.ts
+++ b/src/mirror/store-reader.ts
@@ -4,7 +4,7 @@
 import {throwPlatformSilent} from '../object-store/platform-errors.js';
 import {RecordKind, type MetadataStore} from './metadata-store.js';
 import {decodeHosts, decodeLeadership, type MirrorState} from './mirror-state.js';
-import {formatPlaced, getGeneration} from './store-generation.js';
+import {formatQualified, getGeneration} from './store-generation.js';
 
 /** Reads the store for the mirror. */
 export type StoreReader = {
@@ -45,14 +45,14 @@
 	const noteFailure = (err: unknown) => {
 		if (reached !== false) {
 			reached = false;
-			log.warn('the store does not answer', {reason: (err as Error).message, revision: formatPlaced(getRevision())});
+			log.warn('the store does not answer', {reason: (err as Error).message, revision: formatQualified(getRevision())});
 		}
 	};
 
 	const noteAnswer = (held: number, answered: number | undefined) => {
 		if (reached !== true) {
 			reached = true;
-			log.info('the store answers', {revision: formatPlaced(getRevision()), held: formatPlaced(held), answered: answered && formatPlaced(answered)});
+			log.info('the store answers', {revision: formatQualified(getRevision()), held: formatQualified(held), answered: answered && formatQualified(answered)});
 		}
 	};
 
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -2,7 +2,7 @@
 import {
 	RecordKind, type MetadataStore, type StoredRecord,
 } from '../mirror/metadata-store.js';
-import {getWithinGeneration, placeInGeneration} from '../mirror/store-generation.js';
+import {getWithinGeneration, qualifyByGeneration} from '../mirror/store-generation.js';
 import {createHttpExchanger, type HttpAnswer, type HttpExchange} from '../object-store/http-exchange.js';
 import {throwPlatformRefused, throwPlatformSilent, throwVersionConflict} from '../object-store/platform-errors.js';
 import type {RegisteredEndpoint} from '../routes/routing.js';
@@ -100,7 +100,7 @@
 			});
 			const page = parse(what, res, storeListSchema);
 			// Later pages may show more; the first one's revision is what the whole is complete up to.
-			first ??= {revision: placeInGeneration(res.generation, page.storeRevision), generation: res.generation};
+			first ??= {revision: qualifyByGeneration(res.generation, page.storeRevision), generation: res.generation};
 			if (res.generation !== first.generation) {
 				throwPlatformSilent(what, new Error('its pages are of two generations of the store'));
 			}
@@ -196,7 +196,7 @@
 }
 
 function toRecord({meta, spec}: StoreObject, generation: number): StoredRecord {
-	return {name: meta.name, version: placeInGeneration(generation, meta.modRevision), value: spec};
+	return {name: meta.name, version: qualifyByGeneration(generation, meta.modRevision), value: spec};
 }
 
 function parse<T>(what: string, res: HttpAnswer, schema: z.ZodType<T>): T {
--- a/src/stand-ins/metadata-store/in-memory-metadata-store.ts
+++ b/src/stand-ins/metadata-store/in-memory-metadata-store.ts
@@ -1,5 +1,5 @@
 import {RecordKind, type MetadataStore, type StoredRecord} from '../../mirror/metadata-store.js';
-import {getWithinGeneration, placeInGeneration} from '../../mirror/store-generation.js';
+import {getWithinGeneration, qualifyByGeneration} from '../../mirror/store-generation.js';
 import {PlatformConflictError, throwPlatformSilent, throwVersionConflict} from '../../object-store/platform-errors.js';
 import type {Random} from '../../random/random.js';
 import type {RegisteredEndpoint, Routing} from '../../routes/routing.js';
@@ -134,7 +134,7 @@
 		}
 	};
 
-	const place = (number: number) => placeInGeneration(generation, number);
+	const place = (number: number) => qualifyByGeneration(generation, number);
 
 	const placeRecord = (record: StoredRecord): StoredRecord => ({...record, version: place(record.version)});
 
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -152,7 +152,7 @@
 	{
 		name: 'all-hosts',
 		without: 'the word of every host: a few suffice where the store does not confirm',
-		changes: [{file: 'src/mirror/peer-help.ts', from: '&& responses.every(response => response?.revision', to: '&& responses.some(response => response?.revision'}],
+		changes: [{file: 'src/mirror/peer-confirmation.ts', from: '&& responses.every(response => response?.revision', to: '&& responses.some(response => response?.revision'}],
 	},
 	{
 		name: 'after-wait',
--- a/tests/leadership/primary-leases-tests.ts
+++ b/tests/leadership/primary-leases-tests.ts
@@ -4,7 +4,7 @@
 } from '../../src/leadership/primary-leases.js';
 import type {LeadershipPhase} from '../../src/leadership/leadership-record.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
-import {LONGEST_WITHOUT_STORE_MS} from '../../src/mirror/peer-help.js';
+import {MAX_WITHOUT_STORE_MS} from '../../src/mirror/peer-confirmation.js';
 import type {StoreMirror} from '../../src/mirror/store-mirror.js';
 
 const SELF = 'entry-1:7000';
@@ -26,7 +26,7 @@
 		onChange(listener: () => void) {
 			listeners.push(listener);
 		},
-		tellUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
+		notifyUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	} as unknown as StoreMirror;
 
 	return {
@@ -117,8 +117,8 @@
 		set('steady', 1, 1000);
 		primaryLeases.noteUnfenced('g', 1, 3500);
 		expect(primaryLeases.get('g', 3500 + PRIMARY_LEASE_MS - 1)?.epoch).to.equal(1);
-		primaryLeases.noteUnfenced('g', 1, 1000 + LONGEST_WITHOUT_STORE_MS);
-		expect(primaryLeases.get('g', 1000 + LONGEST_WITHOUT_STORE_MS)).to.equal(undefined);
+		primaryLeases.noteUnfenced('g', 1, 1000 + MAX_WITHOUT_STORE_MS);
+		expect(primaryLeases.get('g', 1000 + MAX_WITHOUT_STORE_MS)).to.equal(undefined);
 	});
 
 	/** A host gave up its lease for a change that its copy of the store does not contain. If it did not report that, the others would confirm each other's copies. */
--- a/tests/mirror/change-feed-client-tests.ts
+++ b/tests/mirror/change-feed-client-tests.ts
@@ -4,7 +4,7 @@
 import {createMirrorCopy} from '../../src/mirror/mirror-copy.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import {createChangeFeedClient} from '../../src/mirror/change-feed-client.js';
-import {placeInGeneration} from '../../src/mirror/store-generation.js';
+import {qualifyByGeneration} from '../../src/mirror/store-generation.js';
 import type {Peers} from '../../src/peers/peers.js';
 
 const createState = (revision: number, hosts: readonly string[]): MirrorState => ({
@@ -65,7 +65,7 @@
 
 	/** Guards against a copy of a restored store that counts as confirmed because other hosts, which still hold what was lost, confirm each other. */
 	it('no confirmation of an earlier generation', async () => {
-		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(placeInGeneration(1, 8), ['a']));
+		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(qualifyByGeneration(1, 8), ['a']));
 		expect([copy.confirmedAt, answer?.confirmed]).to.deep.equal([undefined, false]);
 	});
 });
--- a/tests/mirror/guard-generations-tests.ts
+++ b/tests/mirror/guard-generations-tests.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {guardGenerations} from '../../src/mirror/guard-generations.js';
 import {RecordKind} from '../../src/mirror/metadata-store.js';
-import {placeInGeneration} from '../../src/mirror/store-generation.js';
+import {qualifyByGeneration} from '../../src/mirror/store-generation.js';
 import {PlatformConflictError, PlatformError} from '../../src/object-store/platform-errors.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 import {createInMemoryMetadataStore} from '../../src/stand-ins/metadata-store/in-memory-metadata-store.js';
@@ -35,7 +35,7 @@
 		await clock.runUntil(put(0, 'a'));
 		const before = await clock.runUntil(client.getRevision(TIMEOUT_MS));
 		store.restore(copy);
-		expect([before, await clock.runUntil(client.getRevision(TIMEOUT_MS))]).to.deep.equal([2, placeInGeneration(1, 1)]);
+		expect([before, await clock.runUntil(client.getRevision(TIMEOUT_MS))]).to.deep.equal([2, qualifyByGeneration(1, 1)]);
 	});
 
 	/** Guards against an update whose condition holds by chance, because the store assigned the version that it names again, to another host's change. */
--- a/tests/mirror/store-reader-tests.ts
+++ b/tests/mirror/store-reader-tests.ts
@@ -1,12 +1,12 @@
 import {expect} from 'chai';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import type {MetadataStore} from '../../src/mirror/metadata-store.js';
-import {placeInGeneration} from '../../src/mirror/store-generation.js';
+import {qualifyByGeneration} from '../../src/mirror/store-generation.js';
 import {createStoreReader} from '../../src/mirror/store-reader.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 const EARLIER_GENERATION = 9;
-const CURRENT_GENERATION = placeInGeneration(1, 5);
+const CURRENT_GENERATION = qualifyByGeneration(1, 5);
 
 /** Revisions of a store's responses. */
 type Revisions = {readonly store: number; readonly routing?: number; readonly hosts?: number};
