--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -8,7 +8,7 @@
 	 *
 	 * Resolves with a slot once one is granted, or with a refusal as soon as the request cannot meet its deadline.
 	 */
-	enter(req: AdmissionRequest, now: number): Promise<AdmissionAnswer>;
+	acquire(req: AdmissionRequest, now: number): Promise<AdmissionResult>;
 	/** Returns the predicted wait of a request of the class that arrives now, in milliseconds. */
 	getPredictedWaitMs(workClass: WorkClass, now: number): number;
 	/** Returns the current load, for operators and metrics. */
@@ -25,7 +25,7 @@
 };
 
 /** A slot, or the reason why there is none. */
-export type AdmissionAnswer =
+export type AdmissionResult =
 	| {readonly admitted: true; readonly queuedMs: number; /** Releases the slot; `served` is false where the endpoint did not answer. */ release(now: number, served: boolean): void}
 	| {readonly admitted: false; readonly refusal: Refusal};
 
--- a/src/admission/class-queues.ts
+++ b/src/admission/class-queues.ts
@@ -1,5 +1,5 @@
 import {WorkClass} from '../groups/group-config.js';
-import type {AdmissionAnswer, AdmissionRequest} from './admission.js';
+import type {AdmissionResult, AdmissionRequest} from './admission.js';
 import type {QueueOrder} from './queue-order.js';
 
 /** All classes, the most urgent first. */
@@ -13,7 +13,7 @@
 	/** Wait that the model estimated when the request was queued, before any correction, in milliseconds. */
 	readonly modelWaitMs: number;
 	/** Resolves the request with a slot or a refusal; called once. */
-	resolve(answer: AdmissionAnswer): void;
+	resolve(answer: AdmissionResult): void;
 };
 
 /** One queue for each class, each sorted by a {@link QueueOrder}. */
--- a/src/admission/create-admission.ts
+++ b/src/admission/create-admission.ts
@@ -3,7 +3,7 @@
 import type {Clock} from '../time/clock.js';
 import {createComeBackTimes} from '../refusals/come-back-times.js';
 import {AdaptiveLimit} from './adaptive-limit.js';
-import type {Admission, AdmissionAnswer, AdmissionRequest} from './admission.js';
+import type {Admission, AdmissionResult, AdmissionRequest} from './admission.js';
 import {
 	createDeadlinePassed, createDeadlineTooShort, createQueueFull, type AdmissionFacts,
 } from './admission-refusals.js';
@@ -87,13 +87,13 @@
 		};
 	};
 
-	const refuseFull = (req: AdmissionRequest, waitMs: number, now: number): AdmissionAnswer => {
+	const refuseFull = (req: AdmissionRequest, waitMs: number, now: number): AdmissionResult => {
 		const facts = getFacts(req, now, waitMs, now);
 		const retryAfterMs = retryDelays[req.class].take(waitMs, facts.turnMs, now);
 		return {admitted: false, refusal: createQueueFull(facts, retryAfterMs)};
 	};
 
-	const refuseDeadline = (req: AdmissionRequest, queuedAt: number, waitMs: number, now: number): AdmissionAnswer => {
+	const refuseDeadline = (req: AdmissionRequest, queuedAt: number, waitMs: number, now: number): AdmissionResult => {
 		const facts = getFacts(req, queuedAt, waitMs, now);
 		const drainedMs = waitMs + facts.serviceMs - Math.max(0, facts.remainingMs);
 		const retryAfterMs = retryDelays[req.class].take(drainedMs, facts.turnMs, now);
@@ -101,7 +101,7 @@
 		return {admitted: false, refusal: createRefusal(facts, retryAfterMs)};
 	};
 
-	const grant = (req: AdmissionRequest, queuedAt: number, now: number): AdmissionAnswer => {
+	const grant = (req: AdmissionRequest, queuedAt: number, now: number): AdmissionResult => {
 		const reservation = shares.reserve(req.class, serviceTime.getClassMeanMs(req.class));
 		let isHeld = true;
 		running++;
@@ -160,7 +160,7 @@
 		onDue: dispatch,
 	});
 
-	const enqueue = async (req: AdmissionRequest, position: number, now: number) => new Promise<AdmissionAnswer>(resolve => {
+	const enqueue = async (req: AdmissionRequest, position: number, now: number) => new Promise<AdmissionResult>(resolve => {
 		const modelWaitMs = (position + 1) * prediction.getTurnMs(req.class, getQueueState(req.class, now));
 		const queued: QueuedRequest = {
 			req, queuedAt: now, modelWaitMs, resolve,
@@ -170,7 +170,7 @@
 	});
 
 	return {
-		async enter(req, now) {
+		async acquire(req, now) {
 			if (closedBy) {
 				return {admitted: false, refusal: closedBy};
 			}
--- a/src/bench/overload/baselines.ts
+++ b/src/bench/overload/baselines.ts
@@ -1,12 +1,12 @@
-import type {Admission, AdmissionAnswer, AdmissionRequest} from '../../admission/admission.js';
+import type {Admission, AdmissionResult, AdmissionRequest} from '../../admission/admission.js';
 import {RefusalCode} from '../../refusals/refusal.js';
 
 /** A queue without classes or deadlines: first come first served, at most `limit` at once, refused where `maxQueued` wait. */
 export function createFifoAdmission(limit: number, maxQueued = Number.POSITIVE_INFINITY): Admission {
-	const waiting: Array<{readonly enteredAt: number; answer(answer: AdmissionAnswer): void}> = [];
+	const waiting: Array<{readonly enteredAt: number; answer(answer: AdmissionResult): void}> = [];
 	let running = 0;
 
-	const grant = (enteredAt: number, now: number): AdmissionAnswer => {
+	const grant = (enteredAt: number, now: number): AdmissionResult => {
 		running++;
 		return {
 			admitted: true,
@@ -20,7 +20,7 @@
 	};
 
 	return {
-		async enter(_req: AdmissionRequest, now: number) {
+		async acquire(_req: AdmissionRequest, now: number) {
 			if (running < limit) {
 				return grant(now, now);
 			}
@@ -29,7 +29,7 @@
 				return {admitted: false, refusal: {code: RefusalCode.QueueFull, reason: 'the queue is full', facts: {}}};
 			}
 
-			return new Promise<AdmissionAnswer>(resolve => {
+			return new Promise<AdmissionResult>(resolve => {
 				waiting.push({enteredAt: now, answer: resolve});
 			});
 		},
--- a/src/bench/overload/owner-model.ts
+++ b/src/bench/overload/owner-model.ts
@@ -24,7 +24,7 @@
 	return {
 		async execute(req) {
 			const replicatedAt = schedule.now() + req.replicationMs;
-			const answer = await admission.enter(req, schedule.now());
+			const answer = await admission.acquire(req, schedule.now());
 			if (!answer.admitted) {
 				const {code, retryAfterMs} = answer.refusal;
 				return {
--- a/src/bench/overload/refusal-cost.ts
+++ b/src/bench/overload/refusal-cost.ts
@@ -38,15 +38,15 @@
 	const admission = createIdleAdmission();
 	const req = {class: 'interactive', deadlineAt: DEADLINE_MS} as const;
 	while (admission.getLoad().queued.interactive < SLOTS) {
-		void admission.enter(req, 0);
+		void admission.acquire(req, 0);
 	}
 
 	// The queue is full by now or soon: what enters before that only waits.
 	for (let i = 0; i < WARM_UP; i++) {
-		void admission.enter(req, 0);
+		void admission.acquire(req, 0);
 	}
 
-	return measureUs(REFUSALS, async () => admission.enter(req, 0));
+	return measureUs(REFUSALS, async () => admission.acquire(req, 0));
 }
 
 /** Half of what client and server spend together, since both run in this process. */
@@ -55,7 +55,7 @@
 	const server = fastify();
 	server.post('/v1/groups/:group/requests', async req => {
 		const {class: workClass, statement} = callerRequestSchema.parse(req.body);
-		const answer = await admission.enter({class: workClass, deadlineAt: DEADLINE_MS}, 0);
+		const answer = await admission.acquire({class: workClass, deadlineAt: DEADLINE_MS}, 0);
 		if (answer.admitted) {
 			answer.release(1, true);
 		}
--- a/src/bench/pooling/proxy-model.ts
+++ b/src/bench/pooling/proxy-model.ts
@@ -68,7 +68,7 @@
 	const run = async (req: ModelRequest): Promise<ProxyAnswer> => {
 		const {admission, pool} = getParts();
 		const enteredAt = schedule.now();
-		const admitted = await admission.enter({class: req.class, deadlineAt: req.deadlineAt}, enteredAt);
+		const admitted = await admission.acquire({class: req.class, deadlineAt: req.deadlineAt}, enteredAt);
 		if (!admitted.admitted) {
 			return {done: false, waitedMs: schedule.now() - enteredAt};
 		}
--- a/src/bench/replica-share/workload.ts
+++ b/src/bench/replica-share/workload.ts
@@ -1,6 +1,6 @@
 import {Outcome} from '../../callers/caller-answer.js';
 import {EndpointRole} from '../../endpoints/endpoint.js';
-import type {OwnerAnswer, OwnerRequest} from '../../routing/owner-request.js';
+import type {OwnerResponse, OwnerRequest} from '../../routing/owner-request.js';
 import {createRequestId} from '../../random/request-id.js';
 import type {ReadPath} from '../../owners/read-path.js';
 import {getLaterLogPosition, LOG_START, type LogPosition} from '../../terms/log-position.js';
@@ -97,7 +97,7 @@
 		...more,
 	});
 
-	const write = async (statement: string, values: readonly unknown[]): Promise<OwnerAnswer> => {
+	const write = async (statement: string, values: readonly unknown[]): Promise<OwnerResponse> => {
 		const req = createRequest('write', statement, values, {class: 'deadline'});
 		await schedule.sleep(HOP_MS);
 		const answer = await owners[pickOwner()]!.writes.write(req, schedule.now() + SYNC_DEADLINE_MS);
@@ -149,7 +149,7 @@
 	};
 
 	// A row younger than the stated age at the moment of the answer, or one that the session wrote, must be there.
-	const isStale = (answer: OwnerAnswer, mustHold: LogPosition, maxAgeMs: number, now: number) => {
+	const isStale = (answer: OwnerResponse, mustHold: LogPosition, maxAgeMs: number, now: number) => {
 		const missing = system.servers[0].member.log.get(answer.log!.position + 1);
 		const isTooOld = missing !== undefined && now - missing.writtenAt > maxAgeMs;
 		return answer.log!.position < mustHold.position || isTooOld;
--- a/src/bench/site-load/placements.ts
+++ b/src/bench/site-load/placements.ts
@@ -1,5 +1,5 @@
-import {LONGEST_CATCH_UP_MS, type ReadCandidate} from '../../placement/choose-endpoint.js';
-import {WeighedPlacement, type ReadPlacement} from '../../placement/read-placement.js';
+import {MAX_CATCH_UP_MS, type ReadCandidate} from '../../placement/choose-endpoint.js';
+import {CostBasedPlacement, type ReadPlacement} from '../../placement/read-placement.js';
 import type {PlainServer} from '../../stand-ins/plain-group/plain-server.js';
 
 /** A way to place reads, created for each host. */
@@ -9,7 +9,7 @@
 };
 
 /** The product. */
-export const WEIGHED: PlacementWay = {name: 'load, lag and zone weighed', create: () => new WeighedPlacement()};
+export const WEIGHED: PlacementWay = {name: 'load, lag and zone weighed', create: () => new CostBasedPlacement()};
 
 /** Every read at the primary: what a proxy does that knows nothing of replicas. */
 class PrimaryPlacement implements ReadPlacement {
@@ -39,7 +39,7 @@
 }
 
 /** The product's weights with what only the stand-in knows: the true load and time of each server, of all hosts together. */
-class OraclePlacement extends WeighedPlacement {
+class OraclePlacement extends CostBasedPlacement {
 	constructor(private readonly findServer: (id: string) => PlainServer) {
 		super();
 	}
@@ -57,7 +57,7 @@
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		const getCost = ({load, slots, serviceMs, catchUpMs, sameZone, isPrimary}: ReadCandidate) =>
 			((load + 1) * serviceMs / slots) + catchUpMs + (sameZone ? 0 : 25) + (isPrimary ? 30 : 0);
-		return candidates.filter(({catchUpMs}) => catchUpMs <= LONGEST_CATCH_UP_MS).toSorted((left, right) => getCost(left) - getCost(right))[0];
+		return candidates.filter(({catchUpMs}) => catchUpMs <= MAX_CATCH_UP_MS).toSorted((left, right) => getCost(left) - getCost(right))[0];
 	}
 }
 
--- a/src/daemon/register-entry.ts
+++ b/src/daemon/register-entry.ts
@@ -1,7 +1,7 @@
 import {createExplanations} from '../explanations/create-explanations.js';
 import type {Kernel} from '../kernel/kernel.js';
 import {createRetries} from '../retries/create-retries.js';
-import {createAsker} from '../routing/asked-request.js';
+import {createRequestReceiver} from '../routing/received-request.js';
 import {createEntry} from '../routing/create-entry.js';
 import {createEntryAnswers} from '../routing/entry-answers.js';
 import {createOwnerClient} from '../routing/owner-client.js';
@@ -30,7 +30,7 @@
 		clock: common.clock, hosts, peers, owners: kernel.getOrThrow('owners'), transactions: kernel.getOrThrow('transactions'),
 	});
 	const retries = createRetries();
-	const asker = createAsker({...common, configuration: kernel.getOrThrow('configuration'), sessions});
+	const asker = createRequestReceiver({...common, configuration: kernel.getOrThrow('configuration'), sessions});
 	const answers = createEntryAnswers({
 		...common,
 		hosts,
@@ -59,7 +59,7 @@
 	});
 	kernel.register('entry', {
 		...createEntry({
-			asker, answers, tries, ownerClient, retries,
+			receiver: asker, answers, tries, ownerClient, retries,
 		}),
 		...createTransactionEntry({
 			asker, answers, tries, ownerClient, hosts,
--- a/src/endpoints/exchange-runner.ts
+++ b/src/endpoints/exchange-runner.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../time/clock.js';
-import {createDeadlineWatch} from '../time/deadline-watch.js';
+import {createDeadlineTimer} from '../time/deadline-timer.js';
 import {throwNoAnswer, throwNotConnected} from './endpoint-errors.js';
 
 /** Runs the exchanges of one connection under its rules: one at a time, each within its timeout, and none after one that failed. */
@@ -30,7 +30,7 @@
 	let usable = true;
 	let rejectCurrent: ((cause: unknown) => void) | undefined;
 
-	const watch = createDeadlineWatch(clock, () => {
+	const watch = createDeadlineTimer(clock, () => {
 		end('nothing came within the timeout');
 	});
 
--- a/src/gateway/acquire-link.ts
+++ b/src/gateway/acquire-link.ts
@@ -5,7 +5,7 @@
 import {CONFIRM_INTERVAL_MS} from '../mirror/store-mirror.js';
 import type {ReadCandidate} from '../placement/choose-endpoint.js';
 import {predictCatchUp} from '../placement/catch-up.js';
-import {getHigherFloor, limitToStart} from '../placement/position-samples.js';
+import {getHigherFloor, clampToTermStart} from '../placement/position-samples.js';
 import {ReadPolicy, type Route} from '../routes/routing.js';
 import {SessionState} from '../statements/statement.js';
 import type {LogPosition} from '../terms/log-position.js';
@@ -197,7 +197,7 @@
 	const own = route.policy === ReadPolicy.OwnWrites ? memory.floors.get(route.group) : undefined;
 	const floor = sampled && getHigherFloor(sampled, own);
 	const record = mirror.state.leadership.get(route.group);
-	return floor && record ? limitToStart(floor, record) : floor;
+	return floor && record ? clampToTermStart(floor, record) : floor;
 }
 
 function getCandidates(parts: GatewayParts, req: LinkRequest, lease: PrimaryLease | undefined, floor: LogPosition | undefined): ReadCandidate[] {
@@ -210,7 +210,7 @@
 			continue;
 		}
 
-		const figures = parts.knowledge.getFigures(entry.id);
+		const figures = parts.knowledge.getStats(entry.id);
 		candidates.push({
 			endpointId: entry.id,
 			isPrimary,
--- a/src/gateway/admit-operation.ts
+++ b/src/gateway/admit-operation.ts
@@ -21,7 +21,7 @@
 
 /** Admits a request where its caller's key is valid. */
 export function admitCaller({access, elapsedClock}: GatewayParts, fingerprint: KeyFingerprint, route: Route): Admission {
-	const verdict = access.judge(fingerprint, route, elapsedClock.elapsed());
+	const verdict = access.authorize(fingerprint, route, elapsedClock.elapsed());
 	if (verdict.allowed) {
 		return {admitted: true, workspace: verdict.workspace};
 	}
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -68,7 +68,7 @@
 	return answer;
 
 	function noteAnswer({end, position, state}: EndpointAnswer) {
-		const figures = knowledge.getFigures(endpoint.entry.id);
+		const figures = knowledge.getStats(endpoint.entry.id);
 		const isLagging = end.kind === 'error' && end.code === AnswerCode.Lagging;
 		if (!isLagging && (req.command.kind === 'run' || req.command.kind === 'execute')) {
 			figures.noteAnswer(clock.now() - sentAt);
--- a/src/gateway/run-read.ts
+++ b/src/gateway/run-read.ts
@@ -102,7 +102,7 @@
 const ROUND_PAUSE_MS = 25;
 
 function getHedgeDelayMs({knowledge}: GatewayParts, acquired: AcquiredLink) {
-	return Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * knowledge.getFigures(acquired.endpoint.entry.id).serviceMs);
+	return Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * knowledge.getStats(acquired.endpoint.entry.id).serviceMs);
 }
 
 /** Removes the first try that completes within `ms` milliseconds from the set and returns its outcome; undefined where none completes. */
--- a/src/owners/confirmer.ts
+++ b/src/owners/confirmer.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../time/clock.js';
-import {createDeadlineWatch} from '../time/deadline-watch.js';
+import {createDeadlineTimer} from '../time/deadline-timer.js';
 import type {EndpointStatus} from '../endpoints/endpoint.js';
 import type {ControlChannel} from '../endpoints/control-channel.js';
 
@@ -159,7 +159,7 @@
 	};
 
 	// One watch for all that wait: a timer for each would cost more than its confirmation.
-	const deadlines = createDeadlineWatch(clock, expire);
+	const deadlines = createDeadlineTimer(clock, expire);
 
 	const watchUntil = (at: number) => {
 		watchedUntil = at;
--- a/src/owners/create-owners.ts
+++ b/src/owners/create-owners.ts
@@ -5,7 +5,7 @@
 import {RefusalCode} from '../refusals/refusal.js';
 import {RequestKind} from '../callers/caller-request.js';
 import type {
-	OwnerAnswer, OwnerRequest, Owners, ResolveRequest,
+	OwnerResponse, OwnerRequest, Owners, ResolveRequest,
 } from '../routing/owner-request.js';
 import type {Clock} from '../time/clock.js';
 import type {Service} from '../kernel/service.js';
@@ -18,7 +18,7 @@
 	/** The group's owner where this host is one and runs it. */
 	getOwner(group: string): GroupOwner | undefined;
 	/** Admits a request into the group's owner here; a refusal where this host is none. */
-	withOwner(group: string, work: (owner: GroupOwner) => Promise<OwnerAnswer>): Promise<OwnerAnswer>;
+	withOwner(group: string, work: (owner: GroupOwner) => Promise<OwnerResponse>): Promise<OwnerResponse>;
 	getOwnedGroups(): readonly string[];
 	/**
 	 * Hands this host's groups on, for a planned stop: tells those who come next, sends every new request to them, and
@@ -152,7 +152,7 @@
 
 	const countInFlight = () => [...running.values()].reduce((sum, {inFlight}) => sum + inFlight, 0);
 
-	const withOwner = async (group: string, work: (owner: GroupOwner) => Promise<OwnerAnswer>) => {
+	const withOwner = async (group: string, work: (owner: GroupOwner) => Promise<OwnerResponse>) => {
 		if (leaving) {
 			return refuseLeaving(group);
 		}
--- a/src/owners/lost-writes.ts
+++ b/src/owners/lost-writes.ts
@@ -1,7 +1,7 @@
 import type {FloorReadAnswer} from '../endpoints/endpoint.js';
 import type {EndpointConfig} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 import type {LogPosition} from '../terms/log-position.js';
 import {Confirmation} from './confirmer.js';
 import type {GroupParts} from './group-parts.js';
@@ -24,7 +24,7 @@
  * follows it, and the next promotion may bring the old primary's log back with the write in it. Once a majority's
  * logs end in the term that lacks it, every later promotion starts from such a log.
  */
-export async function refuseLostWrite(group: GroupParts, {endpoint, answer, floor}: SeenLoss, deadlineAt: number): Promise<OwnerAnswer | undefined> {
+export async function refuseLostWrite(group: GroupParts, {endpoint, answer, floor}: SeenLoss, deadlineAt: number): Promise<OwnerResponse | undefined> {
 	const {status} = answer;
 	if (status.log.term !== status.term) {
 		return undefined;
--- a/src/owners/owner-answers.ts
+++ b/src/owners/owner-answers.ts
@@ -1,6 +1,6 @@
 import {Outcome} from '../callers/caller-answer.js';
 import type {Refusal, RefusalCode, RefusalFacts} from '../refusals/refusal.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 
 /** The parts of a refusal, in the order in which they are thought of. */
 export type RefusalParts = {
@@ -16,11 +16,11 @@
 }
 
 /** An answer that says that this try did not run and cannot run any more. */
-export function answerNotRun(refusal: Refusal, tryNext = false): OwnerAnswer {
+export function answerNotRun(refusal: Refusal, tryNext = false): OwnerResponse {
 	return {outcome: Outcome.NotRun, refusal, tryNext};
 }
 
 /** An answer that says that the request may have run. */
-export function answerUnknown(refusal: Refusal): OwnerAnswer {
+export function answerUnknown(refusal: Refusal): OwnerResponse {
 	return {outcome: Outcome.Unknown, refusal};
 }
--- a/src/owners/read-path.ts
+++ b/src/owners/read-path.ts
@@ -3,7 +3,7 @@
 import {isEndpointError} from '../endpoints/endpoint-errors.js';
 import type {EndpointConfig} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
-import type {OwnerAnswer, OwnerRequest} from '../routing/owner-request.js';
+import type {OwnerResponse, OwnerRequest} from '../routing/owner-request.js';
 import type {LogPosition} from '../terms/log-position.js';
 import type {GroupParts} from './group-parts.js';
 import {answerNotRun, createRefusal} from './owner-answers.js';
@@ -13,7 +13,7 @@
 
 /** Serves reads of one group at an endpoint that holds the floor and the stated age. */
 export type ReadPath = {
-	read(req: OwnerRequest, deadlineAt: number): Promise<OwnerAnswer>;
+	read(req: OwnerRequest, deadlineAt: number): Promise<OwnerResponse>;
 };
 
 /** When a caller may come back after no endpoint could serve its read, in milliseconds. */
@@ -23,7 +23,7 @@
 const TRY_SHARE = 0.5;
 const LEAST_TRY_MS = 400;
 
-type Attempt = {readonly answer: FloorReadAnswer} | {readonly failed: OwnerAnswer};
+type Attempt = {readonly answer: FloorReadAnswer} | {readonly failed: OwnerResponse};
 
 /** Where a read's floor came from: the session, or a barrier taken at `takenAt`. */
 type ReadStart = {
@@ -43,7 +43,7 @@
 
 type StartAgain = typeof StartAgain[keyof typeof StartAgain];
 
-function isStartAgain(end: OwnerAnswer | StartAgain): end is StartAgain {
+function isStartAgain(end: OwnerResponse | StartAgain): end is StartAgain {
 	return typeof end === 'string';
 }
 
@@ -91,7 +91,7 @@
 	};
 
 	const runAdmitted = async (endpoint: EndpointConfig, req: OwnerRequest, floor: LogPosition, deadlineAt: number): Promise<Attempt> => {
-		const admission = await group.getParts(endpoint.name)!.admission.enter({class: req.class, deadlineAt}, clock.now());
+		const admission = await group.getParts(endpoint.name)!.admission.acquire({class: req.class, deadlineAt}, clock.now());
 		if (!admission.admitted) {
 			return {failed: answerNotRun(admission.refusal)};
 		}
@@ -115,7 +115,7 @@
 		return floorAt === undefined ? known : Math.min(known, now - floorAt);
 	};
 
-	const judge = (endpoint: EndpointConfig, answer: FloorReadAnswer, req: OwnerRequest, floorAt: number | undefined): OwnerAnswer | undefined => {
+	const judge = (endpoint: EndpointConfig, answer: FloorReadAnswer, req: OwnerRequest, floorAt: number | undefined): OwnerResponse | undefined => {
 		if (!answer.held) {
 			return undefined;
 		}
@@ -192,11 +192,11 @@
 		}
 	};
 
-	const tryEach = async (req: OwnerRequest, start: ReadStart, deadlineAt: number): Promise<OwnerAnswer | StartAgain> => {
+	const tryEach = async (req: OwnerRequest, start: ReadStart, deadlineAt: number): Promise<OwnerResponse | StartAgain> => {
 		const choices = placement.choose(group, {
 			floor: start.floor, barrierAt: start.takenAt, maxAgeMs: req.maxAgeMs, class: req.class, now: clock.now(),
 		});
-		let last: OwnerAnswer | undefined;
+		let last: OwnerResponse | undefined;
 		let mayHaveRun = false;
 		let isAgeUnknown = false;
 		for (const [index, {endpoint, waitMs}] of choices.entries()) {
@@ -246,7 +246,7 @@
 	};
 }
 
-function refuseLeaving(endpoint: EndpointConfig): OwnerAnswer {
+function refuseLeaving(endpoint: EndpointConfig): OwnerResponse {
 	return answerNotRun(createRefusal(RefusalCode.NoEndpoint, {
 		reason: `${endpoint.name} is leaving and takes no new work`,
 		facts: {endpoint: endpoint.name},
@@ -254,7 +254,7 @@
 	}));
 }
 
-function refuseSilent(endpoint: EndpointConfig, err: unknown): OwnerAnswer {
+function refuseSilent(endpoint: EndpointConfig, err: unknown): OwnerResponse {
 	const sent = isEndpointError(err) && err.sent;
 	return {
 		outcome: sent ? Outcome.Unknown : Outcome.NotRun,
--- a/src/owners/silence-watch.ts
+++ b/src/owners/silence-watch.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../time/clock.js';
 import type {GroupKnowledge} from '../groups/group-knowledge.js';
-import {createDeadlineWatch} from '../time/deadline-watch.js';
+import {createDeadlineTimer} from '../time/deadline-timer.js';
 
 /**
  * Notes when an exchange that was sent brought no sign of life of its endpoint for a while.
@@ -53,7 +53,7 @@
 	};
 
 	// One watch for all: a timer for each exchange would cost more than most exchanges.
-	const deadlines = createDeadlineWatch(clock, look);
+	const deadlines = createDeadlineTimer(clock, look);
 
 	return {
 		begin(endpoint) {
--- a/src/owners/write-answers.ts
+++ b/src/owners/write-answers.ts
@@ -2,26 +2,26 @@
 import {EndpointRole, KeyedWriteResult, type KeyedWriteAnswer} from '../endpoints/endpoint.js';
 import type {EndpointConfig} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 import type {GroupParts, Primary} from './group-parts.js';
 import {answerNotRun, answerUnknown, createRefusal} from './owner-answers.js';
 
 /** Makes the answers of a group's write path. */
 export type WriteAnswers = {
 	/** Nothing was sent: no primary is known. */
-	refuseNoPrimary(): OwnerAnswer;
+	refuseNoPrimary(): OwnerResponse;
 	/** Nothing was sent: the primary gave no connection; another owner may have one. */
-	refuseNoConnection(primary: Primary, err: unknown): OwnerAnswer;
+	refuseNoConnection(primary: Primary, err: unknown): OwnerResponse;
 	/** The request was sent and no answer came. */
-	refuseSilent(primary: Primary): OwnerAnswer;
+	refuseSilent(primary: Primary): OwnerResponse;
 	/** The endpoint is no longer primary of the term; `sent` tells whether the request may have run there. */
-	refuseSuperseded(endpoint: string, term: number, sent: boolean): OwnerAnswer;
+	refuseSuperseded(endpoint: string, term: number, sent: boolean): OwnerResponse;
 	/** The primary rejected the statement and rolled it back. */
-	refuseFailed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerAnswer;
+	refuseFailed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerResponse;
 	/** The primary took the request, and no majority confirmed it. */
-	refuseNotConfirmed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerAnswer;
+	refuseNotConfirmed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerResponse;
 	/** What stands under the key is confirmed. */
-	answerConfirmed(primary: EndpointConfig, answer: KeyedWriteAnswer): OwnerAnswer;
+	answerConfirmed(primary: EndpointConfig, answer: KeyedWriteAnswer): OwnerResponse;
 };
 
 /** When a caller may come back while no primary is known, in milliseconds. */
--- a/src/owners/write-path.ts
+++ b/src/owners/write-path.ts
@@ -4,7 +4,7 @@
 import {isEndpointError} from '../endpoints/endpoint-errors.js';
 import {Durability, type EndpointConfig, type WorkClass} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
-import type {OwnerAnswer, OwnerRequest, ResolveRequest} from '../routing/owner-request.js';
+import type {OwnerResponse, OwnerRequest, ResolveRequest} from '../routing/owner-request.js';
 import {Confirmation, isHolding} from './confirmer.js';
 import type {GroupParts, Primary} from './group-parts.js';
 import {answerNotRun} from './owner-answers.js';
@@ -15,16 +15,16 @@
  * Runs keyed exchanges at a group's primary and answers only what a majority has confirmed.
  */
 export type WritePath = {
-	write(req: OwnerRequest, deadlineAt: number): Promise<OwnerAnswer>;
+	write(req: OwnerRequest, deadlineAt: number): Promise<OwnerResponse>;
 	/** Settles what stands under a key; inserts a confirmed tombstone where nothing does. */
-	resolve(req: ResolveRequest, deadlineAt: number): Promise<OwnerAnswer>;
+	resolve(req: ResolveRequest, deadlineAt: number): Promise<OwnerResponse>;
 	/**
 	 * Enters the write gate as soon as a primary takes work, and tells which; whoever entered leaves the gate.
 	 * Undefined, and not entered, where none does by `deadlineAt`.
 	 */
 	enterAtPrimary(deadlineAt: number): Promise<Primary | undefined>;
 	/** Confirms a primary's keyed answer and turns it into the owner's. */
-	settle(exchange: SettledExchange, deadlineAt: number): Promise<OwnerAnswer>;
+	settle(exchange: SettledExchange, deadlineAt: number): Promise<OwnerResponse>;
 };
 
 /** A keyed exchange that brought an answer. */
@@ -122,7 +122,7 @@
 		});
 	};
 
-	const settle = async (exchange: SettledExchange, deadlineAt: number): Promise<OwnerAnswer> => {
+	const settle = async (exchange: SettledExchange, deadlineAt: number): Promise<OwnerResponse> => {
 		const {term, primary, answer} = exchange;
 		knowledge.observe(primary.name, answer.status, clock.now());
 		switch (answer.result) {
@@ -208,7 +208,7 @@
 	};
 
 	const runAdmitted = async (primary: Primary, exchange: KeyedExchange, deadlineAt: number) => {
-		const admission = await primary.parts.admission.enter({class: exchange.class, deadlineAt}, clock.now());
+		const admission = await primary.parts.admission.acquire({class: exchange.class, deadlineAt}, clock.now());
 		if (!admission.admitted) {
 			return answerNotRun(admission.refusal);
 		}
@@ -237,7 +237,7 @@
 	};
 
 	/** Runs the exchange at the primary of the moment, inside the gate; undefined where that primary was told to leave first. */
-	const runOnce = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerAnswer | undefined> => {
+	const runOnce = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerResponse | undefined> => {
 		const primary = await enterAtPrimary(deadlineAt);
 		if (!primary) {
 			return answers.refuseNoPrimary();
@@ -258,7 +258,7 @@
 	// Guards against a burst of filings that is refused the moment a primary is lost, although another leads a second
 	// later: going back and forth between owners would use up the group's retries, and queueing at the lost one would
 	// end in refusals. Nothing was sent, so the last owner asked waits for a primary that answers.
-	const runAtPrimary = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerAnswer> => {
+	const runAtPrimary = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerResponse> => {
 		for (;;) {
 			const answer = await runOnce(exchange, deadlineAt);
 			if (!answer) {
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -35,7 +35,7 @@
  * Maximum predicted catch-up time at which a replica is a candidate, in milliseconds: predictions are best for short times, and reads do not wait
  * longer on one. Their latency targets are 300 to 600 ms.
  */
-export const LONGEST_CATCH_UP_MS = 250;
+export const MAX_CATCH_UP_MS = 250;
 
 /** Returns the candidate with the lowest estimated cost for a read; undefined where none can serve it. */
 export function chooseEndpoint(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
@@ -54,7 +54,7 @@
 }
 
 function getCost({isPrimary, sameZone, load, slots, serviceMs, catchUpMs}: ReadCandidate, statementMs: number) {
-	if (catchUpMs > LONGEST_CATCH_UP_MS) {
+	if (catchUpMs > MAX_CATCH_UP_MS) {
 		return Number.POSITIVE_INFINITY;
 	}
 
--- a/src/placement/placement-knowledge.ts
+++ b/src/placement/placement-knowledge.ts
@@ -4,7 +4,7 @@
 /** Samples and statistics that this host keeps of groups and endpoints, from their responses. */
 export type PlacementKnowledge = {
 	getSamples(group: string): PositionSamples;
-	getFigures(endpointId: string): EndpointStats;
+	getStats(endpointId: string): EndpointStats;
 	/** Drops the statistics of all other endpoints. */
 	keepOnly(endpointIds: ReadonlySet<string>): void;
 };
@@ -16,7 +16,7 @@
 
 	return {
 		getSamples: group => getOrCreate(samples, group, createPositionSamples),
-		getFigures: endpointId => getOrCreate(stats, endpointId, createEndpointStats),
+		getStats: endpointId => getOrCreate(stats, endpointId, createEndpointStats),
 		keepOnly(endpointIds) {
 			for (const endpointId of stats.keys()) {
 				if (!endpointIds.has(endpointId)) {
--- a/src/placement/position-samples.ts
+++ b/src/placement/position-samples.ts
@@ -14,7 +14,7 @@
 	/** Returns the latest elapsed time at which the primary is known not to have been ahead of `position`; undefined where all samples are ahead of it. */
 	getTimeOf(position: LogPosition): number | undefined;
 	/** Clamps the samples to the start of the current primary's term. */
-	noteStart(start: TermStart): void;
+	applyTermStart(start: TermStart): void;
 };
 
 /** The log position at which a primary's term began. */
@@ -58,8 +58,8 @@
 		getTimeOf(position) {
 			return samples.findLast(sample => compareLogPositions(sample.position, position) <= 0)?.askedAt;
 		},
-		noteStart(start) {
-			samples = samples.map(({askedAt, position}) => ({askedAt, position: limitToStart(position, start)}));
+		applyTermStart(start) {
+			samples = samples.map(({askedAt, position}) => ({askedAt, position: clampToTermStart(position, start)}));
 		},
 	};
 }
@@ -70,7 +70,7 @@
  * The term of the primary decides, and not that of its first log end: the log of a primary that has written nothing yet ends with an entry of an earlier term. Every host would
  * reject that primary as one that has lost its log, because of a position of that earlier term beyond the entry, or of a term in between whose entries no endpoint kept.
  */
-export function limitToStart(position: LogPosition, {term, start}: TermStart): LogPosition {
+export function clampToTermStart(position: LogPosition, {term, start}: TermStart): LogPosition {
 	const isBeyond = position.position > start.position || compareLogPositions(position, start) > 0;
 	return position.term < term && isBeyond ? start : position;
 }
--- a/src/placement/read-placement.ts
+++ b/src/placement/read-placement.ts
@@ -7,7 +7,7 @@
 };
 
 /** Chooses the endpoint with the lowest estimated cost, from its load, service time, lag, zone and role. */
-export class WeighedPlacement implements ReadPlacement {
+export class CostBasedPlacement implements ReadPlacement {
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		return chooseEndpoint(candidates);
 	}
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -26,8 +26,8 @@
 import {createStoreMirror, type StoreMirror} from '../mirror/store-mirror.js';
 import type {LivePeers} from '../peers/create-peers.js';
 import {createPlacementKnowledge} from '../placement/placement-knowledge.js';
-import {getHigherFloor, limitToStart} from '../placement/position-samples.js';
-import {WeighedPlacement, type ReadPlacement} from '../placement/read-placement.js';
+import {getHigherFloor, clampToTermStart} from '../placement/position-samples.js';
+import {CostBasedPlacement, type ReadPlacement} from '../placement/read-placement.js';
 import type {Random} from '../random/random.js';
 import {getMaxTransactionIdleMs} from '../routes/routing.js';
 import type {Clock} from '../time/clock.js';
@@ -118,7 +118,7 @@
 			const record = mirror.state.leadership.get(group);
 			const leads = record?.phase === LeadershipPhase.Steady && record.primaryId === id;
 			const seen = knowledge.getSamples(group).getNewest()?.position;
-			return leads ? getHigherFloor(record.start, seen && limitToStart(seen, record)) : undefined;
+			return leads ? getHigherFloor(record.start, seen && clampToTermStart(seen, record)) : undefined;
 		},
 	});
 	const checkoutServer = createCheckoutServer({
@@ -141,7 +141,7 @@
 	});
 	const rateLimiter = createRateLimiter({source: tokenSource, clock, countHosts: () => mirror.state.hosts.length});
 	const access = createCallerAccess({
-		getKnown: () => ({routing: mirror.state.routing, routingConfirmedAt: mirror.routingConfirmedAt}),
+		getRoutingState: () => ({routing: mirror.state.routing, routingConfirmedAt: mirror.routingConfirmedAt}),
 		revokeWithinMs: parts.revokeWithinMs,
 	});
 	const failoverLease = createFailoverLease({
@@ -209,13 +209,13 @@
 		access,
 		rateLimiter,
 		availabilityZone: parts.availabilityZone,
-		placement: parts.placement ?? new WeighedPlacement(),
+		placement: parts.placement ?? new CostBasedPlacement(),
 	});
 
 	mirror.onChange(() => {
 		directory.update(clock.now());
 		for (const record of mirror.state.leadership.values()) {
-			knowledge.getSamples(record.group).noteStart(record);
+			knowledge.getSamples(record.group).applyTermStart(record);
 		}
 
 		knowledge.keepOnly(new Set(mirror.state.endpoints.map(({id}) => id)));
--- a/src/routing/create-entry.ts
+++ b/src/routing/create-entry.ts
@@ -3,18 +3,18 @@
 import type {VersionedGroup} from '../configuration/configuration.js';
 import {RefusalCode} from '../refusals/refusal.js';
 import type {Retries} from '../retries/create-retries.js';
-import type {AskedRequest, Asker} from './asked-request.js';
+import type {ReceivedRequest, RequestReceiver} from './received-request.js';
 import type {EntryAnswers} from './entry-answers.js';
 import {validateReadAge} from './entry-refusals.js';
 import type {OwnerClient} from './owner-client.js';
 import type {RequestTries} from './request-tries.js';
 import {getFloor} from './session-floor.js';
 import {getStatementDigest} from './statement-digest.js';
-import type {OwnerTry, TriesEnd} from './try-owners.js';
+import type {OwnerTry, TriesResult} from './try-owners.js';
 
 /** Options of {@link createEntry}. */
 export type EntryOptions = {
-	readonly asker: Asker;
+	readonly receiver: RequestReceiver;
 	readonly answers: EntryAnswers;
 	readonly tries: RequestTries;
 	readonly ownerClient: OwnerClient;
@@ -31,10 +31,10 @@
 /** Creates the part of the entry that handles single requests; transactions are handled separately. */
 export function createEntry(options: EntryOptions): Pick<Entry, 'execute' | 'resolveOutcome'> {
 	const {
-		asker, answers, tries, ownerClient, retries,
+		receiver: asker, answers, tries, ownerClient, retries,
 	} = options;
 
-	const runTries = async (received: AskedRequest, group: VersionedGroup, req: CallerRequest): Promise<TriesEnd> => {
+	const runTries = async (received: ReceivedRequest, group: VersionedGroup, req: CallerRequest): Promise<TriesResult> => {
 		const isWrite = req.kind === RequestKind.Write;
 		const digest = isWrite ? getStatementDigest(req.statement, req.values) : '';
 		const floor = req.latest ? undefined : getFloor(received.session, received.group);
@@ -52,16 +52,16 @@
 			...parameters,
 			configVersion: group.version,
 		});
-		const result = await tries.tryFor(received, group, received.deadlineAt - reservedMs, attempt);
-		const isUnresolved = result.unsure || (received.mayBeRepeat && result.answer.refusal?.code === RefusalCode.StatementFailed);
-		return isWrite && isUnresolved ? tries.settleUnsure(received, group, result, attempt) : result;
+		const result = await tries.sendToOwners(received, group, received.deadlineAt - reservedMs, attempt);
+		const isUnresolved = result.outcomeUnknown || (received.mayBeRepeat && result.answer.refusal?.code === RefusalCode.StatementFailed);
+		return isWrite && isUnresolved ? tries.resolveUnknown(received, group, result, attempt) : result;
 	};
 
 	return {
 		async execute(name, req, header) {
-			const unvalidated = asker.ask(name, header, {...req, asked: req.kind});
+			const unvalidated = asker.receive(name, header, {...req, asked: req.kind});
 			const {asked: received} = unvalidated;
-			const validation = asker.judge(unvalidated);
+			const validation = asker.validate(unvalidated);
 			const refusal = 'refusal' in validation ? validation.refusal : validateReadAge(req, validation.group);
 			if ('refusal' in validation || refusal) {
 				return answers.refuse(received, refusal!);
@@ -71,18 +71,18 @@
 			return answers.answer(received, await runTries(received, validation.group, req));
 		},
 		async resolveOutcome(name, requestId, header) {
-			const unvalidated = asker.ask(name, header, {
+			const unvalidated = asker.receive(name, header, {
 				asked: 'outcome', requestId, class: 'deadline', deadlineMs: OUTCOME_DEADLINE_MS, attempt: 2,
 			});
 			const {asked: received} = unvalidated;
-			const validation = asker.judge(unvalidated);
+			const validation = asker.validate(unvalidated);
 			if ('refusal' in validation) {
-				return answers.leaveOpen(received, validation.refusal);
+				return answers.refuseWithUnknownOutcome(received, validation.refusal);
 			}
 
-			const result = await tries.settle(received, validation.group, received.deadlineAt);
+			const result = await tries.resolve(received, validation.group, received.deadlineAt);
 			const isResolved = result.answer.refusal?.code === RefusalCode.Resolved;
-			return answers.answer(received, isResolved ? result : {...result, unsure: true});
+			return answers.answer(received, isResolved ? result : {...result, outcomeUnknown: true});
 		},
 	};
 }
--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -6,19 +6,19 @@
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
 import type {Session, Sessions} from '../sessions/session.js';
 import type {Clock} from '../time/clock.js';
-import type {AskedRequest} from './asked-request.js';
-import type {OwnerAnswer} from './owner-request.js';
+import type {ReceivedRequest} from './received-request.js';
+import type {OwnerResponse} from './owner-request.js';
 import {raiseFloor} from './session-floor.js';
-import type {TriesEnd} from './try-owners.js';
+import type {TriesResult} from './try-owners.js';
 
 /** Creates the answers to callers; each refusal is recorded and gets a ticket. */
 export type EntryAnswers = {
 	/** Returns a refusal of this submission, with the outcome that it proves for the request. */
-	refuse(received: AskedRequest, refusal: Refusal): CallerAnswer;
+	refuse(received: ReceivedRequest, refusal: Refusal): CallerAnswer;
 	/** Returns a refusal with an unknown outcome: the request may have run. */
-	leaveOpen(received: AskedRequest, refusal: Refusal): CallerAnswer;
+	refuseWithUnknownOutcome(received: ReceivedRequest, refusal: Refusal): CallerAnswer;
 	/** Returns the answer for the result of a series of tries. */
-	answer(received: AskedRequest, result: TriesEnd): CallerAnswer;
+	answer(received: ReceivedRequest, result: TriesResult): CallerAnswer;
 };
 
 /** Options of {@link createEntryAnswers}. */
@@ -28,7 +28,7 @@
 	readonly sessions: Sessions;
 	readonly explanations: Explanations;
 	/** Called with every answer, for metrics and operators. */
-	onAnswer?(received: AskedRequest, answer: CallerAnswer, now: number): void;
+	onAnswer?(received: ReceivedRequest, answer: CallerAnswer, now: number): void;
 	/** Called with the role of the endpoint that served a read, for metrics. */
 	onServed?(role: EndpointRole): void;
 };
@@ -47,7 +47,7 @@
 
 	// Signing costs more than the rest of a read's processing in the entry, so an unchanged token is returned as it was received.
 	// An old one is signed again, so that a change of signing keys never invalidates the token of a session that only reads.
-	const sign = (received: AskedRequest, session: Session) => {
+	const sign = (received: ReceivedRequest, session: Session) => {
 		const wallMs = clock.wall();
 		const isRecent = Math.abs(wallMs - session.issuedAt) < MAX_TOKEN_AGE_MS;
 		if (received.token !== undefined && session === received.session && isRecent) {
@@ -57,7 +57,7 @@
 		return sessions.sign(isRecent ? session : {...session, issuedAt: wallMs});
 	};
 
-	const answerRefusal = (received: AskedRequest, outcome: Outcome, refusal: Refusal): CallerAnswer => {
+	const answerRefusal = (received: ReceivedRequest, outcome: Outcome, refusal: Refusal): CallerAnswer => {
 		const ticket = explanations.record({
 			...refusal,
 			requestId: received.requestId,
@@ -81,7 +81,7 @@
 		};
 	};
 
-	const answerDone = (received: AskedRequest, answer: OwnerAnswer): CallerAnswer => {
+	const answerDone = (received: ReceivedRequest, answer: OwnerResponse): CallerAnswer => {
 		const isWrite = received.asked !== RequestKind.Read;
 		if (!isWrite && answer.role) {
 			options.onServed?.(answer.role);
@@ -106,10 +106,10 @@
 	 * Guards against a false "not run" to a caller that sends an id again after its first submission got no answer: this
 	 * one did not run, but the first still may. The outcome is then unknown, and the caller sends the same id again.
 	 */
-	const getRefusedOutcome = (received: AskedRequest, refusal: Refusal) =>
+	const getRefusedOutcome = (received: ReceivedRequest, refusal: Refusal) =>
 		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerResult = (received: AskedRequest, {answer, unsure: isUnknown, settled: isTombstoned}: TriesEnd): CallerAnswer => {
+	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown: isUnknown, hasTombstone: isTombstoned}: TriesResult): CallerAnswer => {
 		if (answer.outcome === Outcome.Done) {
 			return answerDone(received, answer);
 		}
@@ -128,14 +128,14 @@
 		return answerRefusal(received, isTombstoned ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
-	const finish = (received: AskedRequest, answer: CallerAnswer) => {
+	const finish = (received: ReceivedRequest, answer: CallerAnswer) => {
 		options.onAnswer?.(received, answer, clock.now());
 		return answer;
 	};
 
 	return {
 		refuse: (received, refusal) => finish(received, answerRefusal(received, getRefusedOutcome(received, refusal), refusal)),
-		leaveOpen: (received, refusal) => finish(received, answerRefusal(received, Outcome.Unknown, refusal)),
+		refuseWithUnknownOutcome: (received, refusal) => finish(received, answerRefusal(received, Outcome.Unknown, refusal)),
 		answer: (received, result) => finish(received, answerResult(received, result)),
 	};
 }
--- a/src/routing/owner-client.ts
+++ b/src/routing/owner-client.ts
@@ -8,16 +8,16 @@
 import type {OwnersService} from '../owners/create-owners.js';
 import type {Transactions} from '../transactions/create-transactions.js';
 import type {Clock} from '../time/clock.js';
-import type {OwnerAnswer} from './owner-request.js';
+import type {OwnerResponse} from './owner-request.js';
 
 /** The peer calls whose response is an {@link OwnerResponse}. */
 export type OwnerCall = {
-	[K in keyof PeerCalls]: PeerCalls[K]['res'] extends OwnerAnswer ? K : never;
+	[K in keyof PeerCalls]: PeerCalls[K]['res'] extends OwnerResponse ? K : never;
 }[keyof PeerCalls];
 
 /** Calls owners on this host or another; a call never rejects. */
 export type OwnerClient = {
-	call<K extends OwnerCall>(host: PlatformHost, kind: K, req: PeerCalls[K]['req']): Promise<OwnerAnswer>;
+	call<K extends OwnerCall>(host: PlatformHost, kind: K, req: PeerCalls[K]['req']): Promise<OwnerResponse>;
 };
 
 /** Options of {@link createOwnerClient}. */
@@ -36,7 +36,7 @@
 /** Creates the client of one host. */
 export function createOwnerClient(options: OwnerClientOptions): OwnerClient {
 	const {clock, hosts, peers} = options;
-	const localHandlers: {[K in OwnerCall]: (req: PeerCalls[K]['req']) => Promise<OwnerAnswer>} = {
+	const localHandlers: {[K in OwnerCall]: (req: PeerCalls[K]['req']) => Promise<OwnerResponse>} = {
 		execute: options.owners.execute,
 		resolve: options.owners.resolve,
 		begin: options.transactions.begin,
@@ -46,7 +46,7 @@
 	};
 
 	// Guards against a false "not run": a call that was sent may have run although no response arrived.
-	const createSilentResponse = (host: PlatformHost, err: unknown): OwnerAnswer => {
+	const createSilentResponse = (host: PlatformHost, err: unknown): OwnerResponse => {
 		const sent = !isPeerError(err) || err.sent;
 		return {
 			outcome: sent ? Outcome.Unknown : Outcome.NotRun,
@@ -67,7 +67,7 @@
 			}
 
 			try {
-				const answer: OwnerAnswer = await peers.call(host.address, kind, req, req.remainingMs + RESPONSE_MARGIN_MS);
+				const answer: OwnerResponse = await peers.call(host.address, kind, req, req.remainingMs + RESPONSE_MARGIN_MS);
 				hosts.reportReachable(host.address);
 				if (answer.refusal?.code === RefusalCode.HostLeaving) {
 					hosts.reportLeaving(host.address, clock.now());
--- a/src/routing/owner-request.ts
+++ b/src/routing/owner-request.ts
@@ -28,7 +28,7 @@
 };
 
 /** An owner's response. A refusal with the outcome `not-run` is final for this try: it is proved that the try cannot run any more. */
-export type OwnerAnswer = {
+export type OwnerResponse = {
 	readonly outcome: Outcome;
 	readonly rows?: readonly Row[];
 	readonly servedBy?: string;
@@ -43,9 +43,9 @@
 
 /** Runs requests for the groups that this host owns. */
 export type Owners = {
-	execute(req: OwnerRequest): Promise<OwnerAnswer>;
+	execute(req: OwnerRequest): Promise<OwnerResponse>;
 	/** Resolves the outcome of a request key; writes a tombstone where the key does not exist. */
-	resolve(req: ResolveRequest): Promise<OwnerAnswer>;
+	resolve(req: ResolveRequest): Promise<OwnerResponse>;
 };
 
 /** Request to an owner for the outcome of a request. */
@@ -60,7 +60,7 @@
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		execute: {req: OwnerRequest; res: OwnerAnswer};
-		resolve: {req: ResolveRequest; res: OwnerAnswer};
+		execute: {req: OwnerRequest; res: OwnerResponse};
+		resolve: {req: ResolveRequest; res: OwnerResponse};
 	}
 }
--- a/src/routing/asked-request.ts
+++ b/src/routing/received-request.ts
@@ -10,7 +10,7 @@
 import {readSessionHeader} from './session-floor.js';
 
 /** A caller's request as the entry records it; without its statement and values. */
-export type AskedRequest = {
+export type ReceivedRequest = {
 	readonly group: string;
 	readonly requestId: string;
 	/** `read`, `write`, `outcome`, `begin`, … */
@@ -27,11 +27,11 @@
 };
 
 /** Properties of a request that the caller's protocol provides. */
-export type RequestInput = Pick<AskedRequest, 'asked' | 'class'> & Pick<CallerRequest, 'requestId' | 'deadlineMs' | 'attempt'>;
+export type RequestInput = Pick<ReceivedRequest, 'asked' | 'class'> & Pick<CallerRequest, 'requestId' | 'deadlineMs' | 'attempt'>;
 
 /** A received request with what its validation depends on. */
 export type UnvalidatedRequest = {
-	readonly asked: AskedRequest;
+	readonly asked: ReceivedRequest;
 	readonly group: VersionedGroup | undefined;
 	/** Whether the session header holds a token that this system did not sign. */
 	readonly hasBadToken: boolean;
@@ -41,11 +41,11 @@
 export type RequestValidation = {readonly group: VersionedGroup} | {readonly refusal: Refusal};
 
 /** Receives and validates callers' requests. */
-export type Asker = {
+export type RequestReceiver = {
 	/** Resolves the request's group and session, and its id where the caller sent none. */
-	ask(group: string, header: string | undefined, input: RequestInput): UnvalidatedRequest;
+	receive(group: string, header: string | undefined, input: RequestInput): UnvalidatedRequest;
 	/** Refuses a request with a bad session token, an unknown group or an unacceptable request id. */
-	judge(unvalidated: UnvalidatedRequest): RequestValidation;
+	validate(unvalidated: UnvalidatedRequest): RequestValidation;
 };
 
 /** Options of {@link createRequestReceiver}. */
@@ -57,18 +57,18 @@
 };
 
 /** Creates the receiver of one host's entry. */
-export function createAsker(options: RequestReceiverOptions): Asker {
+export function createRequestReceiver(options: RequestReceiverOptions): RequestReceiver {
 	const {
 		clock, random, configuration, sessions,
 	} = options;
 
 	return {
-		ask(name, header, input) {
+		receive(name, header, input) {
 			const wallMs = clock.wall();
 			const startedAt = clock.now();
 			const group = configuration.getGroup(name);
 			const read = readSessionHeader(header, sessions, wallMs);
-			const received: AskedRequest = {
+			const received: ReceivedRequest = {
 				group: name,
 				requestId: input.requestId ?? createRequestId(wallMs, random),
 				asked: input.asked,
@@ -82,7 +82,7 @@
 			};
 			return {asked: received, group, hasBadToken: read.kind === 'bad'};
 		},
-		judge({asked: received, group, hasBadToken}) {
+		validate({asked: received, group, hasBadToken}) {
 			if (hasBadToken) {
 				return {refusal: refuseBadToken()};
 			}
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -7,10 +7,10 @@
 import type {Retries} from '../retries/create-retries.js';
 import {GiveUpReason, type FailedTry} from '../retries/retry-policy.js';
 import {createRetryBudgetRefusal} from '../retries/retry-refusals.js';
-import type {OwnerAnswer} from './owner-request.js';
+import type {OwnerResponse} from './owner-request.js';
 
 /** Makes one try at one owner. */
-export type OwnerTry = (host: PlatformHost, parameters: TryParameters) => Promise<OwnerAnswer>;
+export type OwnerTry = (host: PlatformHost, parameters: TryParameters) => Promise<OwnerResponse>;
 
 /** The part of a request to an owner that differs between tries. */
 export type TryParameters = {
@@ -21,13 +21,13 @@
 };
 
 /** The result of a series of tries. */
-export type TriesEnd = {
-	readonly answer: OwnerAnswer;
+export type TriesResult = {
+	readonly answer: OwnerResponse;
 	readonly tries: number;
 	/** Whether some try may have run and the last response does not show if it did. */
-	readonly unsure: boolean;
+	readonly outcomeUnknown: boolean;
 	/** Whether a confirmed tombstone keeps every submission of the request from running. */
-	readonly settled?: boolean;
+	readonly hasTombstone?: boolean;
 };
 
 /** Options of {@link tryOwners}. */
@@ -42,11 +42,11 @@
 	readonly isRead: boolean;
 	readonly deadlineAt: number;
 	readonly retries: Retries;
-	onRetry?(answer: OwnerAnswer): void;
+	onRetry?(answer: OwnerResponse): void;
 };
 
 /** Tries the owners of a group in turn until one completes the request or no further try is allowed, as when its deadline is near. No other layer retries. */
-export async function tryOwners(options: TryOwnersOptions, attempt: OwnerTry): Promise<TriesEnd> {
+export async function tryOwners(options: TryOwnersOptions, attempt: OwnerTry): Promise<TriesResult> {
 	const {clock, random, deadlineAt, group, retries} = options;
 	const selection = createOwnerSelection(options);
 	let mayHaveRun = false;
@@ -57,7 +57,7 @@
 		const answer = host ? await attempt(host, parameters) : createNoOwnerResponse(group);
 		mayHaveRun = answer.outcome === Outcome.Unknown || (mayHaveRun && !isConclusive(answer));
 		if (answer.outcome === Outcome.Done) {
-			return {answer, tries, unsure: mayHaveRun};
+			return {answer, tries, outcomeUnknown: mayHaveRun};
 		}
 
 		const now = clock.now();
@@ -67,7 +67,7 @@
 		}, now);
 		if (!next.retry) {
 			const last = next.reason === GiveUpReason.Budget ? createBudgetResponse(options, answer, tries, now) : answer;
-			return {answer: withRetryAfter(last, next.retryAfterMs), tries, unsure: mayHaveRun};
+			return {answer: withRetryAfter(last, next.retryAfterMs), tries, outcomeUnknown: mayHaveRun};
 		}
 
 		options.onRetry?.(answer);
@@ -76,11 +76,11 @@
 }
 
 /** Returns whether the response decides all tries: an answer, a tombstone or another request that is confirmed under the key applies to each of them. */
-function isConclusive({outcome, refusal}: OwnerAnswer): boolean {
+function isConclusive({outcome, refusal}: OwnerResponse): boolean {
 	return outcome === Outcome.Done || refusal?.code === RefusalCode.Resolved || refusal?.code === RefusalCode.RequestMismatch;
 }
 
-function describeFailedTry(answer: OwnerAnswer, isRead: boolean, otherOwnerLeft: boolean): FailedTry {
+function describeFailedTry(answer: OwnerResponse, isRead: boolean, otherOwnerLeft: boolean): FailedTry {
 	return {
 		provedNotRun: answer.outcome === Outcome.NotRun,
 		isRead,
@@ -92,7 +92,7 @@
 	};
 }
 
-function createBudgetResponse(options: TryOwnersOptions, answer: OwnerAnswer, tries: number, now: number): OwnerAnswer {
+function createBudgetResponse(options: TryOwnersOptions, answer: OwnerResponse, tries: number, now: number): OwnerResponse {
 	const refusal = createRetryBudgetRefusal({
 		group: options.group,
 		tries,
@@ -103,7 +103,7 @@
 	return {...answer, refusal};
 }
 
-function withRetryAfter(answer: OwnerAnswer, retryAfterMs: number | undefined): OwnerAnswer {
+function withRetryAfter(answer: OwnerResponse, retryAfterMs: number | undefined): OwnerResponse {
 	return answer.refusal && retryAfterMs !== undefined ? {...answer, refusal: {...answer.refusal, retryAfterMs}} : answer;
 }
 
@@ -131,7 +131,7 @@
 	};
 }
 
-function createNoOwnerResponse(group: string): OwnerAnswer {
+function createNoOwnerResponse(group: string): OwnerResponse {
 	return {
 		outcome: Outcome.NotRun,
 		refusal: {
--- a/src/stand-ins/database/database-session.ts
+++ b/src/stand-ins/database/database-session.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../../time/clock.js';
-import {createDeadlineWatch} from '../../time/deadline-watch.js';
+import {createDeadlineTimer} from '../../time/deadline-timer.js';
 import type {Backend} from './backend.js';
 import {throwConnectionLost} from './database-errors.js';
 import type {ExchangeKind} from './exchange-kind.js';
@@ -86,10 +86,10 @@
 	};
 
 	/** A transaction whose client is gone unnoticed must not hold its key and rows for ever. */
-	const idleWatch = createDeadlineWatch(clock, drop);
+	const idleWatch = createDeadlineTimer(clock, drop);
 
 	/** A connection that went silent must not count for ever among those granted. */
-	const keepAliveWatch = createDeadlineWatch(clock, drop);
+	const keepAliveWatch = createDeadlineTimer(clock, drop);
 
 	const beginExchange = () => {
 		idleWatch.clear();
--- a/src/time/deadline-watch.ts
+++ b/src/time/deadline-timer.ts
@@ -6,7 +6,7 @@
  * A sleep with an abort signal for each deadline would cost more than the work that it bounds. So the timer sleeps until
  * the first deadline that it was given, and only then checks whether a later one has replaced it.
  */
-export type DeadlineWatch = {
+export type DeadlineTimer = {
 	/** Sets the deadline, on the clock's `now`; replaces the previous one. */
 	set(at: number): void;
 	/** Removes the deadline. */
@@ -16,7 +16,7 @@
 };
 
 /** Creates a timer without a deadline; `onPassed` is called once for each deadline that passes. */
-export function createDeadlineWatch(clock: Clock, onPassed: () => void): DeadlineWatch {
+export function createDeadlineTimer(clock: Clock, onPassed: () => void): DeadlineTimer {
 	let deadlineAt = Infinity;
 	let wakesAt = Infinity;
 	let sleep: AbortController | undefined;
--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -4,17 +4,17 @@
 import type {VersionedGroup} from '../configuration/configuration.js';
 import type {Hosts} from '../membership/hosts.js';
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
-import type {AskedRequest, Asker} from '../routing/asked-request.js';
+import type {ReceivedRequest, RequestReceiver} from '../routing/received-request.js';
 import type {EntryAnswers} from '../routing/entry-answers.js';
 import type {OwnerClient} from '../routing/owner-client.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 import type {RequestTries} from '../routing/request-tries.js';
-import type {TriesEnd} from '../routing/try-owners.js';
+import type {TriesResult} from '../routing/try-owners.js';
 import {formatTransactionId, parseTransactionId, type TransactionId} from './transaction-id.js';
 
 /** What the entry's way for transactions is made from. */
 export type TransactionEntryOptions = {
-	readonly asker: Asker;
+	readonly asker: RequestReceiver;
 	readonly answers: EntryAnswers;
 	readonly tries: RequestTries;
 	readonly ownerClient: OwnerClient;
@@ -22,12 +22,12 @@
 };
 
 type Step = {
-	readonly asked: AskedRequest;
+	readonly asked: ReceivedRequest;
 	readonly group: VersionedGroup;
 	readonly id: TransactionId;
 };
 
-type StepParts = Pick<AskedRequest, 'asked' | 'class'> & {readonly deadlineMs: number};
+type StepParts = Pick<ReceivedRequest, 'asked' | 'class'> & {readonly deadlineMs: number};
 
 /** Creates the entry's way for transactions; each step goes to the host that the transaction's id names. */
 export function createTransactionEntry(options: TransactionEntryOptions): Pick<Entry, 'begin' | 'run' | 'commit' | 'rollback'> {
@@ -35,26 +35,26 @@
 		asker, answers, tries, ownerClient, hosts,
 	} = options;
 
-	const refuseUnknown = (asked: AskedRequest, reason: string): CallerAnswer => answers.leaveOpen(asked, createUnknownRefusal(reason));
+	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerAnswer => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
 
 	const openStep = (transactionId: string, header: string | undefined, parts: StepParts): Step | CallerAnswer => {
 		const id = parseTransactionId(transactionId);
-		const asking = asker.ask(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
+		const asking = asker.receive(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
 		const {asked} = asking;
 		if (!id) {
 			return answers.refuse(asked, createUnknownRefusal('this is no transaction id of this system'));
 		}
 
-		const judgement = asker.judge(asking);
+		const judgement = asker.validate(asking);
 		return 'refusal' in judgement ? answers.refuse(asked, judgement.refusal) : {asked, group: judgement.group, id};
 	};
 
-	const answerOnce = (asked: AskedRequest, id: TransactionId, answer: OwnerAnswer): CallerAnswer => {
-		const end: TriesEnd = {answer, tries: 1, unsure: answer.outcome === Outcome.Unknown};
+	const answerOnce = (asked: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerAnswer => {
+		const end: TriesResult = {answer, tries: 1, outcomeUnknown: answer.outcome === Outcome.Unknown};
 		return {...answers.answer(asked, end), requestId: formatTransactionId(id)};
 	};
 
-	const callHost = async (step: Step, call: (host: NonNullable<ReturnType<typeof findHost>>, remainingMs: number) => Promise<OwnerAnswer>) => {
+	const callHost = async (step: Step, call: (host: NonNullable<ReturnType<typeof findHost>>, remainingMs: number) => Promise<OwnerResponse>) => {
 		const host = findHost(hosts, step.id.host);
 		const {deadlineAt, startedAt} = step.asked;
 		return host ? call(host, deadlineAt - startedAt) : undefined;
@@ -62,8 +62,8 @@
 
 	// Guards against a caller left unsure by a commit whose answer was lost: the transaction's key tells at any
 	// owner whether it is committed, and a tombstone there keeps it from being committed later.
-	const settleCommit = async (step: Step, answer: OwnerAnswer | undefined): Promise<OwnerAnswer> => {
-		const settled = await tries.settle(step.asked, step.group, step.asked.deadlineAt);
+	const settleCommit = async (step: Step, answer: OwnerResponse | undefined): Promise<OwnerResponse> => {
+		const settled = await tries.resolve(step.asked, step.group, step.asked.deadlineAt);
 		if (settled.answer.outcome === Outcome.Done || settled.answer.refusal?.code === RefusalCode.Resolved) {
 			return settled.answer;
 		}
@@ -73,16 +73,16 @@
 
 	return {
 		async begin(name, req, header) {
-			const asking = asker.ask(name, header, {...req, asked: 'begin', attempt: 1});
+			const asking = asker.receive(name, header, {...req, asked: 'begin', attempt: 1});
 			const {asked} = asking;
-			const judgement = asker.judge(asking);
+			const judgement = asker.validate(asking);
 			if ('refusal' in judgement) {
 				return answers.refuse(asked, judgement.refusal);
 			}
 
 			const {group} = judgement;
 			let holder = hosts.self.name;
-			const end = await tries.tryFor(asked, group, asked.deadlineAt, async (host, {remainingMs}) => {
+			const end = await tries.sendToOwners(asked, group, asked.deadlineAt, async (host, {remainingMs}) => {
 				holder = host.name;
 				return ownerClient.call(host, 'begin', {
 					group: name, requestId: asked.requestId, class: req.class, remainingMs, configVersion: group.version,
--- a/src/transactions/create-transactions.ts
+++ b/src/transactions/create-transactions.ts
@@ -6,17 +6,17 @@
 import {answerNotRun, answerUnknown, createRefusal} from '../owners/owner-answers.js';
 import type {Peers} from '../peers/peers.js';
 import {RefusalCode} from '../refusals/refusal.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 import type {Clock} from '../time/clock.js';
 import {createOpenTransactions, type OpenTransaction} from './open-transaction.js';
 import type {BeginCall, EndCall, RunCall} from './transaction-calls.js';
 
 /** Holds the transactions of the groups that this host looks after. */
 export type Transactions = Service & {
-	begin(call: BeginCall): Promise<OwnerAnswer>;
-	run(call: RunCall): Promise<OwnerAnswer>;
-	commit(call: EndCall): Promise<OwnerAnswer>;
-	rollback(call: EndCall): Promise<OwnerAnswer>;
+	begin(call: BeginCall): Promise<OwnerResponse>;
+	run(call: RunCall): Promise<OwnerResponse>;
+	commit(call: EndCall): Promise<OwnerResponse>;
+	rollback(call: EndCall): Promise<OwnerResponse>;
 	/** How many are open, or committed and not yet settled. */
 	getOpenCount(): number;
 };
@@ -57,7 +57,7 @@
 	 */
 	let settling = 0;
 
-	const openAt = async (owner: GroupOwner, call: BeginCall, deadlineAt: number): Promise<OwnerAnswer> => {
+	const openAt = async (owner: GroupOwner, call: BeginCall, deadlineAt: number): Promise<OwnerResponse> => {
 		// From here the transaction is inside the gate, and leaves it where it ends.
 		const primary = await owner.writes.enterAtPrimary(deadlineAt);
 		if (!primary) {
@@ -106,7 +106,7 @@
 		return beginOn(transaction, owner, deadlineAt);
 	};
 
-	const beginOn = async (transaction: OpenTransaction, owner: GroupOwner, deadlineAt: number): Promise<OwnerAnswer> => {
+	const beginOn = async (transaction: OpenTransaction, owner: GroupOwner, deadlineAt: number): Promise<OwnerResponse> => {
 		const sentAt = clock.now();
 		try {
 			const {requestId, term} = transaction;
@@ -129,7 +129,7 @@
 		}
 	};
 
-	const find = (requestId: string): OpenTransaction | OwnerAnswer => {
+	const find = (requestId: string): OpenTransaction | OwnerResponse => {
 		const transaction = open.get(requestId);
 		if (!transaction) {
 			return answerNotRun(createRefusal(RefusalCode.TransactionUnknown, {
@@ -145,7 +145,7 @@
 		return transaction;
 	};
 
-	const use = async (requestId: string, work: (transaction: OpenTransaction) => Promise<OwnerAnswer>) => {
+	const use = async (requestId: string, work: (transaction: OpenTransaction) => Promise<OwnerResponse>) => {
 		const found = find(requestId);
 		if ('outcome' in found) {
 			return found;
@@ -163,9 +163,9 @@
 		}
 	};
 
-	const runOn = async (transaction: OpenTransaction, call: RunCall, deadlineAt: number): Promise<OwnerAnswer> => {
+	const runOn = async (transaction: OpenTransaction, call: RunCall, deadlineAt: number): Promise<OwnerResponse> => {
 		const {admission, name} = transaction.parts;
-		const slot = await admission.enter({class: call.class, deadlineAt}, clock.now());
+		const slot = await admission.acquire({class: call.class, deadlineAt}, clock.now());
 		if (!slot.admitted) {
 			return answerNotRun(slot.refusal);
 		}
@@ -188,7 +188,7 @@
 		}
 	};
 
-	const commitOn = async (transaction: OpenTransaction, deadlineAt: number): Promise<OwnerAnswer> => {
+	const commitOn = async (transaction: OpenTransaction, deadlineAt: number): Promise<OwnerResponse> => {
 		const sentAt = clock.now();
 		const answer = await transaction.connection.commit(Math.max(1, deadlineAt - sentAt));
 		open.end(transaction, true);
@@ -208,7 +208,7 @@
 		}
 	};
 
-	const rollBackOn = async (transaction: OpenTransaction, deadlineAt: number): Promise<OwnerAnswer> => {
+	const rollBackOn = async (transaction: OpenTransaction, deadlineAt: number): Promise<OwnerResponse> => {
 		await transaction.connection.rollback(Math.max(1, deadlineAt - clock.now()));
 		open.end(transaction, true);
 		return answerOpen(transaction);
@@ -256,11 +256,11 @@
 	return transactions;
 }
 
-function answerOpen(transaction: OpenTransaction): OwnerAnswer {
+function answerOpen(transaction: OpenTransaction): OwnerResponse {
 	return {outcome: Outcome.Done, servedBy: transaction.primary.name, role: EndpointRole.Primary};
 }
 
-function refuseBusy(requestId: string): OwnerAnswer {
+function refuseBusy(requestId: string): OwnerResponse {
 	return answerNotRun(createRefusal(RefusalCode.TransactionBusy, {
 		reason: 'a statement of this transaction is still running',
 		facts: {requestId},
@@ -268,14 +268,14 @@
 	}));
 }
 
-function refuseEnded({requestId, primary, term}: OpenTransaction): OwnerAnswer {
+function refuseEnded({requestId, primary, term}: OpenTransaction): OwnerResponse {
 	return answerNotRun(createRefusal(RefusalCode.TransactionEnded, {
 		reason: 'a transaction has ended under this id before',
 		facts: {requestId, endpoint: primary.name, term},
 	}));
 }
 
-function refuseNoPrimary(owner: GroupOwner): OwnerAnswer {
+function refuseNoPrimary(owner: GroupOwner): OwnerResponse {
 	return answerNotRun(createRefusal(RefusalCode.NoPrimary, {
 		reason: 'the group has no primary that could take the transaction',
 		facts: {highestTerm: owner.parts.knowledge.highestTerm},
@@ -283,7 +283,7 @@
 	}));
 }
 
-function refuseLost(transaction: OpenTransaction, err: unknown): OwnerAnswer {
+function refuseLost(transaction: OpenTransaction, err: unknown): OwnerResponse {
 	return answerUnknown(createRefusal(RefusalCode.EndpointSilent, {
 		reason: `the connection of the transaction to ${transaction.primary.name} was lost`,
 		facts: {endpoint: transaction.primary.name, term: transaction.term, cause: (err as Error).message},
--- a/src/transactions/transaction-calls.ts
+++ b/src/transactions/transaction-calls.ts
@@ -1,5 +1,5 @@
 import type {WorkClass} from '../groups/group-config.js';
-import type {OwnerAnswer} from '../routing/owner-request.js';
+import type {OwnerResponse} from '../routing/owner-request.js';
 
 /** Opens a transaction at an owner. */
 export type BeginCall = {
@@ -30,9 +30,9 @@
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		begin: {req: BeginCall; res: OwnerAnswer};
-		run: {req: RunCall; res: OwnerAnswer};
-		commit: {req: EndCall; res: OwnerAnswer};
-		rollback: {req: EndCall; res: OwnerAnswer};
+		begin: {req: BeginCall; res: OwnerResponse};
+		run: {req: RunCall; res: OwnerResponse};
+		commit: {req: EndCall; res: OwnerResponse};
+		rollback: {req: EndCall; res: OwnerResponse};
 	}
 }
--- a/src/workspaces/caller-access.ts
+++ b/src/workspaces/caller-access.ts
@@ -21,13 +21,13 @@
 /** Authorizes callers and identifies their workspaces. */
 export type CallerAccess = {
 	/** Authorizes a request that arrived at the elapsed time `now`. */
-	judge(fingerprint: KeyFingerprint, route: Route, now: number): AccessDecision;
+	authorize(fingerprint: KeyFingerprint, route: Route, now: number): AccessDecision;
 };
 
 /** Options of {@link createCallerAccess}. */
 export type CallerAccessOptions = {
 	/** Returns the configuration in force, and the elapsed time at which the latest request that confirmed it was sent to the store. */
-	getKnown(): {readonly routing?: Routing; readonly routingConfirmedAt?: number};
+	getRoutingState(): {readonly routing?: Routing; readonly routingConfirmedAt?: number};
 	/** Time after which a revoked key must not be accepted by any host, in milliseconds; undefined where it is not bounded. */
 	readonly revokeWithinMs?: number;
 };
@@ -42,7 +42,7 @@
  * requested, so a key in the copy was valid at the time of the request. A caller's request that arrives within the bound after that time was sent within the bound
  * after any revocation that the copy lacks. What confirms primaries during an outage of the store does not cover keys and does not count.
  */
-export function createCallerAccess({getKnown, revokeWithinMs}: CallerAccessOptions): CallerAccess {
+export function createCallerAccess({getRoutingState: getKnown, revokeWithinMs}: CallerAccessOptions): CallerAccess {
 	let indexedRouting: Routing | undefined;
 	let index: KeyIndex = createKeyIndex([]);
 
@@ -59,7 +59,7 @@
 		revokeWithinMs === undefined || (routingConfirmedAt !== undefined && now - routingConfirmedAt <= revokeWithinMs - REVOKE_MARGIN_MS);
 
 	return {
-		judge(fingerprint, route, now) {
+		authorize(fingerprint, route, now) {
 			const {routing, routingConfirmedAt} = getKnown();
 			const workspace = routing && getIndex(routing).getWorkspace(fingerprint);
 			if (!route.needsKey) {
--- a/tests/admission/admission-properties-tests.ts
+++ b/tests/admission/admission-properties-tests.ts
@@ -32,7 +32,7 @@
 
 			const enter = async (workClass: typeof WORK_CLASSES[number], deadlineAt: number) => {
 				const enteredAt = clock.now();
-				const answer = await admission.enter({class: workClass, deadlineAt}, enteredAt);
+				const answer = await admission.acquire({class: workClass, deadlineAt}, enteredAt);
 				answers++;
 				const waitedMs = clock.now() - enteredAt;
 				expect(waitedMs).to.be.at.most(Math.max(0, deadlineAt - SERVICE_MS - enteredAt + ROUNDING_MS));
--- a/tests/admission/create-admission-tests.ts
+++ b/tests/admission/create-admission-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import type {AdmissionAnswer} from '../../src/admission/admission.js';
+import type {AdmissionResult} from '../../src/admission/admission.js';
 import {FixedLimit} from '../../src/admission/concurrency-limit.js';
 import {createAdmission, type AdmissionOptions} from '../../src/admission/create-admission.js';
 import type {WorkClass} from '../../src/groups/group-config.js';
@@ -14,10 +14,10 @@
 		endpoint: 'hall-a-1', slots: 1, owners: 1, limit: new FixedLimit(1), shares: SHARES, clock, ...options,
 	});
 	const lines: string[] = [];
-	const running: Array<Extract<AdmissionAnswer, {admitted: true}>> = [];
+	const running: Array<Extract<AdmissionResult, {admitted: true}>> = [];
 
 	const enter = async (name: string, workClass: WorkClass, deadlineMs: number) => {
-		const answer = await admission.enter({class: workClass, deadlineAt: clock.now() + deadlineMs}, clock.now());
+		const answer = await admission.acquire({class: workClass, deadlineAt: clock.now() + deadlineMs}, clock.now());
 		const text = answer.admitted ? 'runs' : `${answer.refusal.code}, back in ${answer.refusal.retryAfterMs}`;
 		lines.push(`${clock.now()} ${name} ${text}`);
 		if (answer.admitted) {
--- a/tests/placement/position-samples-tests.ts
+++ b/tests/placement/position-samples-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createPositionSamples, getHigherFloor, limitToStart} from '../../src/placement/position-samples.js';
+import {createPositionSamples, getHigherFloor, clampToTermStart} from '../../src/placement/position-samples.js';
 
 describe('position samples', () => {
 	it('returns the oldest sample that is recent enough', () => {
@@ -25,7 +25,7 @@
 		const samples = createPositionSamples();
 		samples.note(1000, {term: 1, position: 90});
 		samples.note(2000, {term: 1, position: 110});
-		samples.noteStart({term: 2, start: {term: 2, position: 100}});
+		samples.applyTermStart({term: 2, start: {term: 2, position: 100}});
 		expect(samples.getFloor(1000)).to.deep.equal({term: 1, position: 90});
 		expect(samples.getFloor(1500)).to.deep.equal({term: 2, position: 100});
 	});
@@ -33,15 +33,15 @@
 	// Guards against a group without a primary: a promoted primary has written nothing, so its log ends with an entry of the term before. Hosts that saw the lost
 	// primary go further in that term would each reject the new one as having lost its log.
 	it('clamps a floor of the previous term to the end of a log that the new primary has not extended', () => {
-		expect(limitToStart({term: 4, position: 127}, {term: 5, start: {term: 4, position: 126}})).to.deep.equal({term: 4, position: 126});
+		expect(clampToTermStart({term: 4, position: 127}, {term: 5, start: {term: 4, position: 126}})).to.deep.equal({term: 4, position: 126});
 	});
 
 	it('clamps a floor of a term in between, of which the new primary has no entry, to the end of its log', () => {
-		expect(limitToStart({term: 3, position: 35}, {term: 5, start: {term: 2, position: 39}})).to.deep.equal({term: 2, position: 39});
+		expect(clampToTermStart({term: 3, position: 35}, {term: 5, start: {term: 2, position: 39}})).to.deep.equal({term: 2, position: 39});
 	});
 
 	it('does not change floors of the later term', () => {
-		expect(limitToStart({term: 2, position: 130}, {term: 2, start: {term: 1, position: 100}})).to.deep.equal({term: 2, position: 130});
+		expect(clampToTermStart({term: 2, position: 130}, {term: 2, start: {term: 1, position: 100}})).to.deep.equal({term: 2, position: 130});
 	});
 
 	it('returns the higher of two floors', () => {
--- a/tests/random-check/checked-proxy.ts
+++ b/tests/random-check/checked-proxy.ts
@@ -14,7 +14,7 @@
 import type {PlatformHost} from '../../src/object-store/platform.js';
 import type {Random} from '../../src/random/random.js';
 import {createRetries} from '../../src/retries/create-retries.js';
-import {createAsker} from '../../src/routing/asked-request.js';
+import {createRequestReceiver} from '../../src/routing/received-request.js';
 import {createEntry} from '../../src/routing/create-entry.js';
 import {createEntryAnswers} from '../../src/routing/entry-answers.js';
 import {createOwnerClient} from '../../src/routing/owner-client.js';
@@ -87,9 +87,9 @@
 	const retries = createRetries();
 	const ownerClient = createOwnerClient({...common, owners, transactions: noTransactions});
 	const tries = createRequestTries({...common, ownerClient, retries});
-	const asker = createAsker({...common, sessions});
+	const asker = createRequestReceiver({...common, sessions});
 	const entry = createEntry({
-		asker: guardBreak?.breakAsker?.(asker) ?? asker,
+		receiver: guardBreak?.breakAsker?.(asker) ?? asker,
 		answers: createEntryAnswers({
 			...common, sessions, explanations: {record: () => '', openTicket: () => undefined, find: async () => []},
 		}),
@@ -136,7 +136,7 @@
 /** Lets everything in: what queues do is checked elsewhere. */
 function createOpenAdmission(): Admission {
 	return {
-		enter: async () => ({admitted: true, queuedMs: 0, release() {}}), // eslint-disable-line @typescript-eslint/no-empty-function
+		acquire: async () => ({admitted: true, queuedMs: 0, release() {}}), // eslint-disable-line @typescript-eslint/no-empty-function
 		getPredictedWaitMs: () => 0,
 		getLoad: () => ({
 			running: 0, limit: 1, queued: {deadline: 0, interactive: 0, background: 0}, serviceMs: 1,
--- a/tests/random-check/guard-breaks.ts
+++ b/tests/random-check/guard-breaks.ts
@@ -4,7 +4,7 @@
 import {createBarrier} from '../../src/owners/barrier.js';
 import {Confirmation, createConfirmer, type Confirmer} from '../../src/owners/confirmer.js';
 import type {GroupParts} from '../../src/owners/group-parts.js';
-import type {Asker} from '../../src/routing/asked-request.js';
+import type {RequestReceiver} from '../../src/routing/received-request.js';
 import type {RequestTries} from '../../src/routing/request-tries.js';
 import {holdsLogPosition, LOG_START, type LogPosition} from '../../src/terms/log-position.js';
 import type {Clock} from '../../src/time/clock.js';
@@ -25,7 +25,7 @@
 	readonly without: string;
 	breakEndpoints?(endpoints: Endpoints, clock: Clock): Endpoints;
 	breakParts?(parts: GroupParts, tools: BreakTools): Partial<GroupParts>;
-	breakAsker?(asker: Asker): Asker;
+	breakAsker?(asker: RequestReceiver): RequestReceiver;
 	breakTries?(tries: RequestTries): RequestTries;
 	breakControl?(control: GroupControl): GroupControl;
 };
@@ -126,8 +126,8 @@
 		without: 'the tombstone: an unsure write is told as not run',
 		breakTries: tries => ({
 			...tries,
-			settleUnsure: async (asked, group, end) => ({
-				answer: {...end.answer, outcome: 'not-run'}, tries: end.tries, unsure: false, settled: true,
+			resolveUnknown: async (asked, group, end) => ({
+				answer: {...end.answer, outcome: 'not-run'}, tries: end.tries, outcomeUnknown: false, hasTombstone: true,
 			}),
 		}),
 	},
@@ -136,8 +136,8 @@
 		without: 'the care for a repeat: its refusal is told as not run, whatever became of the first submission',
 		breakAsker: asker => ({
 			...asker,
-			ask(group, header, parts) {
-				const asking = asker.ask(group, header, parts);
+			receive(group, header, parts) {
+				const asking = asker.receive(group, header, parts);
 				return {...asking, asked: {...asking.asked, mayBeRepeat: false}};
 			},
 		}),
@@ -168,7 +168,7 @@
 	{
 		name: 'token-as-new',
 		without: 'the barrier of a caller without a token',
-		breakAsker: asker => ({...asker, ask: (group, header, parts) => asker.ask(group, header ?? 'new', parts)}),
+		breakAsker: asker => ({...asker, receive: (group, header, parts) => asker.receive(group, header ?? 'new', parts)}),
 	},
 	{
 		name: 'read-unchecked',
--- a/tests/time/deadline-watch-tests.ts
+++ b/tests/time/deadline-timer-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
-import {createDeadlineWatch} from '../../src/time/deadline-watch.js';
+import {createDeadlineTimer} from '../../src/time/deadline-timer.js';
 
 describe('deadline timer', () => {
 	/** Each step: the time in milliseconds and what is done with the timer then; a number sets the deadline that many milliseconds later. */
@@ -8,7 +8,7 @@
 		it(`${steps.map(([at, step]) => `${at}: ${step}`).join(', ')} passes at ${expected || 'no time'}`, async () => {
 			const clock = createVirtualClock(0);
 			const passed: number[] = [];
-			const timer = createDeadlineWatch(clock, () => {
+			const timer = createDeadlineTimer(clock, () => {
 				passed.push(clock.now());
 			});
 			for (const [at, step] of steps) {
--- a/tests/workspaces/caller-access-tests.ts
+++ b/tests/workspaces/caller-access-tests.ts
@@ -16,8 +16,8 @@
 		readonly key: string; readonly needsKey?: boolean; readonly confirmedAt?: number; readonly now?: number; readonly revokeWithinMs?: number;
 	}, expected: string) {
 		it(name, () => {
-			const access = createCallerAccess({getKnown: () => ({routing: ROUTING, routingConfirmedAt: confirmedAt}), revokeWithinMs});
-			const decision = access.judge(getFingerprint(key), {...ROUTE, needsKey}, now);
+			const access = createCallerAccess({getRoutingState: () => ({routing: ROUTING, routingConfirmedAt: confirmedAt}), revokeWithinMs});
+			const decision = access.authorize(getFingerprint(key), {...ROUTE, needsKey}, now);
 			expect(decision.allowed ? decision.workspace?.name ?? 'nobody' : decision.denial).to.equal(expected);
 		});
 	}
@@ -34,14 +34,14 @@
 
 	it('follows the configuration', () => {
 		let routing = ROUTING;
-		const access = createCallerAccess({getKnown: () => ({routing, routingConfirmedAt: 0})});
-		expect(access.judge(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(true);
+		const access = createCallerAccess({getRoutingState: () => ({routing, routingConfirmedAt: 0})});
+		expect(access.authorize(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(true);
 		routing = {...ROUTING, version: 2, workspaces: new Map()};
-		expect(access.judge(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(false);
+		expect(access.authorize(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(false);
 	});
 
 	it('is denied where the store was never read', () => {
-		const access = createCallerAccess({getKnown: () => ({routing: ROUTING}), revokeWithinMs: 5000});
-		expect(access.judge(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(false);
+		const access = createCallerAccess({getRoutingState: () => ({routing: ROUTING}), revokeWithinMs: 5000});
+		expect(access.authorize(getFingerprint('k1'), {...ROUTE, needsKey: true}, 0).allowed).to.equal(false);
 	});
 });
