--- a/src/admission/create-admission.ts
+++ b/src/admission/create-admission.ts
@@ -1,7 +1,7 @@
 import type {WorkClass} from '../groups/group-config.js';
 import type {Refusal} from '../refusals/refusal.js';
 import type {Clock} from '../time/clock.js';
-import {createComeBackTimes} from '../refusals/come-back-times.js';
+import {createRetryAfterSlots} from '../refusals/retry-after-slots.js';
 import {AdaptiveLimit} from './adaptive-limit.js';
 import type {Admission, AdmissionResult, AdmissionRequest} from './admission.js';
 import {
@@ -49,7 +49,7 @@
 	const shares = createClassShares(options.shares);
 	const serviceTime = createServiceTime(options.initialServiceMs ?? INITIAL_SERVICE_MS);
 	const prediction = createWaitPrediction(shares, serviceTime);
-	const retryDelays = {deadline: createComeBackTimes(), interactive: createComeBackTimes(), background: createComeBackTimes()};
+	const retryDelays = {deadline: createRetryAfterSlots(), interactive: createRetryAfterSlots(), background: createRetryAfterSlots()};
 	let running = 0;
 	/** Time at which a slot was last granted or released. */
 	let progressAt = 0;
--- a/src/bench/control/inside-one-node.ts
+++ b/src/bench/control/inside-one-node.ts
@@ -12,7 +12,7 @@
 import {createSeededRandom} from '../../random/seeded-random.js';
 import {RefusalCode} from '../../refusals/refusal.js';
 import {createRetries} from '../../retries/create-retries.js';
-import {createSessionSightings, MAX_SIGHTINGS} from '../../sessions/session-sightings.js';
+import {createRecentSessions, MAX_RECENT_SESSIONS} from '../../sessions/recent-sessions.js';
 import type {Experiment, Measure} from '../experiment.js';
 import {measureHeapBytes} from '../load/heap-figures.js';
 import {createMeasure} from '../statistics.js';
@@ -128,8 +128,8 @@
 }
 
 function fillSightings(random: Random) {
-	const sightings = createSessionSightings();
-	for (let index = 0; index < MAX_SIGHTINGS; index++) {
+	const sightings = createRecentSessions();
+	for (let index = 0; index < MAX_RECENT_SESSIONS; index++) {
 		const id = createRequestId(index, random);
 		sightings.note({
 			session: {
--- a/src/bench/lead-changes/ways.ts
+++ b/src/bench/lead-changes/ways.ts
@@ -49,7 +49,7 @@
 			...store,
 			async getRevision(timeoutMs) {
 				const now = proxy.clock.elapsed();
-				const holds = proxy.kernel.getOrThrow('dutyLease').getToken(0) !== undefined;
+				const holds = proxy.kernel.getOrThrow('failoverLease').getToken(0) !== undefined;
 				if (holds && known && now - known.at < OWN_READ_MS) {
 					return known.revision;
 				}
@@ -67,7 +67,7 @@
 		for (;;) {
 			for (const {kernel, killed} of proxies) {
 				if (!killed && kernel.getOrThrow('storeMirror').readsForAll) {
-					void kernel.getOrThrow('dutyLease').take();
+					void kernel.getOrThrow('failoverLease').take();
 				}
 			}
 
--- a/src/daemon/register-entry.ts
+++ b/src/daemon/register-entry.ts
@@ -6,7 +6,7 @@
 import {createEntryAnswers} from '../routing/entry-answers.js';
 import {createOwnerClient} from '../routing/owner-client.js';
 import {createRequestTries} from '../routing/request-tries.js';
-import {createSessionSightings} from '../sessions/session-sightings.js';
+import {createRecentSessions} from '../sessions/recent-sessions.js';
 import {createSignedSessions} from '../sessions/signed-sessions.js';
 import {createTransactionEntry} from '../transactions/create-transaction-entry.js';
 import {getCommonParts} from './common-parts.js';
@@ -18,12 +18,12 @@
 	const hosts = kernel.getOrThrow('hosts');
 	const peers = kernel.getOrThrow('peers');
 	const sessions = createSignedSessions({keys: signingKeys, random: common.random});
-	const sightings = createSessionSightings();
+	const sightings = createRecentSessions();
 	const explanations = createExplanations({
 		...common, platform: kernel.getOrThrow('platform'), peers, hosts, signingKeys,
 	});
 	kernel.register('sessions', sessions);
-	kernel.register('sessionSightings', sightings);
+	kernel.register('recentSessions', sightings);
 	kernel.register('explanations', explanations);
 
 	const ownerClient = createOwnerClient({
--- a/src/daemon/register-operators.ts
+++ b/src/daemon/register-operators.ts
@@ -44,7 +44,7 @@
 		owning: kernel.getOrThrow('owning'),
 		owners: kernel.getOrThrow('owners'),
 		peers: kernel.getOrThrow('peers'),
-		sightings: kernel.getOrThrow('sessionSightings'),
+		sightings: kernel.getOrThrow('recentSessions'),
 	});
 	const access = createOperatorAccess({...common, platform, bootstrapTokenHash: bootstrapTokenHash === '' ? undefined : bootstrapTokenHash});
 	kernel.register('fleetView', fleet);
--- a/src/gateway/caller-transaction.ts
+++ b/src/gateway/caller-transaction.ts
@@ -1,5 +1,5 @@
 import {Access, SessionState} from '../statements/statement.js';
-import {AnswerCode, isTurnedAway, type EndpointAnswer} from '../statements/statement-answer.js';
+import {AnswerCode, isOverloaded, type EndpointAnswer} from '../statements/statement-answer.js';
 import {
 	exchangeStatement, exchangeWithin, getShape, type EndpointStatement,
 } from './exchange.js';
@@ -140,7 +140,7 @@
 	const commitAtEndpoint = async (ending: AcquiredLink, id: string, until: number) => {
 		for (;;) {
 			const answer = await exchangeWithin(parts, ending, {id, command: {kind: 'commit'}}, until - clock.now());
-			const mayRepeat = answer !== undefined && isTurnedAway(answer) && answer.state === SessionState.Open;
+			const mayRepeat = answer !== undefined && isOverloaded(answer) && answer.state === SessionState.Open;
 			if (!mayRepeat || clock.now() + MIN_COMMIT_RETRY_MS >= until) {
 				return answer;
 			}
--- a/src/operators/create-fleet-view.ts
+++ b/src/operators/create-fleet-view.ts
@@ -5,7 +5,7 @@
 import type {PeerCalls} from '../peers/peer-calls.js';
 import type {Peers} from '../peers/peers.js';
 import type {PlatformHost} from '../object-store/platform.js';
-import type {SessionSightings} from '../sessions/session-sightings.js';
+import type {RecentSessions} from '../sessions/recent-sessions.js';
 import type {Clock} from '../time/clock.js';
 import type {
 	EndpointRow, FleetView, HostRow, PromoteAnswer, SessionRow,
@@ -22,7 +22,7 @@
 	readonly owning: Owning;
 	readonly owners: OwnersService;
 	readonly peers: Peers;
-	readonly sightings: SessionSightings;
+	readonly sightings: RecentSessions;
 };
 
 /** Longest time for one host's part of an answer, in milliseconds. */
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -3,7 +3,7 @@
 	EndpointLink, EndpointRequest, LinkListener, LinkOpener, LinkTarget,
 } from '../links/endpoint-link.js';
 import {createLinkLost, createLinkRefused, throwUnexpectedAnswer} from '../links/link-errors.js';
-import {isTurnedAway, type AnswerEnd, type EndpointAnswer} from '../statements/statement-answer.js';
+import {isOverloaded, type AnswerEnd, type EndpointAnswer} from '../statements/statement-answer.js';
 import type {LogPosition} from '../terms/log-position.js';
 import {withinMs} from '../time/deadline.js';
 import type {Clock} from '../time/clock.js';
@@ -95,7 +95,7 @@
 		};
 		rows = [];
 		end = undefined;
-		listener.onAnswered(isTurnedAway(answer));
+		listener.onAnswered(isOverloaded(answer));
 		waiter.resolve(answer);
 	};
 
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -41,7 +41,7 @@
 	interface ServiceMap {
 		storeMirror: StoreMirror;
 		primaryLeases: PrimaryLeases;
-		dutyLease: FailoverLease;
+		failoverLease: FailoverLease;
 		leadershipWatch: LeadershipWatch;
 		hostLiveness: HostLivenessCheck;
 		hostRegistration: HostRegistration;
@@ -233,7 +233,7 @@
 	kernel.register('checkoutServer', checkoutServer);
 	kernel.register('rateLimiter', rateLimiter);
 	kernel.register('primaryLeases', primaryLeases);
-	kernel.register('dutyLease', failoverLease);
+	kernel.register('failoverLease', failoverLease);
 	kernel.register('hostRegistration', registration);
 	kernel.register('leadershipWatch', leadershipWatch);
 	kernel.register('hostLiveness', createHostLivenessCheck({
--- a/src/refusals/come-back-times.ts
+++ b/src/refusals/retry-after-slots.ts
@@ -3,7 +3,7 @@
  *
  * Without it all callers refused during an overload would get the same time, try again together and cause the next overload.
  */
-export type ComeBackTimes = {
+export type RetryAfterSlots = {
 	/**
 	 * Takes the next free time and returns it in milliseconds from `now`: at least `minMs`, and `spacingMs` after the one taken before, up to the
 	 * maximum.
@@ -15,7 +15,7 @@
 const MAX_RETRY_AFTER_MS = 30_000;
 
 /** Creates the times with none taken yet; `maxMs` is the maximum, in milliseconds. */
-export function createComeBackTimes(maxMs = MAX_RETRY_AFTER_MS): ComeBackTimes {
+export function createRetryAfterSlots(maxMs = MAX_RETRY_AFTER_MS): RetryAfterSlots {
 	let nextAt = Number.NEGATIVE_INFINITY;
 
 	return {
--- a/src/retries/create-retries.ts
+++ b/src/retries/create-retries.ts
@@ -1,4 +1,4 @@
-import {createComeBackTimes} from '../refusals/come-back-times.js';
+import {createRetryAfterSlots} from '../refusals/retry-after-slots.js';
 import {createRetryBudget, type RetryBudget, type RetryBudgetOptions} from './retry-budget.js';
 import {
 	getNextTry, GiveUpReason, type NextTry, type NextTryOptions,
@@ -30,7 +30,7 @@
 
 	const createGroup = (now: number) => ({
 		budget: createRetryBudget(options, now),
-		retryAfterSlots: createComeBackTimes(MAX_RETRY_AFTER_MS),
+		retryAfterSlots: createRetryAfterSlots(MAX_RETRY_AFTER_MS),
 	});
 
 	const getGroup = (name: string, now: number) => {
--- a/src/sessions/session-sightings.ts
+++ b/src/sessions/recent-sessions.ts
@@ -5,12 +5,12 @@
  * The sessions that made requests at this host recently, for operators' queries. Nothing else depends on it: a session is held in its
  * token, and one that is dropped here loses nothing.
  */
-export type SessionSightings = {
+export type RecentSessions = {
 	/** Records a request of a session. */
 	note(request: SessionRequest): void;
-	get(sessionId: string): SessionSighting | undefined;
+	get(sessionId: string): RecentSession | undefined;
 	/** Returns all recorded sessions, the one seen last first. */
-	getAll(): readonly SessionSighting[];
+	getAll(): readonly RecentSession[];
 };
 
 /** A session's request as the entry receives it. */
@@ -23,7 +23,7 @@
 };
 
 /** A session as of its last request. */
-export type SessionSighting = {
+export type RecentSession = {
 	readonly id: string;
 	readonly group: string;
 	readonly requestId: string;
@@ -33,18 +33,18 @@
 };
 
 /** Maximum number of sessions recorded by a host; they take 2 MB with floors of two groups each. */
-export const MAX_SIGHTINGS = 5000;
+export const MAX_RECENT_SESSIONS = 5000;
 
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
-		sessionSightings: SessionSightings;
+		recentSessions: RecentSessions;
 	}
 }
 
 /** Creates an empty record of at most `capacity` sessions; the one seen least recently is dropped first. */
-export function createSessionSightings(capacity = MAX_SIGHTINGS): SessionSightings {
+export function createRecentSessions(capacity = MAX_RECENT_SESSIONS): RecentSessions {
 	// A map iterates in insertion order; deleting and adding a session again moves it to the end.
-	const sessions = new Map<string, SessionSighting>();
+	const sessions = new Map<string, RecentSession>();
 
 	return {
 		note({session, group, requestId, at}) {
--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -4,7 +4,7 @@
 import {OrderOutcome} from '../../leadership/promotion-orders.js';
 import {getServerId} from '../../platform/endpoint-identity.js';
 import {parseStatusRow} from '../../platform/endpoint-lines.js';
-import {AnswerCode, isTurnedAway, type EndpointAnswer} from '../../statements/statement-answer.js';
+import {AnswerCode, isOverloaded, type EndpointAnswer} from '../../statements/statement-answer.js';
 import type {Clock} from '../../time/clock.js';
 import {createServiceSlots} from '../database/service-slots.js';
 import {follow, getVisibleEnd} from './plain-log.js';
@@ -200,7 +200,7 @@
 			}
 
 			pending--;
-			listener.onAnswered(isTurnedAway(answer));
+			listener.onAnswered(isOverloaded(answer));
 			resolve(answer);
 			listener.onReceived();
 		};
--- a/src/statements/statement-answer.ts
+++ b/src/statements/statement-answer.ts
@@ -56,6 +56,6 @@
 };
 
 /** Whether the endpoint refused for overload; nothing ran then. */
-export function isTurnedAway({end}: EndpointAnswer): boolean {
+export function isOverloaded({end}: EndpointAnswer): boolean {
 	return end.kind === 'error' && end.code === AnswerCode.Overloaded;
 }
--- a/src/workspaces/rate-limiter.ts
+++ b/src/workspaces/rate-limiter.ts
@@ -1,4 +1,4 @@
-import {createComeBackTimes, type ComeBackTimes} from '../refusals/come-back-times.js';
+import {createRetryAfterSlots, type RetryAfterSlots} from '../refusals/retry-after-slots.js';
 import type {Clock} from '../time/clock.js';
 import type {TokenGrant} from './rate-limit-calls.js';
 import {createTokenBucket, type TokenBucket} from './token-bucket.js';
@@ -51,7 +51,7 @@
 	spent: number;
 	waiting: Array<(verdict: RateLimitDecision) => void>;
 	isRequesting: boolean;
-	readonly retryDelays: ComeBackTimes;
+	readonly retryDelays: RetryAfterSlots;
 	/** This host's part of the limit while no issuer responds. */
 	fallbackBucket?: TokenBucket;
 };
@@ -74,7 +74,7 @@
 			spent: 0,
 			waiting: [],
 			isRequesting: false,
-			retryDelays: createComeBackTimes(),
+			retryDelays: createRetryAfterSlots(),
 		};
 		states.set(workspace, state);
 		return state;
--- a/src/workspaces/token-issuer.ts
+++ b/src/workspaces/token-issuer.ts
@@ -1,4 +1,4 @@
-import {createComeBackTimes, type ComeBackTimes} from '../refusals/come-back-times.js';
+import {createRetryAfterSlots, type RetryAfterSlots} from '../refusals/retry-after-slots.js';
 import type {TokenGrant, TokenRequest} from './rate-limit-calls.js';
 import {createTokenBucket, type TokenBucket} from './token-bucket.js';
 import type {RateLimit} from './workspace.js';
@@ -33,7 +33,7 @@
 
 type WorkspaceBucket = {
 	readonly bucket: TokenBucket;
-	readonly retryDelays: ComeBackTimes;
+	readonly retryDelays: RetryAfterSlots;
 	limit: RateLimit;
 	requestedAt: number;
 };
@@ -59,7 +59,7 @@
 	const getWorkspaceBucket = (workspace: string, limit: RateLimit, now: number): WorkspaceBucket => {
 		const entry = buckets.get(workspace) ?? {
 			bucket: createTokenBucket(limit, (limit.ratePerSecond * INITIAL_SECONDS) + INITIAL_OPERATIONS, now),
-			retryDelays: createComeBackTimes(),
+			retryDelays: createRetryAfterSlots(),
 			limit,
 			requestedAt: now,
 		};
--- a/tests/golden/on-call-bench.ts
+++ b/tests/golden/on-call-bench.ts
@@ -7,7 +7,7 @@
 import {createOperatorCommands} from '../../src/operators/create-operator-commands.js';
 import type {EndpointRow, FleetView} from '../../src/operators/fleet-view.js';
 import type {CommandAnswer} from '../../src/operators/operator-commands.js';
-import {createSessionSightings} from '../../src/sessions/session-sightings.js';
+import {createRecentSessions} from '../../src/sessions/recent-sessions.js';
 import type {ObjectStore} from '../../src/stand-ins/platform/object-store.js';
 import {createExplanationBench, createHost} from '../explanations/explanation-fixtures.js';
 
@@ -21,7 +21,7 @@
 	const bench = createExplanationBench(3);
 	const {clock, random, store, platform} = bench;
 	const states = new Map<string, EndpointState>();
-	const sightings = createSessionSightings();
+	const sightings = createRecentSessions();
 	const configuration = createStoreConfiguration(store);
 	const promotions: string[] = [];
 	let promotionFailure: string | undefined;
--- a/tests/sessions/session-sightings-tests.ts
+++ b/tests/sessions/recent-sessions-tests.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
-import {createSessionSightings} from '../../src/sessions/session-sightings.js';
+import {createRecentSessions} from '../../src/sessions/recent-sessions.js';
 
 describe('recent sessions', () => {
 	it('keep a bounded number of sessions, the one seen last first', () => {
-		const recentSessions = createSessionSightings(2);
+		const recentSessions = createRecentSessions(2);
 		const note = (id: string, at: number) => {
 			recentSessions.note({
 				session: {id, issuedAt: 0, floors: {nights: {term: 1, position: at}}}, group: 'nights', requestId: `r${at}`, at,
