--- a/src/gateway/gateway-parts.ts
+++ b/src/gateway/gateway-parts.ts
@@ -2,7 +2,7 @@
 import type {CutOffs} from '../leadership/cut-offs.js';
 import type {PrimaryLeases} from '../leadership/primary-leases.js';
 import type {PrimaryWork} from '../leadership/primary-work.js';
-import type {SampleFetcher} from '../lending/sample-fetcher.js';
+import type {SampleFetcher} from '../connection-sharing/sample-fetcher.js';
 import type {Log} from '../log/log.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import type {PlacementKnowledge} from '../placement/placement-knowledge.js';
--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -2,7 +2,7 @@
 import type {EndpointDirectory} from '../links/endpoint-directory.js';
 import {LinkError} from '../links/link-errors.js';
 import type {Log} from '../log/log.js';
-import type {PoolHosts} from '../lending/pool-hosts.js';
+import type {PoolHosts} from '../connection-sharing/pool-hosts.js';
 import type {MetadataStore} from '../mirror/metadata-store.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {PlatformConflictError, PlatformError} from '../object-store/platform-errors.js';
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -1,7 +1,7 @@
 import type {EndpointDirectory} from '../links/endpoint-directory.js';
 import {SILENT_AFTER_MS, Suspicion} from '../links/endpoint-health.js';
 import {LinkError} from '../links/link-errors.js';
-import type {PoolHosts} from '../lending/pool-hosts.js';
+import type {PoolHosts} from '../connection-sharing/pool-hosts.js';
 import type {Log} from '../log/log.js';
 import type {StoreMirror} from '../mirror/store-mirror.js';
 import {isPeerError} from '../peers/peer-errors.js';
--- a/src/proxy/leave.ts
+++ b/src/proxy/leave.ts
@@ -2,7 +2,7 @@
 import {STOP_REASON} from '../gateway/stop-answers.js';
 import {createStopPlan} from '../gateway/stop-plan.js';
 import type {LeadershipWatch} from '../leadership/leadership-watch.js';
-import type {CheckoutServer} from '../lending/checkout-server.js';
+import type {CheckoutServer} from '../connection-sharing/checkout-server.js';
 import type {Log} from '../log/log.js';
 import type {Clock} from '../time/clock.js';
 
--- a/tests/lending/pool-hosts-tests.ts
+++ b/tests/connection-sharing/pool-hosts-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createPoolHosts} from '../../src/lending/pool-hosts.js';
+import {createPoolHosts} from '../../src/connection-sharing/pool-hosts.js';
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import type {StoreMirror} from '../../src/mirror/store-mirror.js';
 import type {Routing} from '../../src/routes/routing.js';
--- a/tests/lending/remote-read-tests.ts
+++ b/tests/connection-sharing/remote-read-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
-import {createRemoteRead} from '../../src/lending/remote-read.js';
-import {CheckoutRefusal} from '../../src/lending/checkout-calls.js';
+import {createRemoteRead} from '../../src/connection-sharing/remote-read.js';
+import {CheckoutRefusal} from '../../src/connection-sharing/checkout-calls.js';
 import type {PeerCalls} from '../../src/peers/peer-calls.js';
 import type {Peers} from '../../src/peers/peers.js';
 import {throwPeerSilent} from '../../src/peers/peer-errors.js';
--- a/tests/lending/shared-pool-tests.ts
+++ b/tests/connection-sharing/shared-pool-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
-import {createSharedPool, type SharedPoolOptions} from '../../src/lending/shared-pool.js';
-import type {CheckoutResponse} from '../../src/lending/checkout-calls.js';
+import {createSharedPool, type SharedPoolOptions} from '../../src/connection-sharing/shared-pool.js';
+import type {CheckoutResponse} from '../../src/connection-sharing/checkout-calls.js';
 import type {AcquireRequest} from '../../src/links/endpoint-pool.js';
 import {createUnreachableHosts} from '../../src/membership/unreachable-hosts.js';
 import {throwPeerSilent} from '../../src/peers/peer-errors.js';
--- a/tests/crowd-check/main.ts
+++ b/tests/crowd-check/main.ts
@@ -21,7 +21,7 @@
 	{
 		name: 'lending',
 		without: 'lent connections: each host opens its own',
-		changes: [{file: 'src/lending/pool-hosts.ts', from: 'const isEnoughForAll = ', to: 'const isEnoughForAll = true || '}],
+		changes: [{file: 'src/connection-sharing/pool-hosts.ts', from: 'const isEnoughForAll = ', to: 'const isEnoughForAll = true || '}],
 	},
 	{
 		name: 'reserve',
@@ -36,7 +36,7 @@
 	{
 		name: 'positions',
 		without: 'positions from hosts that see more of the primary',
-		changes: [{file: 'src/lending/sample-fetcher.ts', from: 'if (!poolHosts.isShared(', to: 'if (clock.now() > 0 || !poolHosts.isShared('}],
+		changes: [{file: 'src/connection-sharing/sample-fetcher.ts', from: 'if (!poolHosts.isShared(', to: 'if (clock.now() > 0 || !poolHosts.isShared('}],
 	},
 ];
 
