--- a/src/platform/boot-errors.ts
+++ b/src/platform/boot-errors.ts
@@ -1,14 +1,14 @@
 import ModernError from 'modern-errors';
 
-/** The settings file cannot be used; the program ends with its message. */
+/** Thrown when the settings file cannot be read or is invalid; the program prints the message and exits. */
 export const BootSettingsError = ModernError.subclass('BootSettingsError');
 
 /** @internal */
-export function throwSettingsWrong(faults: readonly string[]): never {
+export function throwBootSettingsInvalid(faults: readonly string[]): never {
 	throw new BootSettingsError(`the settings cannot be used: ${faults.join('; ')}`);
 }
 
 /** @internal */
-export function throwSettingsUnreadable(why: string, cause?: unknown): never {
-	throw new BootSettingsError(`the settings cannot be read: ${why}`, {cause});
+export function throwSettingsUnreadable(reason: string, cause?: unknown): never {
+	throw new BootSettingsError(`the settings cannot be read: ${reason}`, {cause});
 }
--- a/src/platform/boot-settings.ts
+++ b/src/platform/boot-settings.ts
@@ -1,61 +1,61 @@
 import * as z from 'zod';
-import {throwSettingsWrong, throwSettingsUnreadable} from './boot-errors.js';
+import {throwBootSettingsInvalid, throwSettingsUnreadable} from './boot-errors.js';
 
-/** What a proxy learns of itself and its surroundings when it starts. */
+/** The settings that a proxy reads when it starts. */
 export type BootSettings = {
 	readonly hostName: string;
 	readonly availabilityZone: string;
 	/** `ip:port` on which callers connect. */
 	readonly callerAddress: string;
-	/** `ip:port` on which the balancer asks whether this host takes callers. */
+	/** `ip:port` on which the balancer checks whether this host accepts callers. */
 	readonly readinessAddress: string;
 	/** `ip:port` on which other proxies connect. */
 	readonly peerAddress: string;
-	/** Addresses of some other proxies; may be out of date. */
+	/** Peer addresses of some other proxies; the list may be out of date. */
 	readonly seeds: readonly string[];
 	/** `ip:port` of the platform's store. */
 	readonly storeAddress: string;
-	/** `ip:port` where the platform takes promotions. */
+	/** `ip:port` of the platform's service that promotes servers. */
 	readonly ordersAddress: string;
-	/** Time after which a revoked key must not be honoured by any host, in milliseconds; undefined where nothing bounds it. */
+	/** Time after which no host may accept a revoked key any more, in milliseconds; undefined if there is no such bound. */
 	readonly revokeWithinMs?: number;
-	/** Time from the order to stop to the end by force, in milliseconds. */
+	/** Time from the signal to stop until the process is killed, in milliseconds. */
 	readonly graceMs: number;
 };
 
-/** The platform names the settings file in this variable. */
+/** The environment variable in which the platform passes the path of the settings file. */
 export const SETTINGS_VARIABLE = 'ALDERCROFT_BOOT';
 
 const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'must be ip:port');
 
-/** The platform's names; keys that are not known are passed over. */
+/** The fields under the platform's names; unknown keys are ignored. */
 const schema = z.object({
 	/** The host's name. */
 	nodeName: z.string().min(1),
 	zone: z.string().min(1),
 	ip: z.string().min(1),
-	/** Where callers connect, not the balancer's own front. */
+	/** Where callers reach this host, not the balancer's own address. */
 	'listen.front': address,
 	'listen.readiness': address,
-	/** Nobody outside calls it, so the links between proxies use it. */
+	/** No program outside the proxies connects to it, so the links between proxies use it. */
 	'listen.control': address.optional(),
-	/** First and last port that are free for links between proxies. */
+	/** The first and last port of a range that is free for links between proxies. */
 	portRange: z.string().regex(/^\d+,\d+$/v, 'must be two ports'),
 	seeds: z.string().default(''),
 	'platform.address': address,
-	/** The service that carries out orders; its name on the platform says nothing of that. */
+	/** The service that promotes servers, despite its general name. */
 	'cloud.address': address,
 	'bounds.graceS': z.coerce.number().positive(),
-	/** The bound of revocation holds for hosts that are out of touch too. */
+	/** Whether the bound on revocation also applies to hosts that are cut off from the store. */
 	'bounds.revokeStrict': z.enum(['true', 'false'], 'must be true or false').default('false'),
 	'bounds.revokeMs': z.coerce.number().positive().optional(),
 });
 
-/** Reads the text of the settings file; throws BootSettingsError, which names each field that is wrong. */
+/** Parses the text of the settings file. Throws BootSettingsError, which names every invalid field. */
 export function parseBootSettings(text: string): BootSettings {
 	const parsed = schema.safeParse(parseLines(text));
 	if (!parsed.success) {
-		return throwSettingsWrong(parsed.error.issues.map(({path, message}) => `${String(path[0] ?? 'settings')} is wrong: ${message}`));
+		return throwBootSettingsInvalid(parsed.error.issues.map(({path, message}) => `${String(path[0] ?? 'settings')} is wrong: ${message}`));
 	}
 
 	const fields = parsed.data;
--- a/src/platform/caller-lines.ts
+++ b/src/platform/caller-lines.ts
@@ -6,9 +6,9 @@
 import {formatCode, formatState} from './platform-words.js';
 import {formatPosition, NO_POSITION} from './position-text.js';
 
-/** A message of a caller. */
+/** A message from a caller. */
 export type CallerMessage =
-	/** The first of a session: names the database, which is a route's host, and shows the caller's key. */
+	/** The first message of a session. It names the database, which is a route's `host`, and carries the caller's key. */
 	| {readonly kind: 'open'; readonly database: string; readonly key: string}
 	| ({readonly kind: 'statement'} & IdentifiedStatement)
 	| {readonly kind: 'end'}
@@ -16,7 +16,7 @@
 
 const MALFORMED: Statement = {kind: 'malformed'};
 
-/** Reads one line of a caller. */
+/** Parses one line from a caller. */
 export function parseCallerLine(line: string): CallerMessage {
 	const [word, rest] = cutWord(line);
 	switch (word) {
@@ -40,7 +40,7 @@
 	}
 }
 
-/** Reads a statement's text. */
+/** Parses the text of a statement. */
 export function parseStatement(text: string): Statement {
 	const [word, rest] = cutWord(text);
 	switch (word) {
@@ -98,7 +98,7 @@
 	return {kind: 'prepare', name, shape: {access: access === 'READ' ? Access.Read : Access.Write, shape}};
 }
 
-/** Writes the answer to a statement. */
+/** Formats the answer to a statement: its rows, how it ended, and the ready line. */
 export function formatCallerAnswer(rows: readonly string[], end: AnswerEnd, state: SessionState, position?: LogPosition): string {
 	let text = '';
 	for (const row of rows) {
@@ -109,12 +109,12 @@
 	return text + formatReady(state, position);
 }
 
-/** Writes that a session is open, or that a statement's answer is over. */
+/** Formats the ready line, which follows the opening of a session and every answer. */
 export function formatReady(state: SessionState, position?: LogPosition): string {
 	return `READY ${formatState(state)} ${position ? formatPosition(position) : NO_POSITION}\r\n`;
 }
 
-/** Writes how an answer ends, without what follows each answer. */
+/** Formats the line that completes an answer or reports its error, without the ready line. */
 export function formatEnd(end: AnswerEnd): string {
 	return end.kind === 'complete' ? `COMPLETE ${end.signature ?? '-'}\r\n` : `ERROR ${formatCode(end.code)} ${end.text}\r\n`;
 }
--- a/src/platform/endpoint-lines.ts
+++ b/src/platform/endpoint-lines.ts
@@ -4,16 +4,19 @@
 import {getServerId} from './endpoint-identity.js';
 import {formatPosition, parsePosition} from './position-text.js';
 
-/** The id that marks what the proxy asks on its own behalf. */
-const OWN_ID = '-';
+/** The id of requests that the proxy sends on its own behalf rather than for a caller. */
+const PROXY_REQUEST_ID = '-';
 
-/** Writes the first message to an endpoint: the group stands where callers name a database, and whom the connection is for where they show a key. */
+/**
+ * Formats the first message to an endpoint. It has the form of a caller's: the group takes the place of the database, and the name of whom the connection is
+ * for takes that of the key.
+ */
 export function formatStartup(group: string, onBehalfOf: string, endpointId: string): string {
 	return `STARTUP ${group} ${onBehalfOf} ${getServerId(endpointId)}\r\n`;
 }
 
-/** Writes a request to an endpoint. */
-export function formatRequest({id = OWN_ID, command, floor}: EndpointRequest): string {
+/** Formats a request to an endpoint. */
+export function formatRequest({id = PROXY_REQUEST_ID, command, floor}: EndpointRequest): string {
 	const prefix = floor ? `AFTER ${formatPosition(floor)} ` : '';
 	return `QUERY ${id} ${prefix}${formatCommand(command)}\r\n`;
 }
@@ -66,7 +69,7 @@
 	unfence: 'RESUME',
 } as const;
 
-/** Reads the row that answers a status: role, term, position received, term of the fence, lag, busy, connections. */
+/** Parses the row that answers a status request: role, term, position received, term of the fence, lag, busy, connections. Returns undefined if the role or the position is invalid. */
 export function parseStatusRow(row: string): EndpointStatus | undefined {
 	const [role, term, received, fencedTerm, lag, busy, connections] = row.split(' ');
 	const position = parsePosition(received ?? '');
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -11,22 +11,22 @@
 import {
 	decodeEndpoint, decodeRouting, storeListSchema, storeObjectSchema, type StoreObject,
 } from './store-schemas.js';
-import {getStoreGeneration} from './store-era.js';
-import {createUnusableEntries} from './unusable-entries.js';
+import {getStoreGeneration} from './store-generation-header.js';
+import {createUnusableEntryLog} from './unusable-entry-log.js';
 
-/** What the client needs. */
+/** Options of the client. */
 export type HttpMetadataStoreOptions = {
 	/** `ip:port` of the store. */
 	readonly address: string;
 	readonly clock: Clock;
 	readonly log: Log;
-	/** Told of each call and how it ended, for the metrics. */
+	/** Called after each call with its result, for the metrics. */
 	onCall(call: string, result: string): void;
-	/** Told of the store's generation with each answer, for the metrics. */
+	/** Called with the store generation of each response, for the metrics. */
 	onGeneration(generation: number): void;
 };
 
-/** The platform's names for the kinds; no operator writes under the first two. */
+/** The store's names for the kinds of records. These records are written only by proxies, never by an operator. */
 const KIND_NAMES: Readonly<Record<RecordKind, string>> = {
 	[RecordKind.Leadership]: 'aldercroft-leadership',
 	[RecordKind.Hosts]: 'aldercroft-hosts',
@@ -36,12 +36,12 @@
 const CONFIGURATION_NAME = 'main';
 const ENDPOINT_KIND = 'servers';
 
-/** How log lines name an entry of a configuration's workspaces. */
-const WORKSPACE = 'workspace';
+/** The kind under which the log names an unusable workspace of a configuration. */
+const WORKSPACE_ENTRY = 'workspace';
 
 /**
- * A kind without objects: listing it is the cheapest linearizable answer that carries the store's revision, 46 bytes
- * against 2,500 of the list of nine servers.
+ * A kind without objects. Listing it is the cheapest linearizable request whose response carries the store's revision: 46 bytes,
+ * against 2,500 for the list of nine servers.
  */
 const EMPTY_KIND = 'aldercroft-nothing';
 
@@ -53,26 +53,26 @@
 	ServerError: 500,
 } as const;
 
-/** An answer with the generation of the store that gave it. */
-type StoreAnswer = HttpAnswer & {readonly generation: number};
+/** A response of the store and the store generation that it states. */
+type StoreResponse = HttpAnswer & {readonly generation: number};
 
-/** Creates a client of the platform's store. */
+/** Creates an HTTP client of the platform's metadata store. */
 export function createHttpMetadataStore({address, clock, log: parentLog, onCall, onGeneration}: HttpMetadataStoreOptions): MetadataStore {
 	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
 	const log = parentLog.part('store: ');
-	const unusable = createUnusableEntries(log);
-	let answeredGeneration: number | undefined;
+	const unusable = createUnusableEntryLog(log);
+	let lastGeneration: number | undefined;
 
 	const noteGeneration = (generation: number) => {
-		if (answeredGeneration !== undefined && answeredGeneration !== generation) {
-			log.warn('the store is of another generation than before', {generation, before: answeredGeneration});
+		if (lastGeneration !== undefined && lastGeneration !== generation) {
+			log.warn('the store generation changed', {generation, before: lastGeneration});
 		}
 
-		answeredGeneration = generation;
+		lastGeneration = generation;
 		onGeneration(generation);
 	};
 
-	const exchange = async (call: string, req: HttpExchange): Promise<StoreAnswer> => {
+	const exchange = async (call: string, req: HttpExchange): Promise<StoreResponse> => {
 		try {
 			const res = await exchanger.exchange(req);
 			onCall(call, String(res.status));
@@ -99,10 +99,10 @@
 				what, method: 'GET', path, timeoutMs,
 			});
 			const page = parse(what, res, storeListSchema);
-			// Later pages may show more; the first one's revision is what the whole is complete up to.
+			// Later pages may include newer changes. The list as a whole is complete only up to the revision of its first page.
 			first ??= {revision: qualifyByGeneration(res.generation, page.storeRevision), generation: res.generation};
 			if (res.generation !== first.generation) {
-				throwPlatformSilent(what, new Error('its pages are of two generations of the store'));
+				throwPlatformSilent(what, new Error('its pages come from two generations of the store'));
 			}
 
 			const readable = page.items.map(item => decodeObject(kind, item)).filter(object => object !== undefined);
@@ -111,16 +111,16 @@
 				return {...first, objects};
 			}
 
-			// Without a name to go on from, what follows cannot be asked for, and half a list must not pass for the whole.
+			// The next page is requested by the last name of this one. Without a name the call fails, since a partial list must not pass for a complete one.
 			after = readable.at(-1)?.meta.name ?? throwPlatformSilent(what, new Error('a page names no object'));
 		}
 	};
 
-	/** An item of a list; undefined, and logged, where it is no object. */
+	/** Decodes an item of a list; logs it and returns undefined if it is not an object of the store. */
 	const decodeObject = (kind: string, item: unknown): StoreObject | undefined => {
 		const object = storeObjectSchema.safeParse(item);
 		if (!object.success) {
-			unusable.note(kind, item);
+			unusable.report(kind, item);
 		}
 
 		return object.data;
@@ -135,10 +135,10 @@
 			const {revision, objects} = await list(CONFIGURATION_KIND, timeoutMs);
 			const main = objects.find(object => object.meta.name === CONFIGURATION_NAME);
 			const routing = main && decodeRouting(main.spec, entry => {
-				unusable.note(WORKSPACE, entry);
+				unusable.report(WORKSPACE_ENTRY, entry);
 			});
 			if (main && !routing) {
-				unusable.note(CONFIGURATION_KIND, {meta: main.meta});
+				unusable.report(CONFIGURATION_KIND, {meta: main.meta});
 			}
 
 			return {revision, content: routing};
@@ -151,7 +151,7 @@
 				if (endpoint) {
 					content.push(endpoint);
 				} else {
-					unusable.note(ENDPOINT_KIND, object);
+					unusable.report(ENDPOINT_KIND, object);
 				}
 			}
 
@@ -171,7 +171,7 @@
 				: {
 					what, method: 'PUT', path: `${path}/${encodeURIComponent(name)}`, body: {meta: {name, modRevision: getWithinGeneration(version)}, spec: value}, timeoutMs,
 				});
-			return isChangedMeanwhile(res) ? throwVersionConflict(kind, name, version) : toRecord(parse(what, res, storeObjectSchema), res.generation);
+			return isConditionUnmet(res) ? throwVersionConflict(kind, name, version) : toRecord(parse(what, res, storeObjectSchema), res.generation);
 		},
 		async deleteRecord(kind, name, expectedVersion, timeoutMs) {
 			const what = `delete ${kind} ${name}`;
@@ -179,7 +179,7 @@
 			const res = await exchange('delete', {
 				what, method: 'DELETE', path, timeoutMs,
 			});
-			if (isChangedMeanwhile(res)) {
+			if (isConditionUnmet(res)) {
 				throwVersionConflict(kind, name, expectedVersion);
 			}
 
@@ -190,8 +190,8 @@
 	};
 }
 
-/** A record that is gone is as good as one at another version: the condition no longer holds. */
-function isChangedMeanwhile(res: HttpAnswer) {
+/** Whether a conditional write was rejected. A deleted record counts like one with another version, since the condition no longer holds either way. */
+function isConditionUnmet(res: HttpAnswer) {
 	return res.status === Status.Conflict || res.status === Status.NotFound;
 }
 
@@ -211,5 +211,5 @@
 	}
 }
 
-/** What another writer may have put into a string: as it stands no JSON may hold it, and one such entry would make the whole list unreadable. */
+/** Control characters that another writer may have put into a string. JSON does not allow them unescaped, so one such entry would make the whole list unreadable. */
 const CONTROL_CHARACTERS = /\p{Cc}/gv;
--- a/src/platform/http-promotion-orders.ts
+++ b/src/platform/http-promotion-orders.ts
@@ -4,18 +4,18 @@
 import type {Clock} from '../time/clock.js';
 import {getServerId} from './endpoint-identity.js';
 
-/** What the client needs. */
+/** Options of the client. */
 export type HttpPromotionOrdersOptions = {
-	/** `ip:port` where the platform takes orders. */
+	/** `ip:port` of the platform's service that promotes servers. */
 	readonly address: string;
 	readonly clock: Clock;
-	/** Told of each call and how it ended, for the metrics. */
+	/** Called after each call with its result, for the metrics. */
 	onCall(call: string, result: string): void;
 };
 
 const OUTCOMES = new Map<number, OrderOutcome>([[200, OrderOutcome.Accepted], [409, OrderOutcome.NotRunning]]);
 
-/** Creates the client by which a primary is replaced. */
+/** Creates the HTTP client that orders the platform to promote a server to primary. */
 export function createHttpPromotionOrders({address, clock, onCall}: HttpPromotionOrdersOptions): PromotionOrders {
 	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
 
--- a/src/platform/line-reader.ts
+++ b/src/platform/line-reader.ts
@@ -1,21 +1,21 @@
-/** Largest message, in bytes: the wire's own limit of 1 MiB. */
+/** Maximum size of a message, in bytes: the protocol's limit of 1 MiB. */
 export const MAX_LINE_BYTES = 1_048_576;
 
 const LINE_END = '\r\n';
 
-/** Cuts a stream of text into lines. */
+/** Splits a stream of text into lines. */
 export type LineReader = {
-	/** Takes what came and returns the lines that it completes, without their ends; undefined once a line is over the limit. */
+	/** Returns the lines that this chunk completes, without their line ends; undefined once a line exceeds the limit. */
 	push(chunk: string): readonly string[] | undefined;
 };
 
-/** Creates a reader for one connection. Text is Latin-1, one character a byte, so that bytes go through unchanged. */
+/** Creates a reader for one connection. The text is Latin-1, with one character per byte, so that bytes pass through unchanged. */
 export function createLineReader(maxBytes = MAX_LINE_BYTES): LineReader {
 	let rest = '';
 
 	return {
 		push(chunk) {
-			// The search goes on where it stopped, so that a long line that comes in many pieces is not scanned anew for each.
+			// The search resumes where it stopped, so that a long line that arrives in many chunks is not scanned again for each.
 			let from = Math.max(0, rest.length - 1);
 			rest += chunk;
 			const lines: string[] = [];
--- a/src/platform/platform-words.ts
+++ b/src/platform/platform-words.ts
@@ -1,7 +1,7 @@
 import {AnswerCode} from '../statements/statement-answer.js';
 import {SessionState} from '../statements/statement.js';
 
-/** The platform's words for answer codes, on the wire of callers and of endpoints alike. */
+/** The platform's names for answer codes, both on callers' and on endpoints' connections. */
 const CODE_WORDS: Readonly<Record<AnswerCode, string>> = {
 	[AnswerCode.Overloaded]: 'BUSY',
 	[AnswerCode.Aborted]: 'ABORTED',
@@ -14,7 +14,7 @@
 	[AnswerCode.TimedOut]: 'TIMEOUT',
 	[AnswerCode.UnknownDatabase]: 'NOSUCHDB',
 	[AnswerCode.Unauthenticated]: 'AUTHFAIL',
-	// The platform has one word for all that did not run and may come back.
+	// The platform has one name for every statement that did not run and may be retried.
 	[AnswerCode.RateLimited]: 'BUSY',
 	[AnswerCode.TooLarge]: 'TOOBIG',
 	[AnswerCode.Malformed]: 'MALFORMED',
@@ -31,22 +31,25 @@
 	[SessionState.Failed]: 'E',
 };
 
-/** Names a code as the platform does. */
+/** Formats an answer code under the platform's name. */
 export function formatCode(code: AnswerCode): string {
 	return CODE_WORDS[code];
 }
 
-/** Reads a code, the first of those that share a word; a word that is not known counts as a statement that ran and failed, since nothing may be promised of it. */
+/**
+ * Parses an answer code. Of several codes with the same name it returns the first one. An unknown name counts as a statement that ran and failed,
+ * since the proxy cannot promise that it did not run.
+ */
 export function parseCode(word: string): AnswerCode {
 	return CODES_BY_WORD.get(word) ?? AnswerCode.Failed;
 }
 
-/** Names a state as the platform does. */
+/** Formats a session state as the platform's letter. */
 export function formatState(state: SessionState): string {
 	return STATE_LETTERS[state];
 }
 
-/** Reads a state, undefined where the letter is unknown. */
+/** Parses the letter of a session state; returns undefined if it is unknown. */
 export function parseState(letter: string): SessionState | undefined {
 	return STATES_BY_LETTER.get(letter);
 }
--- a/src/platform/readiness-port.ts
+++ b/src/platform/readiness-port.ts
@@ -10,7 +10,7 @@
 	NotReady: 503,
 } as const;
 
-/** Answers the balancer's question whether this host takes callers. */
+/** Opens the HTTP port on which the balancer checks whether this host accepts callers. Resolves once the port listens. */
 export async function openReadinessPort(address: string, isReady: () => boolean): Promise<Server> {
 	const server = createServer((req, res) => {
 		const status = req.url === READY_PATH ? (isReady() ? Status.Ready : Status.NotReady) : Status.NotFound;
--- a/src/platform/store-schemas.ts
+++ b/src/platform/store-schemas.ts
@@ -5,7 +5,7 @@
 import {formatEndpointId} from './endpoint-identity.js';
 import {decodeWorkspaces} from './workspace-schema.js';
 
-/** Checks an object of the store; `spec` holds what its writer put there. */
+/** Validates an object of the store; `spec` holds the content that its writer put there. */
 export const storeObjectSchema = z.object({
 	meta: z.object({
 		name: z.string(),
@@ -18,39 +18,39 @@
 /** An object of the store, decoded. */
 export type StoreObject = z.infer<typeof storeObjectSchema>;
 
-/** Checks a page of a list; its items are checked one by one, since one that cannot be read must not hide the others. */
+/** Validates a page of a list. The items are validated one by one later, so that one unreadable item does not hide the others. */
 export const storeListSchema = z.object({
 	items: z.array(z.unknown()),
-	/** Another page follows, to be asked for after the last name of this one. */
+	/** Whether another page follows, which is requested with the last name of this one. */
 	hasMore: z.boolean(),
 	/** Revision of the whole store, not of the kind. */
 	storeRevision: z.int(),
 });
 
-/** Bound of idle transactions, in milliseconds, where a configuration states none; the figure that the platform's examples have. */
+/** How long a transaction may be idle, in milliseconds, if the configuration does not say; the platform's examples use the same value. */
 const DEFAULT_IDLE_TRANSACTION_MS = 3000;
 
 const POLICIES: Readonly<Record<string, ReadPolicy>> = {
 	primary: ReadPolicy.Primary,
 	bounded: ReadPolicy.Bounded,
-	// The platform's name leaves out that the staleness bound holds as well.
+	// The staleness bound applies to this policy too, though the platform's name does not say so.
 	read_your_writes: ReadPolicy.OwnWrites,
 };
 
 const routeSchema = z.object({
 	name: z.string(),
-	/** The database that callers name, though it is spelled as a host. */
+	/** The database that callers name; it is not a host, despite the name. */
 	host: z.string(),
 	/** The read policy, not the kind of database. */
 	type: z.string(),
-	/** Bounds one statement, not the operation. */
+	/** The timeout of one statement, not of the whole operation. */
 	timeoutMs: z.number(),
 	targetLatencyMs: z.number().default(0),
 	priority: z.number().default(0),
 	/** The database group. */
 	backend: z.string(),
 	maxStalenessMs: z.number().default(0),
-	/** Callers without a key are served too. */
+	/** Whether callers without a key are served too. */
 	allowAnonymous: z.boolean().default(false),
 });
 
@@ -59,38 +59,38 @@
 	routes: z.array(routeSchema),
 	backends: z.array(z.object({
 		name: z.string(),
-		/** Of each server, from all callers together. */
+		/** The limit of each server, for the connections of all callers together. */
 		maxConnections: z.number(),
 	})),
-	/** Read one by one, since one that cannot be read must not hide the others; left out where callers have no keys. */
+	/** The workspaces, which are decoded one by one so that one unreadable entry does not hide the others; omitted if callers have no keys. */
 	tenants: z.array(z.unknown()).default([]),
 	limits: z.object({txIdleMs: z.number().default(DEFAULT_IDLE_TRANSACTION_MS)}),
 });
 
-/** What a server says of itself. Whatever lacks a field, or has one of another type, was written by something else than a server. */
+/** The entry that a server writes about itself. An entry that lacks a field, or has one of another type, was not written by a server. */
 const endpointSchema = z.object({
-	/** The group that it serves. */
+	/** The database group that it serves. */
 	backend: z.string().min(1),
 	address: z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v),
 	zone: z.string(),
-	/** Version of its software, not of the entry. */
+	/** The version of its software, not of the entry. */
 	revision: z.string(),
-	/** Statements that it runs at once, not its connections. */
+	/** How many statements it runs at once, not how many connections it accepts. */
 	capacity: z.int().positive(),
 	state: z.enum(['ready', 'draining']),
 	coldRemainingMs: z.number(),
-	/** Grows with each heartbeat. */
+	/** Increases with each heartbeat. */
 	sequence: z.int(),
-	/** How the server sees itself. */
+	/** The role that the server reports for itself. */
 	dbRole: z.enum(['primary', 'replica']),
-	/** Unix time of its start, in milliseconds; servers that get a new id with each start leave it out. */
+	/** Unix time of its start, in milliseconds; omitted by servers that get a new id with each start. */
 	born: z.int().optional(),
 });
 
-/** An id that can stand in a message, where blanks separate the fields. */
+/** The id of a server. It is a field of messages, where blanks separate the fields, so it contains no blank. */
 const serverIdSchema = z.string().regex(/^\S+$/v);
 
-/** Decodes the configuration; undefined where it is none, upon which the version in force stays. */
+/** Decodes the configuration. Returns undefined if it is invalid; the version in force then remains. */
 export function decodeRouting(spec: unknown, onUnusable: (workspace: unknown) => void): Routing | undefined {
 	const read = routingSchema.safeParse(spec);
 	if (!read.success) {
@@ -113,18 +113,18 @@
 		name: route.name,
 		database: route.host,
 		group: route.backend,
-		// An unknown policy gets the strictest one, under which nothing can be too old.
+		// An unknown policy is replaced by the strictest one, under which no read is stale.
 		policy: POLICIES[route.type] ?? ReadPolicy.Primary,
 		maxReadAgeMs: route.maxStalenessMs,
 		statementTimeoutMs: route.timeoutMs,
 		targetLatencyMs: route.targetLatencyMs,
 		priority: route.priority,
-		// A deployment without workspaces has no keys that a caller could show.
+		// Without workspaces there are no keys that a caller could present.
 		needsKey: hasWorkspaces && !route.allowAnonymous,
 	};
 }
 
-/** Decodes a server's entry; undefined where it names no server that could be used. */
+/** Decodes a server's entry; returns undefined if it is not a valid entry of a server. */
 export function decodeEndpoint({meta, spec}: StoreObject): RegisteredEndpoint | undefined {
 	const id = serverIdSchema.safeParse(meta.name);
 	const entry = endpointSchema.safeParse(spec);
--- a/src/platform/tcp-caller-channel.ts
+++ b/src/platform/tcp-caller-channel.ts
@@ -6,16 +6,16 @@
 } from './caller-lines.js';
 import {createLineReader} from './line-reader.js';
 
-/** A caller that sends ahead is read no further with so many requests waiting. */
-const MOST_WAITING = 4;
+/** Once this many requests of a pipelining caller are queued, the channel stops reading from its socket. */
+const MAX_QUEUED_REQUESTS = 4;
 
-/** How long a connection that was ended may stay half open, in milliseconds; the balancer's own clients close at once. */
-const LINGER_MS = 2000;
+/** How long a connection that this host ended may stay half open, in milliseconds; the balancer's own clients close at once. */
+const HALF_OPEN_TIMEOUT_MS = 2000;
 
-/** Is told of a request that came once its session had ended, and so gets no answer. */
+/** Called with a request that arrives after its session has ended and therefore gets no answer. */
 export type LateRequestListener = (req: CallerRequest, caller: string) => void;
 
-/** Creates the channel of one connection. */
+/** Creates the channel of one caller's connection. */
 export function createTcpCallerChannel(socket: Socket, onLate: LateRequestListener = () => undefined): CallerChannel {
 	const reader = createLineReader();
 	const name = `${socket.remoteAddress}:${socket.remotePort}`;
@@ -34,7 +34,7 @@
 		wake = resolve;
 	});
 
-	const noteLeft = () => {
+	const markLeft = () => {
 		if (left) {
 			return;
 		}
@@ -51,27 +51,27 @@
 	const read = (chunk: string): readonly CallerRequest[] => reader.push(chunk)?.map(line => parseCallerLine(line)) ?? [{kind: 'too-large'}];
 
 	socket.on('data', (chunk: string) => {
-		const came = read(chunk);
-		// A request that crosses the end of the connection can get no answer any more, so it must not be run either.
+		const received = read(chunk);
+		// A request that arrives after this host has ended the connection cannot be answered, so it must not be run either.
 		if (closed) {
-			for (const late of came.filter(({kind}) => kind !== 'end')) {
+			for (const late of received.filter(({kind}) => kind !== 'end')) {
 				onLate(late, name);
 			}
 
 			return;
 		}
 
-		requests.push(...came);
-		if (requests.length >= MOST_WAITING) {
+		requests.push(...received);
+		if (requests.length >= MAX_QUEUED_REQUESTS) {
 			socket.pause();
 		}
 
 		wakeReader();
 	});
-	socket.on('end', noteLeft);
-	// A broken connection says no more than a closed one: the caller has left.
-	socket.on('error', noteLeft);
-	socket.on('close', noteLeft);
+	socket.on('end', markLeft);
+	// A broken connection is treated like a closed one: the caller has left.
+	socket.on('error', markLeft);
+	socket.on('close', markLeft);
 
 	const write = async (text: string) => {
 		if (!socket.writable || socket.write(text, 'latin1')) {
@@ -122,9 +122,9 @@
 			requests.length = 0;
 			wakeReader();
 			socket.end();
-			// Reading on keeps a late request of the caller from turning the end into a reset, which could overtake the last answer.
+			// Without further reading, a late request of the caller would turn the end of the connection into a reset, which could reach the caller before the last answer.
 			socket.resume();
-			socket.setTimeout(LINGER_MS, () => socket.destroy());
+			socket.setTimeout(HALF_OPEN_TIMEOUT_MS, () => socket.destroy());
 		},
 	};
 }
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -12,10 +12,10 @@
 import {parseCode, parseState} from './platform-words.js';
 import {parsePosition} from './position-text.js';
 
-/** What the opener needs. */
+/** Options of the opener. */
 export type TcpLinkOpenerOptions = {
 	readonly clock: Clock;
-	/** Tells endpoints who connects where that is no workspace. */
+	/** Sent to endpoints as the name of whom the connection is for, where it is not for a workspace. */
 	readonly hostName: string;
 };
 
@@ -43,7 +43,7 @@
 	};
 }
 
-/** Cuts `ip:port` in two. */
+/** Splits `ip:port` into the IP number and the port. */
 export function splitAddress(address: string): [string, number] {
 	const colon = address.lastIndexOf(':');
 	return [address.slice(0, colon), Number(address.slice(colon + 1))];
@@ -74,8 +74,8 @@
 		}
 	};
 
-	/** Guards against an answer that belongs to no request, or is cut off: the link ends rather than giving a row to the wrong caller. */
-	const abandon = (why: string) => {
+	/** Fails the link and resets its socket. An answer that is incomplete or matches no request must end the link, so that no caller gets another caller's rows. */
+	const failAndReset = (why: string) => {
 		fail(why);
 		socket.resetAndDestroy();
 	};
@@ -86,7 +86,7 @@
 		const waiter = waiters.shift();
 		if (!waiter || !end || !state) {
 			waiter?.reject(createLinkLost(address, 'an answer out of turn'));
-			abandon('an answer out of turn');
+			failAndReset('an answer out of turn');
 			return;
 		}
 
@@ -99,7 +99,7 @@
 		waiter.resolve(answer);
 	};
 
-	const takeLine = (line: string) => {
+	const handleLine = (line: string) => {
 		if (line.startsWith('DATAROW ')) {
 			rows.push(line.slice('DATAROW '.length));
 		} else if (line.startsWith('COMPLETE ')) {
@@ -109,7 +109,7 @@
 		} else if (line.startsWith('READY ')) {
 			finishAnswer(line);
 		} else {
-			abandon('a line that is not understood');
+			failAndReset('a line that is not understood');
 		}
 	};
 
@@ -139,12 +139,12 @@
 			return parseStatusRow(answer.rows[0] ?? '') ?? throwUnexpectedAnswer(address, req.command.kind);
 		},
 		cut() {
-			abandon('cut by this host');
+			failAndReset('cut by this host');
 		},
 		close() {
 			fail('closed by this host');
 			socket.end('TERMINATE\r\n');
-			// An endpoint that never answers the end must not keep the descriptor.
+			// An endpoint that never closes its side must not keep the file descriptor open.
 			socket.setTimeout(CLOSE_TIMEOUT_MS, () => socket.resetAndDestroy());
 		},
 		onClose(listener) {
@@ -171,13 +171,13 @@
 		socket.on('data', (chunk: string) => {
 			const lines = reader.push(chunk);
 			if (!lines) {
-				abandon('a line over the limit');
+				failAndReset('a line over the limit');
 				return;
 			}
 
 			for (const line of lines) {
 				if (opened) {
-					takeLine(line);
+					handleLine(line);
 				} else {
 					open(line);
 				}
@@ -196,7 +196,7 @@
 	});
 }
 
-/** How long a closed link may take to end, in milliseconds; as long as endpoints themselves wait for a silent end. */
+/** How long a closed link may take to end, in milliseconds; endpoints wait as long for a peer that does not respond. */
 const CLOSE_TIMEOUT_MS = 3000;
 
 function parseError(line: string): AnswerEnd {
--- a/tests/platform/boot-settings-tests.ts
+++ b/tests/platform/boot-settings-tests.ts
@@ -16,7 +16,7 @@
 `;
 
 describe('boot settings', () => {
-	it('reads what the platform writes and passes over what it does not know', () => {
+	it('parses the fields that the platform writes and ignores unknown ones', () => {
 		expect(parseBootSettings(GOOD)).to.deep.equal({
 			hostName: 'front-a-1',
 			availabilityZone: 'hall-a',
@@ -31,12 +31,12 @@
 		});
 	});
 
-	it('bounds the time of a revoked key only where revocation is strict', () => {
+	it('takes the bound on revocation only if bounds.revokeStrict is true', () => {
 		expect(parseBootSettings(`${GOOD}bounds.revokeStrict=true\nbounds.revokeMs=5000\n`).revokeWithinMs).to.equal(5000);
 		expect(parseBootSettings(`${GOOD}bounds.revokeStrict=false\nbounds.revokeMs=5000\n`).revokeWithinMs).to.equal(undefined);
 	});
 
-	it('links proxies on the first free port where no control address is given', () => {
+	it('takes the first port of the range as the peer port if no control address is given', () => {
 		expect(parseBootSettings(GOOD.replace(/listen\.control=.*\n/v, '')).peerAddress).to.equal('10.1.0.8:7440');
 	});
 
@@ -46,11 +46,11 @@
 		});
 	}
 
-	doTest('names a field that is missing', text => text.replace(/zone=.*\n/v, ''), /zone is wrong/v);
-	doTest('names an address that is none', text => text.replace('10.1.0.8:8784', 'localhost'), /listen\.front is wrong: must be ip:port/v);
-	doTest('names a figure that is none', text => text.replace('graceS=6', 'graceS=soon'), /bounds\.graceS is wrong/v);
-	doTest('names a line that is none', text => `${text}nonsense\n`, /no name and value: nonsense/v);
-	doTest('names every field that is wrong at once', text => text.replace(/zone=.*\n/v, '').replace('graceS=6', 'graceS=0'), /zone is wrong.*; bounds\.graceS is wrong/v);
-	doTest('names a choice that is none', text => `${text}bounds.revokeStrict=maybe\n`, /bounds\.revokeStrict is wrong: must be true or false/v);
-	doTest('refuses an empty file', () => '', /nodeName is wrong/v);
+	doTest('names a missing field', text => text.replace(/zone=.*\n/v, ''), /zone is wrong/v);
+	doTest('names an invalid address', text => text.replace('10.1.0.8:8784', 'localhost'), /listen\.front is wrong: must be ip:port/v);
+	doTest('names an invalid number', text => text.replace('graceS=6', 'graceS=soon'), /bounds\.graceS is wrong/v);
+	doTest('quotes a line without a name and a value', text => `${text}nonsense\n`, /no name and value: nonsense/v);
+	doTest('names every invalid field at once', text => text.replace(/zone=.*\n/v, '').replace('graceS=6', 'graceS=0'), /zone is wrong.*; bounds\.graceS is wrong/v);
+	doTest('names a field with an unknown choice', text => `${text}bounds.revokeStrict=maybe\n`, /bounds\.revokeStrict is wrong: must be true or false/v);
+	doTest('rejects an empty file', () => '', /nodeName is wrong/v);
 });
--- a/tests/platform/caller-lines-tests.ts
+++ b/tests/platform/caller-lines-tests.ts
@@ -5,7 +5,7 @@
 
 describe('caller lines', () => {
 	function doTest(line: string, expected: unknown) {
-		it(`reads ${JSON.stringify(line)}`, () => {
+		it(`parses ${JSON.stringify(line)}`, () => {
 			expect(parseCallerLine(line)).to.deep.equal(expected);
 		});
 	}
@@ -36,16 +36,16 @@
 	doStatement('PARSE s1 q2c', {kind: 'malformed'});
 	doStatement('EXECUTE s1 1a4 data with blanks', {kind: 'execute', name: 's1', args: '1a4 data with blanks'});
 	doStatement('CLOSE s1', {kind: 'forget', name: 's1'});
-	// Callers may not ask for a position of their own, or for what only the proxy asks.
+	// Callers may not state a minimum log position, nor send the commands that only the proxy sends.
 	doStatement('AFTER 1.1 READ 1a4', {kind: 'malformed'});
 	doStatement('STATUS', {kind: 'malformed'});
 
-	it('writes an answer of rows', () => {
+	it('formats an answer with rows', () => {
 		const text = formatCallerAnswer(['a b', ''], {kind: 'complete', signature: '7.1'}, SessionState.Open, {term: 3, position: 12});
 		expect(text).to.equal('DATAROW a b\r\nDATAROW \r\nCOMPLETE 7.1\r\nREADY T 3.12\r\n');
 	});
 
-	it('writes a refusal', () => {
+	it('formats a refusal', () => {
 		const text = formatCallerAnswer([], {kind: 'error', code: AnswerCode.OutcomeUnknown, text: 'why'}, SessionState.Idle);
 		expect(text).to.equal('ERROR INDOUBT why\r\nREADY I -\r\n');
 	});
--- a/tests/platform/endpoint-lines-tests.ts
+++ b/tests/platform/endpoint-lines-tests.ts
@@ -4,7 +4,7 @@
 
 describe('endpoint lines', () => {
 	function doTest(expected: string, req: EndpointRequest) {
-		it(`writes ${expected}`, () => {
+		it(`formats ${expected}`, () => {
 			expect(formatRequest(req)).to.equal(`${expected}\r\n`);
 		});
 	}
@@ -24,18 +24,18 @@
 	doTest('QUERY c1 COMMIT', {id: 'c1', command: {kind: 'commit'}});
 	doTest('QUERY - ROLLBACK', {command: {kind: 'rollback'}});
 
-	it('writes the start of a session', () => {
+	it('formats the first message of a session', () => {
 		expect(formatStartup('nights', 'entry-1', 'i-7')).to.equal('STARTUP nights entry-1 i-7\r\n');
 	});
 
-	it('reads a status', () => {
+	it('parses the row of a status', () => {
 		expect(parseStatusRow('replica 3 3.1209 4 12 2 17')).to.deep.equal({
 			role: 'replica', term: 3, received: {term: 3, position: 1209}, fencedTerm: 4, lagMs: 12, busy: 2, connections: 17,
 		});
 	});
 
 	for (const row of ['', 'leader 3 3.1 0 0 0 0', 'primary 3 - 0 0 0 0']) {
-		it(`does not read ${JSON.stringify(row)}`, () => {
+		it(`returns undefined for the row ${JSON.stringify(row)}`, () => {
 			expect(parseStatusRow(row)).to.equal(undefined);
 		});
 	}
--- a/tests/platform/http-metadata-store-tests.ts
+++ b/tests/platform/http-metadata-store-tests.ts
@@ -9,8 +9,8 @@
 import {createSystemClock} from '../../src/time/system-clock.js';
 
 /*
- * Story: another program writes into the kind of the servers. One entry of it lacks its address, and the page that lists all servers cannot be
- * decoded as a whole: every host takes the store to be silent, loses its evidence after three seconds, and refuses all callers.
+ * Guards against an outage that one unreadable entry causes. Another program writes an entry without an address among the servers. If the whole
+ * page then fails to decode, every host takes the store to be silent, loses its primary leases after three seconds and refuses all callers.
  */
 
 const GOOD = {
@@ -23,7 +23,7 @@
 
 const makePage = (items: readonly unknown[]) => JSON.stringify({items, hasMore: false, storeRevision: 9});
 
-describe('the platform\'s store with entries of other writers', () => {
+describe('HTTP metadata store with entries of other writers', () => {
 	let server: Server;
 	let body = '';
 	let address = '';
@@ -54,42 +54,42 @@
 	};
 
 	function doTest(name: string, foreign: unknown) {
-		it(`${name} names no server, is said once, and hides none`, async () => {
+		it(`skips ${name}, logs it once and keeps the other servers`, async () => {
 			const {content, lines} = await listServers(makePage([makeItem('i-1', GOOD), foreign, makeItem('i-2', GOOD)]));
 			expect(content.map(({id}) => id)).to.deep.equal(['i-1', 'i-2']);
-			expect(lines.filter(line => line.includes('passed over'))).to.have.length(1);
+			expect(lines.filter(line => line.includes('is skipped'))).to.have.length(1);
 		});
 	}
 
 	doTest('an empty entry', makeItem('x', {}));
-	doTest('an entry of nothing', makeItem('x', null));
-	doTest('text', makeItem('x', 'i-9 is up'));
-	doTest('an address that is a number', makeItem('x', {...GOOD, address: 8080}));
-	doTest('an address that cannot be connected to', makeItem('x', {...GOOD, address: 'nowhere'}));
-	doTest('a capacity that is text', makeItem('x', {...GOOD, capacity: '3'}));
-	doTest('an unknown state', makeItem('x', {...GOOD, state: 'resting'}));
-	doTest('a birth that is no whole number', makeItem('x', {...GOOD, born: 17.5}));
-	doTest('a name that does not fit into a message', makeItem('i 9', GOOD));
+	doTest('a null entry', makeItem('x', null));
+	doTest('a text entry', makeItem('x', 'i-9 is up'));
+	doTest('an entry whose address is a number', makeItem('x', {...GOOD, address: 8080}));
+	doTest('an entry whose address is not ip:port', makeItem('x', {...GOOD, address: 'nowhere'}));
+	doTest('an entry whose capacity is a text', makeItem('x', {...GOOD, capacity: '3'}));
+	doTest('an entry with an unknown state', makeItem('x', {...GOOD, state: 'resting'}));
+	doTest('an entry whose start time is not a whole number', makeItem('x', {...GOOD, born: 17.5}));
+	doTest('an entry whose name contains a blank', makeItem('i 9', GOOD));
 	doTest('an item without a name', {spec: GOOD});
 
-	it('reads a page with bytes that no JSON holds', async () => {
+	it('reads a page with control characters that JSON does not allow', async () => {
 		const {content} = await listServers(makePage([makeItem('i-1', GOOD), makeItem('x', 'A')]).replace('"A"', '"\u0001\u0002"'));
 		expect(content.map(({id}) => id)).to.deep.equal(['i-1']);
 	});
 
-	it('takes each birth of a server for an endpoint of its own', async () => {
-		const lives = [];
+	it('treats each incarnation of a server as a separate endpoint', async () => {
+		const incarnations = [];
 		for (const born of [1_790_000_000_000, 1_790_000_009_000]) {
 			const {content} = await listServers(makePage([makeItem('i-1', {...GOOD, born})]));
-			lives.push(content[0]!);
+			incarnations.push(content[0]!);
 		}
 
-		expect(lives[0]!.id).to.not.equal(lives[1]!.id);
-		expect(lives.map(({server: name}) => name)).to.deep.equal(['i-1', 'i-1']);
-		expect(lives.map(({id}) => getServerId(id))).to.deep.equal(['i-1', 'i-1']);
+		expect(incarnations[0]!.id).to.not.equal(incarnations[1]!.id);
+		expect(incarnations.map(({server: name}) => name)).to.deep.equal(['i-1', 'i-1']);
+		expect(incarnations.map(({id}) => getServerId(id))).to.deep.equal(['i-1', 'i-1']);
 	});
 
-	it('never throws on, and never loses a good entry beside, any JSON at all', async () => {
+	it('never throws and keeps the valid entry whatever JSON the other entries are', async () => {
 		const fields = fc.record(Object.fromEntries(Object.keys(GOOD).map(name => [name, fc.jsonValue()])), {requiredKeys: []});
 		await fc.assert(fc.asyncProperty(fc.array(fc.oneof(fc.jsonValue(), fields), {maxLength: 5}), async specs => {
 			const foreign = specs.map((spec, i) => makeItem(`x-${i}`, spec));
@@ -98,7 +98,7 @@
 		}), {numRuns: 60, seed: 7});
 	});
 
-	it('keeps the configuration in force where the one that is stored cannot be read', async () => {
+	it('returns no routing content where the stored configuration cannot be decoded', async () => {
 		body = makePage([makeItem('main', {revision: 'new'})]);
 		const store = createHttpMetadataStore({
 			address, clock: createSystemClock(), log: createLineLog(() => undefined), onCall: () => undefined, onGeneration: () => undefined,
--- a/tests/platform/http-store-generations-tests.ts
+++ b/tests/platform/http-store-generations-tests.ts
@@ -9,7 +9,7 @@
 
 const TIMEOUT_MS = 1000;
 
-describe('the platform\'s store in its eras', () => {
+describe('HTTP metadata store across store generations', () => {
 	let front: HttpStoreFront;
 	let store: MetadataStore;
 	const generations: number[] = [];
@@ -32,7 +32,7 @@
 		front.server.close();
 	});
 
-	it('places revisions and versions by the era, and names the store\'s own in its conditions', async () => {
+	it('qualifies revisions and versions by the store generation, and sends the store\'s own versions in conditions', async () => {
 		const copy = front.takeCopy();
 		const created = await store.putRecord(RecordKind.Hosts, {name: 'entry-1', version: 0, value: {a: 1}}, TIMEOUT_MS);
 		const changed = await store.putRecord(RecordKind.Hosts, {name: 'entry-1', version: created.version, value: {a: 2}}, TIMEOUT_MS);
@@ -46,8 +46,8 @@
 		expect([...new Set(generations)]).to.deep.equal([1, 2]);
 	});
 
-	/** Guards against half a list of the store that was lost, beside half of the one that came back. */
-	it('takes no list whose pages are of two eras', async () => {
+	/** Guards against a list that mixes pages from before and after a store restore. */
+	it('rejects a list whose pages come from two store generations', async () => {
 		for (let i = 0; i < 501; i++) {
 			front.put('aldercroft-hosts', `entry-${i}`, {});
 		}
--- a/tests/platform/line-reader-tests.ts
+++ b/tests/platform/line-reader-tests.ts
@@ -3,7 +3,7 @@
 import {createLineReader} from '../../src/platform/line-reader.js';
 
 describe('line reader', () => {
-	it('reads the same lines however the stream is cut', () => {
+	it('reads the same lines however the stream is split into chunks', () => {
 		fc.assert(fc.property(fc.array(fc.string({unit: fc.constantFrom('a', 'b', ' ', '\r'), maxLength: 12}).filter(line => !line.endsWith('\r'))), fc.array(fc.nat(20)), (lines, cuts) => {
 			const reader = createLineReader();
 			let rest = lines.map(line => `${line}\r\n`).join('');
@@ -25,9 +25,9 @@
 		});
 	}
 
-	doTest('keeps half a line', ['ab', 'c\r', '\nd'], [[], [], ['abc']]);
-	doTest('takes a line of the limit', ['12345678\r\n'], [['12345678']]);
-	doTest('refuses a longer line', ['123456789\r\n'], [undefined]);
-	doTest('refuses a longer line before its end', ['12345', '678901'], [[], undefined]);
+	doTest('keeps an incomplete line until the rest arrives', ['ab', 'c\r', '\nd'], [[], [], ['abc']]);
+	doTest('accepts a line of exactly the maximum length', ['12345678\r\n'], [['12345678']]);
+	doTest('rejects a longer line', ['123456789\r\n'], [undefined]);
+	doTest('rejects a longer line before its end arrives', ['12345', '678901'], [[], undefined]);
 	doTest('keeps a lone line feed in its line', ['a\nb\r\n'], [['a\nb']]);
 });
--- a/tests/platform/programs-tests.ts
+++ b/tests/platform/programs-tests.ts
@@ -8,7 +8,7 @@
 	return lines.slice(0, count);
 }
 
-/** The built program as a process, before the stand-ins over real sockets. Nothing here is judged by time. */
+/** Runs the built program as a process against the stand-ins, over real sockets. No check depends on time. */
 describe('the proxy as a program', () => {
 	const ran: string[] = [];
 	let platform: LocalPlatform;
@@ -28,7 +28,7 @@
 		await platform.stop();
 	});
 
-	it('serves whole sessions, answers what it does not understand, and stops in order', async () => {
+	it('serves sessions, answers malformed statements with an error, and stops gracefully', async () => {
 		const proxy = await platform.startProxy('entry-1');
 		const caller = await openWireCaller(proxy.callerPort, 'roster');
 		expect(caller.greeting).to.deep.equal(['READY I -']);
@@ -47,15 +47,15 @@
 
 		const code = await proxy.end('SIGTERM');
 		expect(code).to.equal(0);
-		// The end of a process and that of its connections come in either order.
+		// The process may end before or after its connections.
 		await caller.whenClosed();
 		expect(caller.unasked).to.equal('ERROR BUSY retry-after-ms=50 the host is stopping; nothing ran');
 		expect(ran.filter(id => id === 'w1')).to.deep.equal(['w1']);
 		expect(proxy.lines.map(line => (JSON.parse(line) as {msg: string}).msg)).to.include.members(['serving', 'leaving', 'left']);
 	});
 
-	/** A caller sends half a line, a line beyond the limit, or no start of a session: its own connection ends, and nobody else's. */
-	it('ends connections that break the protocol and serves the others', async () => {
+	/** A caller sends an incomplete line, a line over the limit, or no startup message. Only its own connection may end. */
+	it('closes connections that violate the protocol and serves the others', async () => {
 		const proxy = await platform.startProxy('entry-2');
 		const good = await openWireCaller(proxy.callerPort, 'sync');
 		const long = await openWireCaller(proxy.callerPort, 'sync');
--- a/tests/platform/store-era-tests.ts
+++ b/tests/platform/store-generation-header-tests.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {PlatformError} from '../../src/object-store/platform-errors.js';
-import {getStoreGeneration} from '../../src/platform/store-era.js';
+import {getStoreGeneration} from '../../src/platform/store-generation-header.js';
 
-describe('the store\'s era', () => {
+describe('store generation header', () => {
 	function doTest(header: string | undefined, expected: number) {
-		it(`is ${expected} by the header ${JSON.stringify(header)}`, () => {
+		it(`states generation ${expected} if it is ${JSON.stringify(header)}`, () => {
 			expect(getStoreGeneration('list', {'store-era': header})).to.equal(expected);
 		});
 	}
@@ -14,7 +14,7 @@
 	doTest('7', 7);
 
 	function doFailureTest(header: string) {
-		it(`makes an answer unusable with the header ${JSON.stringify(header)}`, () => {
+		it(`is rejected with PlatformError if it is ${JSON.stringify(header)}`, () => {
 			expect(() => getStoreGeneration('list', {'store-era': header})).to.throw(PlatformError);
 		});
 	}
--- a/tests/platform/tcp-caller-channel-tests.ts
+++ b/tests/platform/tcp-caller-channel-tests.ts
@@ -8,7 +8,7 @@
 import {STOPPING} from '../../src/gateway/stop-answers.js';
 import {createTcpCallerChannel} from '../../src/platform/tcp-caller-channel.js';
 
-describe('a caller\'s connection', () => {
+describe('TCP caller channel', () => {
 	let server: Server;
 	let caller: Socket;
 	let channel: CallerChannel;
@@ -27,7 +27,7 @@
 		server.close();
 	});
 
-	it('gives requests out one by one, however they were cut', async () => {
+	it('returns requests one by one, however the stream is split into chunks', async () => {
 		caller.write('STARTUP nights u1\r\nQUERY a RE');
 		expect(await channel.next()).to.deep.equal({kind: 'open', database: 'nights', key: 'u1'});
 		caller.write('AD x\r\nTERMINATE\r\n');
@@ -36,10 +36,10 @@
 	});
 
 	/**
-	 * A host is stopped and ends an idle session. The caller's next statement crosses that end: it can get no answer any more.
-	 * Run all the same, a write would take effect that its caller sends again elsewhere.
+	 * A host stops and ends an idle session while the caller's next statement is on its way. That statement can get no answer any more.
+	 * If it ran, a write would take effect that its caller then sends again to another host.
 	 */
-	it('gives out no request that crosses its end', async () => {
+	it('returns no request that arrives after the channel is closed', async () => {
 		const next = channel.next();
 		channel.close();
 		caller.write('QUERY a WRITE x 1\r\n');
@@ -48,21 +48,21 @@
 	});
 
 	/**
-	 * A host is stopped and ends an idle session while a statement of it is unread in the socket. Closed by the host, the connection ended without an answer.
-	 * Told first, the caller has an error and then, once its statement was read, the state that makes it a whole answer.
+	 * A host stops and ends an idle session while a statement of it is unread in the socket. If the host only closes the connection, the statement gets no
+	 * answer. A graceful close sends the error first and, once the statement is read, the session state that completes the answer.
 	 */
-	it('answers a request that was on its way when the session\'s end was told', async () => {
+	it('answers a request that was on its way when the graceful close began', async () => {
 		const closing = createGracefulClose(channel, STOPPING, false);
 		caller.write('QUERY a WRITE x 1\r\n');
 		const req = await channel.next();
-		const told = req?.kind === 'statement' && closing.refuse(req.statement);
+		const refusal = req?.kind === 'statement' && closing.refuse(req.statement);
 		channel.close();
 		const chunks = await caller.setEncoding('latin1').toArray() as string[];
 		const line = `ERROR BUSY ${STOPPING.end.text}\r\n`;
-		expect([told, chunks.join('')]).to.deep.equal([STOPPING, `${line}READY I -\r\n${line}`]);
+		expect([refusal, chunks.join('')]).to.deep.equal([STOPPING, `${line}READY I -\r\n${line}`]);
 	});
 
-	it('keeps the bytes of data as they are', async () => {
+	it('preserves the bytes of statements', async () => {
 		caller.write(Uint8Array.from([...[...'QUERY a WRITE x '].map(letter => letter.codePointAt(0)!), 0xC3, 0xA9, 0xFF, 13, 10]));
 		const req = await channel.next();
 		expect(req).to.deep.equal({kind: 'statement', id: 'a', statement: {kind: 'run', access: 'write', text: 'WRITE x \u00C3\u00A9\u00FF'}});
--- a/tests/platform/workspace-schema-tests.ts
+++ b/tests/platform/workspace-schema-tests.ts
@@ -13,14 +13,14 @@
 }
 
 describe('the workspaces of a configuration', () => {
-	it('are decoded', () => {
+	it('are decoded by name', () => {
 		expect([...decode([GOOD]).workspaces.values()]).to.deep.equal([{
 			name: 'north', keys: ['k1', 'k2'], priority: 1, limit: {ratePerSecond: 122, burst: 60},
 		}]);
 	});
 
 	function doTest(name: string, entry: unknown, isUsable: boolean) {
-		it(`${isUsable ? 'take' : 'leave out'} ${name}, and keep the others`, () => {
+		it(`${isUsable ? 'include' : 'omit'} ${name}, and keep the others`, () => {
 			const {names, unusable} = decode([entry, {...GOOD, name: 'other'}]);
 			expect(names).to.deep.equal(isUsable ? ['north', 'other'] : ['other']);
 			expect(unusable).to.have.length(isUsable ? 0 : 1);
@@ -28,24 +28,24 @@
 	}
 
 	doTest('one without a rate', {...GOOD, ratePerS: undefined, burst: undefined}, true);
-	doTest('a rate of nothing', {...GOOD, ratePerS: 0, burst: 0}, true);
-	doTest('a rate that is no whole number', {...GOOD, ratePerS: 0.5}, true);
+	doTest('a rate of zero', {...GOOD, ratePerS: 0, burst: 0}, true);
+	doTest('a fractional rate', {...GOOD, ratePerS: 0.5}, true);
 	doTest('one without keys', {...GOOD, apiKeys: []}, true);
 	doTest('a negative rate', {...GOOD, ratePerS: -1}, false);
-	doTest('a rate that is none', {...GOOD, ratePerS: 'many'}, false);
+	doTest('a rate that is not a number', {...GOOD, ratePerS: 'many'}, false);
 	doTest('a key with a blank', {...GOOD, apiKeys: ['k 1']}, false);
 	doTest('an empty key', {...GOOD, apiKeys: ['']}, false);
 	doTest('a name with a blank', {...GOOD, name: 'north south'}, false);
 	doTest('one without a name', {...GOOD, name: undefined}, false);
-	doTest('what is no object', 'north', false);
+	doTest('an entry that is not an object', 'north', false);
 
-	it('take the first of two of one name', () => {
+	it('include only the first of two with the same name', () => {
 		const {workspaces, unusable} = decode([GOOD, {...GOOD, apiKeys: ['k3']}]);
 		expect(workspaces.get('north')?.keys).to.deep.equal(['k1', 'k2']);
 		expect(unusable).to.have.length(1);
 	});
 
-	it('show no keys where they are left out', () => {
+	it('are reported without their keys when they are omitted', () => {
 		expect(JSON.stringify(decode([{...GOOD, ratePerS: -1}]).unusable)).to.not.match(/k1|k2/v);
 	});
 
@@ -60,9 +60,9 @@
 		});
 	}
 
-	doRouteTest('need no key on routes of a configuration that has none', undefined, undefined, false);
-	doRouteTest('need a key on routes that do not say otherwise', [GOOD], undefined, true);
-	doRouteTest('need a key on closed routes', [GOOD], false, true);
-	doRouteTest('need no key on open routes', [GOOD], true, false);
-	doRouteTest('need a key though none of them can be read', [{}], false, true);
+	doRouteTest('require no key on any route if the configuration has none', undefined, undefined, false);
+	doRouteTest('require a key on routes by default', [GOOD], undefined, true);
+	doRouteTest('require a key on routes that do not allow anonymous callers', [GOOD], false, true);
+	doRouteTest('require no key on routes that allow anonymous callers', [GOOD], true, false);
+	doRouteTest('require a key even if no workspace can be decoded', [{}], false, true);
 });
