--- a/src/daemon/common-parts.ts
+++ b/src/daemon/common-dependencies.ts
@@ -1,7 +1,7 @@
 import type {Kernel} from '../kernel/kernel.js';
 
-/** The parts that nearly every service is made with. */
-export function getCommonParts(kernel: Kernel) {
+/** Returns the dependencies that nearly every service needs. */
+export function getCommonDependencies(kernel: Kernel) {
 	return {
 		clock: kernel.getOrThrow('clock'),
 		random: kernel.getOrThrow('random'),
--- a/src/daemon/create-daemon.ts
+++ b/src/daemon/create-daemon.ts
@@ -11,8 +11,8 @@
 import type {Clock} from '../time/clock.js';
 import {withinMs} from '../time/deadline.js';
 
-/** The daemon's outside: everything that a test or a bench may replace. */
-export type DaemonParts = {
+/** The external dependencies of the daemon: everything that a test or a bench may replace. */
+export type DaemonDependencies = {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly settings: Settings;
@@ -23,28 +23,28 @@
 	readonly endpoints: Endpoints;
 };
 
-/** What the daemon is made from. */
+/** Options of the daemon. */
 export type DaemonOptions = {
-	readonly parts: DaemonParts;
-	/** Registers the inside on a kernel that holds the parts; among it `configuration`, `explanations` and `entry`. */
+	readonly dependencies: DaemonDependencies;
+	/** Registers the daemon's own services on a kernel that holds the dependencies. These include `configuration`, `explanations` and `entry`. */
 	readonly registerServices: (kernel: Kernel) => void;
-	/** How many transactions this host holds open; a stop waits for them. */
+	/** Returns how many transactions are open at this host; a graceful stop waits for them. */
 	readonly countOpenTransactions?: (kernel: Kernel) => number;
 };
 
-/** One proxy: its services, and how they begin and end together. */
+/** One proxy process: its services, which start and stop together. */
 export type Daemon = {
 	readonly kernel: Kernel;
-	/** Starts the services in order; rejects with the error of the first that cannot start. */
+	/** Starts the services in order of registration; rejects with the error of the first one that cannot start. */
 	start(): Promise<void>;
 	/**
-	 * Stops gracefully within the setting `shutdownMs`: no longer ready, new work refused, groups handed on, work in flight ended,
-	 * services stopped in reverse. Never rejects; what did not end in time is logged.
+	 * Stops gracefully within the setting `shutdownMs`: the daemon is no longer ready, refuses new work, hands its groups to other hosts, drains the work
+	 * in flight and stops the services in reverse order. Never rejects; logs if the services did not stop in time.
 	 */
 	stop(): Promise<void>;
 };
 
-/** Where the daemon stands between start and stop. */
+/** The phases of a daemon. */
 const DaemonPhase = {
 	Starting: 'starting',
 	Serving: 'serving',
@@ -53,17 +53,17 @@
 
 type DaemonPhase = typeof DaemonPhase[keyof typeof DaemonPhase];
 
-/** Share of the bound on a stop in which work in flight may end; the rest is for the services' own ends. */
+/** The share of the time for a graceful stop in which work in flight may complete; the rest is for stopping the services. */
 const DRAIN_SHARE = 0.8;
 
-/** Assembles a daemon; nothing runs before it is started. */
+/** Creates a daemon; nothing runs before it is started. */
 export function createDaemon(options: DaemonOptions): Daemon {
-	const {parts: {clock, settings, log}} = options;
+	const {dependencies: {clock, settings, log}} = options;
 	const kernel = createKernel();
 	let phase: DaemonPhase = DaemonPhase.Starting;
 
-	registerParts(kernel, options.parts);
-	// The operator port comes before the inside, so that it tells the balancer of a start and of a stop as long as they last.
+	registerDependencies(kernel, options.dependencies);
+	// The operator port starts before the other services and stops after them, so that it reports the phase to the balancer during all of a start and a stop.
 	registerOperators(kernel, () => getReadiness(kernel, phase));
 	options.registerServices(kernel);
 	registerCallers(kernel, options);
@@ -72,7 +72,7 @@
 		const drainMs = settings.shutdownMs * DRAIN_SHARE;
 		const until = clock.now() + drainMs;
 		const callers = kernel.getOrThrow('callers');
-		// Callers that the balancer still sends here get an answer; a closed port would look like a failure.
+		// The port stays open for a while: callers that the balancer still sends here get an answer, while a closed port would look like a failure.
 		const notice = clock.sleep(Math.min(settings.leaveNoticeMs, drainMs));
 		await Promise.all([
 			notice,
@@ -80,7 +80,7 @@
 			kernel.get('owners')?.leave(drainMs),
 		]);
 
-		// A transaction that was being opened for another proxy's caller may have opened last of all.
+		// A transaction that was being opened for another proxy's caller may have opened after the first drain was done.
 		if (clock.now() < until) {
 			await callers.drain(until - clock.now());
 		}
@@ -114,15 +114,15 @@
 	};
 }
 
-function registerParts(kernel: Kernel, parts: DaemonParts): void {
-	kernel.register('clock', parts.clock);
-	kernel.register('random', parts.random);
-	kernel.register('settings', parts.settings);
-	kernel.register('log', parts.log);
-	kernel.register('metrics', parts.metrics);
-	kernel.register('platform', parts.platform);
-	kernel.register('peers', parts.peers);
-	kernel.register('endpoints', parts.endpoints);
+function registerDependencies(kernel: Kernel, dependencies: DaemonDependencies): void {
+	kernel.register('clock', dependencies.clock);
+	kernel.register('random', dependencies.random);
+	kernel.register('settings', dependencies.settings);
+	kernel.register('log', dependencies.log);
+	kernel.register('metrics', dependencies.metrics);
+	kernel.register('platform', dependencies.platform);
+	kernel.register('peers', dependencies.peers);
+	kernel.register('endpoints', dependencies.endpoints);
 }
 
 function registerOperators(kernel: Kernel, getReadinessNow: () => Readiness): void {
@@ -155,7 +155,7 @@
 	}));
 }
 
-/** A host without the configuration would refuse every caller that the balancer sends. */
+/** Returns whether the balancer may send callers. Without a configuration the host would refuse every one of them. */
 function getReadiness(kernel: Kernel, phase: DaemonPhase): Readiness {
 	if (phase !== DaemonPhase.Serving) {
 		return {ready: false, reason: phase};
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -8,12 +8,12 @@
 import {createSystemRandom} from '../random/system-random.js';
 import type {Settings} from '../settings/settings.js';
 import {createSystemClock} from '../time/system-clock.js';
-import type {DaemonParts} from './create-daemon.js';
+import type {DaemonDependencies} from './create-daemon.js';
 import {registerServices} from './register-services.js';
 import {runDaemon} from './run-daemon.js';
 
-/** The daemon `aldercroftd`, with its real outside. */
-function createParts(settings: Settings): DaemonParts {
+/** Creates the dependencies of `aldercroftd` as they are in production. */
+function createDependencies(settings: Settings): DaemonDependencies {
 	const clock = createSystemClock();
 	const random = createSystemRandom();
 	const log = createBunyanLog({
@@ -24,7 +24,7 @@
 		random,
 		settings,
 		log,
-		metrics: createPromMetrics({processFigures: true}),
+		metrics: createPromMetrics({processMetrics: true}),
 		platform: createHttpPlatform({baseUrl: settings.platformUrl, clock}),
 		peers: createWsPeers({
 			hostAddress: settings.hostAddress, peerPort: settings.peerPort, peerKeys: settings.peerKeys, clock, random, log,
@@ -41,7 +41,7 @@
 	output: process.stdout,
 	errors: process.stderr,
 	events: process,
-	createParts,
+	createDependencies,
 	registerServices,
 	countOpenTransactions: kernel => kernel.getOrThrow('transactions').getOpenCount(),
 });
--- a/src/daemon/register-entry.ts
+++ b/src/daemon/register-entry.ts
@@ -9,35 +9,35 @@
 import {createRecentSessions} from '../sessions/recent-sessions.js';
 import {createSignedSessions} from '../sessions/signed-sessions.js';
 import {createTransactionEntry} from '../transactions/create-transaction-entry.js';
-import {getCommonParts} from './common-parts.js';
+import {getCommonDependencies} from './common-dependencies.js';
 
-/** Registers the way of a caller's request: sessions, explanations and the entry. */
+/** Registers the services that handle a caller's request: sessions, explanations and the entry. */
 export function registerEntry(kernel: Kernel): void {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const {signingKeys} = kernel.getOrThrow('settings');
 	const hosts = kernel.getOrThrow('hosts');
 	const peers = kernel.getOrThrow('peers');
 	const sessions = createSignedSessions({keys: signingKeys, random: common.random});
-	const sightings = createRecentSessions();
+	const recentSessions = createRecentSessions();
 	const explanations = createExplanations({
 		...common, platform: kernel.getOrThrow('platform'), peers, hosts, signingKeys,
 	});
 	kernel.register('sessions', sessions);
-	kernel.register('recentSessions', sightings);
+	kernel.register('recentSessions', recentSessions);
 	kernel.register('explanations', explanations);
 
 	const ownerClient = createOwnerClient({
 		clock: common.clock, hosts, peers, owners: kernel.getOrThrow('owners'), transactions: kernel.getOrThrow('transactions'),
 	});
 	const retries = createRetries();
-	const asker = createRequestReceiver({...common, configuration: kernel.getOrThrow('configuration'), sessions});
+	const receiver = createRequestReceiver({...common, configuration: kernel.getOrThrow('configuration'), sessions});
 	const answers = createEntryAnswers({
 		...common,
 		hosts,
 		sessions,
 		explanations,
 		onAnswer({session, group, requestId}) {
-			sightings.note({
+			recentSessions.note({
 				session, group, requestId, at: common.clock.wall(),
 			});
 		},
@@ -59,10 +59,10 @@
 	});
 	kernel.register('entry', {
 		...createEntry({
-			receiver: asker, answers, tries, ownerClient, retries,
+			receiver, answers, tries, ownerClient, retries,
 		}),
 		...createTransactionEntry({
-			asker, answers, tries, ownerClient, hosts,
+			asker: receiver, answers, tries, ownerClient, hosts,
 		}),
 	});
 }
--- a/src/daemon/register-operators.ts
+++ b/src/daemon/register-operators.ts
@@ -8,7 +8,7 @@
 import {createOperatorAccess} from '../operators/create-operator-access.js';
 import {createOperatorCommands} from '../operators/create-operator-commands.js';
 import {ObjectKind} from '../object-store/platform.js';
-import {getCommonParts} from './common-parts.js';
+import {getCommonDependencies} from './common-dependencies.js';
 
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
@@ -16,11 +16,11 @@
 	}
 }
 
-/** Registers what makes changes in the platform; an accepted one goes from here to peers, also where every watch is dead. */
+/** Registers the service that writes changes to the platform. It offers each object that it sees to the configuration, so that changes also reach peers when every watch is dead. */
 export function registerChanges(kernel: Kernel): void {
 	const configuration = kernel.getOrThrow('configuration');
 	kernel.register('changes', createChanges({
-		...getCommonParts(kernel),
+		...getCommonDependencies(kernel),
 		platform: kernel.getOrThrow('platform'),
 		onSeen(object) {
 			const {entry} = object.kind === ObjectKind.Group ? checkStoredGroup(object) : {};
@@ -31,9 +31,9 @@
 	}));
 }
 
-/** Registers the operators' side: who may come in, what they see, what they command. */
+/** Registers the services for operators: access control, the view of the fleet and the commands. */
 export function registerOperators(kernel: Kernel): void {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const platform = kernel.getOrThrow('platform');
 	const configuration = kernel.getOrThrow('configuration');
 	const {bootstrapTokenHash} = kernel.getOrThrow('settings');
--- a/src/daemon/register-owners.ts
+++ b/src/daemon/register-owners.ts
@@ -11,11 +11,11 @@
 import {createOwners} from '../owners/create-owners.js';
 import {createRequestId} from '../random/request-id.js';
 import {createTransactions} from '../transactions/create-transactions.js';
-import {getCommonParts} from './common-parts.js';
+import {getCommonDependencies} from './common-dependencies.js';
 
-/** Registers what looks after groups on this host: owners with their failover, and open transactions. */
+/** Registers the services that manage groups on this host: the owners with their failover, and the open transactions. */
 export function registerOwners(kernel: Kernel): void {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const peers = kernel.getOrThrow('peers');
 	const owners = createOwners({
 		...common,
@@ -33,7 +33,7 @@
 }
 
 function createGroupOwnerFactory(kernel: Kernel): (group: string) => GroupOwner {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const {clock, random} = common;
 	const configuration = kernel.getOrThrow('configuration');
 	const hosts = kernel.getOrThrow('hosts');
@@ -54,7 +54,7 @@
 }
 
 function createFailoverFactory(kernel: Kernel): (context: GroupFailoverContext) => GroupFailover {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const hooks = kernel.get('failoverHooks');
 	const settings = {...DEFAULT_FAILOVER_SETTINGS, ...hooks?.settings};
 	const failoverPeers = createFailoverPeers({
@@ -79,13 +79,13 @@
 	};
 }
 
-/** Puts a promotion into the audit trail and the metrics; nothing waits for it. */
+/** Records a promotion in the metrics and the audit trail; no caller waits for it. */
 async function notePromotion(kernel: Kernel, promotion: Promotion): Promise<void> {
-	const {clock, random, log} = getCommonParts(kernel);
+	const {clock, random, log} = getCommonDependencies(kernel);
 	const {detectMs, claimMs, fenceMs, promoteMs, learnMs} = promotion.parts;
 	kernel.get('metrics')?.observeFailover(promotion.group, (detectMs + claimMs + fenceMs + promoteMs + learnMs) / 1000);
 	const answer = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionNote(promotion), {
 		who: `failover ${kernel.getOrThrow('hosts').self.name}`, changeId: createRequestId(clock.wall(), random),
 	});
-	log.part('audit: ').info('a promotion went into the trail', {group: promotion.group, term: promotion.term, result: answer.result});
+	log.part('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: answer.result});
 }
--- a/src/daemon/register-services.ts
+++ b/src/daemon/register-services.ts
@@ -6,20 +6,20 @@
 import {createHosts} from '../membership/create-hosts.js';
 import {createOwning} from '../membership/create-owning.js';
 import type {PlatformHost} from '../object-store/platform.js';
-import {getCommonParts} from './common-parts.js';
+import {getCommonDependencies} from './common-dependencies.js';
 import {registerEntry} from './register-entry.js';
 import {registerChanges, registerOperators} from './register-operators.js';
 import {registerOwners} from './register-owners.js';
 
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
-		/** The task that takes the configuration from the store; reached only through the kernel's life cycle. */
+		/** The task that reads the configuration from the store; only the kernel uses it, to start and stop it. */
 		configurationWatch: Service;
 	}
 }
 
 /**
- * Registers the inside of a proxy, in order of start, on a kernel that holds its outside: `clock`, `random`, `log`,
+ * Registers a proxy's own services, in order of start, on a kernel that holds its dependencies: `clock`, `random`, `log`,
  * `settings`, `platform`, `peers`, `endpoints` and, in a daemon, `metrics`.
  */
 export function registerServices(kernel: Kernel): void {
@@ -40,7 +40,7 @@
 		availabilityZone: settings.availabilityZone,
 		state: 'live',
 	};
-	const hosts = createHosts({self, ...getCommonParts(kernel), platform: kernel.getOrThrow('platform')});
+	const hosts = createHosts({self, ...getCommonDependencies(kernel), platform: kernel.getOrThrow('platform')});
 	kernel.register('hosts', hosts);
 	kernel.register('owning', createOwning({
 		hosts,
@@ -49,7 +49,7 @@
 }
 
 function registerConfiguration(kernel: Kernel): void {
-	const common = getCommonParts(kernel);
+	const common = getCommonDependencies(kernel);
 	const configuration = createConfiguration({log: common.log});
 	kernel.register('configuration', configuration);
 	kernel.register('configurationWatch', createConfigurationWatch({
--- a/src/daemon/run-daemon.ts
+++ b/src/daemon/run-daemon.ts
@@ -5,45 +5,45 @@
 import {SETTING_DEFINITIONS} from '../settings/settings-schema.js';
 import type {Settings} from '../settings/settings.js';
 import {
-	createDaemon, type Daemon, type DaemonOptions, type DaemonParts,
+	createDaemon, type Daemon, type DaemonOptions, type DaemonDependencies,
 } from './create-daemon.js';
 
 /** Exit codes of the daemon. */
 export const DaemonExitCode = {
-	/** It was asked to stop, and did. */
+	/** The daemon was asked to stop, and stopped. */
 	Ok: 0,
-	/** It could not start, or met an error that nothing caught. */
+	/** The daemon could not start, or an error was not caught. */
 	Failed: 1,
-	/** A setting is wrong. */
+	/** A setting is invalid. */
 	BadSettings: 2,
 } as const;
 
 /** One of the codes in {@link DaemonExitCode}. */
 export type DaemonExitCode = typeof DaemonExitCode[keyof typeof DaemonExitCode];
 
-/** What running the daemon needs of its process. */
-export type RunDaemonOptions = Omit<DaemonOptions, 'parts'> & {
-	/** The command line without the program. */
+/** Options for running the daemon: the daemon's own, and what it uses of its process. */
+export type RunDaemonOptions = Omit<DaemonOptions, 'dependencies'> & {
+	/** The arguments of the command line, without the program. */
 	readonly args: readonly string[];
 	readonly env: Readonly<Record<string, string | undefined>>;
 	readonly output: NodeJS.WritableStream;
 	readonly errors: NodeJS.WritableStream;
 	/** Emits `SIGTERM`, `SIGINT` and `uncaughtException`, as the process does. */
 	readonly events: ProcessEvents;
-	/** Creates the outside from the settings. */
-	readonly createParts: (settings: Settings) => DaemonParts;
+	/** Creates the daemon's dependencies from the settings. */
+	readonly createDependencies: (settings: Settings) => DaemonDependencies;
 };
 
-/** Where the daemon hears of its process. */
+/** Emits the events of the process. */
 export type ProcessEvents = {
 	on(event: string, listener: (detail: unknown) => void): unknown;
 };
 
 const VERSION = '0.1.0';
 
-/** Runs the daemon until it is asked to stop or fails; resolves with its exit code, upon which the process is to end. */
+/** Runs the daemon until it is asked to stop or fails. Resolves with the exit code; the caller then exits the process. */
 export async function runDaemon(options: RunDaemonOptions): Promise<DaemonExitCode> {
-	const {args, output, errors, events, createParts} = options;
+	const {args, output, errors, events, createDependencies: createParts} = options;
 	if (args.includes('--help') || args.includes('-h')) {
 		output.write(`${await getUsage()}\n`);
 		return DaemonExitCode.Ok;
@@ -68,16 +68,16 @@
 
 	const parts = createParts(settings);
 	const uncaught = waitForUncaught(events, parts.log);
-	const served = serve(createDaemon({...options, parts}), events, parts.log);
+	const served = serve(createDaemon({...options, dependencies: parts}), events, parts.log);
 	return Promise.race([uncaught, served]);
 }
 
 async function serve(daemon: Daemon, events: ProcessEvents, log: Log): Promise<DaemonExitCode> {
 	const signal = waitForSignal(events);
 	try {
-		// A start that hangs must not outlast the order to stop.
-		const first = await Promise.race([signal, daemon.start()]);
-		log.info(first ? 'stopped before it had started' : 'serving', {signal: first});
+		// A start that hangs must not delay the stop that a signal asks for.
+		const startSignal = await Promise.race([signal, daemon.start()]);
+		log.info(startSignal ? 'stopped before it had started' : 'serving', {signal: startSignal});
 	} catch (err) {
 		log.error('could not start', {err});
 		await daemon.stop();
@@ -92,7 +92,7 @@
 
 async function waitForSignal(events: ProcessEvents): Promise<string> {
 	return new Promise(resolve => {
-		// Listened to for good: without a listener the second signal would end the process in the middle of the stop.
+		// The listeners are never removed: without them a second signal would end the process in the middle of the stop.
 		for (const signal of ['SIGTERM', 'SIGINT']) {
 			events.on(signal, () => {
 				resolve(signal);
@@ -113,8 +113,8 @@
 async function getUsage(): Promise<string> {
 	const args = Object.entries(SETTING_DEFINITIONS).map(([key, definition]) => {
 		const name = key as keyof Settings;
-		const standing = definition.default === undefined ? 'must be given' : `default ${definition.default}`;
-		const description = `${definition.description} (${definition.unit}, ${standing}; or ${getVariableName(name)})`;
+		const requirement = definition.default === undefined ? 'must be given' : `default ${definition.default}`;
+		const description = `${definition.description} (${definition.unit}, ${requirement}; or ${getVariableName(name)})`;
 		return [getFlagName(name), {type: 'string' as const, description}] as const;
 	});
 	return renderUsage(defineCommand({
--- a/src/metrics/prom-metrics.ts
+++ b/src/metrics/prom-metrics.ts
@@ -3,20 +3,20 @@
 } from 'prom-client';
 import type {Metrics} from './metrics.js';
 
-/** Upper bounds of the buckets for times within one request, in seconds. */
+/** Upper bounds of the histogram buckets for times within one request, in seconds. */
 const REQUEST_BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60];
 
-/** Upper bounds of the buckets for failovers, in seconds. */
+/** Upper bounds of the histogram buckets for failovers, in seconds. */
 const FAILOVER_BUCKETS = [0.25, 0.5, 1, 1.5, 2, 3, 4, 5, 6, 7, 8, 9, 12, 20, 60];
 
-/** What the metrics need. */
+/** Options of the metrics. */
 export type PromMetricsOptions = {
-	/** Adds the process's own figures (CPU, memory, event loop); off in tests, where they would keep timers. */
-	readonly processFigures?: boolean;
+	/** Whether to add metrics of the process itself (CPU, memory, event loop). Tests leave them off, since they keep timers running. */
+	readonly processMetrics?: boolean;
 };
 
-/** Creates metrics with a registry of their own, so that several daemons fit in one process. */
-export function createPromMetrics({processFigures = false}: PromMetricsOptions = {}): Metrics {
+/** Creates metrics with their own registry, so that several daemons can run in one process. */
+export function createPromMetrics({processMetrics: processFigures = false}: PromMetricsOptions = {}): Metrics {
 	const registry = new Registry();
 	const registers = [registry];
 	if (processFigures) {
--- a/tests/daemon/create-daemon-tests.ts
+++ b/tests/daemon/create-daemon-tests.ts
@@ -35,8 +35,8 @@
 		expect(command).to.deep.equal([200, {status: 'ok', text: 'show hosts', data: null}]);
 	});
 
-	// A host starts while the platform is down. Were it called ready, the balancer would send it callers that it can only refuse.
-	it('is ready only between its start, with a configuration, and its stop', async () => {
+	// A host starts while the platform is down. If it reported itself as ready, the balancer would send it callers that it can only refuse.
+	it('is ready only once it has started and has a configuration, until it stops', async () => {
 		stub.behaviour.loaded = false;
 		stub.behaviour.start = async () => {
 			expect(await askReady()).to.deep.equal([503, {ready: false, reason: 'starting'}]);
@@ -51,8 +51,8 @@
 		await stub.clock.runUntil(stopping);
 	});
 
-	// A host is replaced with a read at the database, a filing's transaction open, and a balancer that has not noticed yet.
-	it('stops in order: new work refused, work in flight ended, then the services in reverse', async () => {
+	// A host stops while a read is in flight at the database and a transaction is open, and before the balancer has noticed.
+	it('stops gracefully: refuses new work, drains work in flight, then stops the services in reverse order', async () => {
 		await daemon.start();
 		let finish!: (answer: CallerAnswer) => void;
 		stub.behaviour.execute = async () => new Promise(resolve => {
@@ -82,7 +82,7 @@
 		expect(stub.events).to.deep.equal(['inside starts', 'reading', 'inside stops', 'platform stops']);
 	});
 
-	it('goes on telling callers to come back until the balancer has had time to notice', async () => {
+	it('keeps answering callers with 503 until the balancer has had time to notice', async () => {
 		await daemon.start();
 		const stopping = daemon.stop();
 		await stub.clock.advance(1999);
@@ -92,9 +92,8 @@
 		await stub.clock.runUntil(stopping);
 	});
 
-	// Other proxies send their callers' requests to this host, which looks after groups. Were its services stopped first,
-	// those requests would be cut.
-	it('hands its groups on before any service stops', async () => {
+	// Other proxies send their callers' requests to this host, which owns groups. If its services stopped first, those requests would be aborted.
+	it('hands its groups to other hosts before any service stops', async () => {
 		const handingOn = createDaemon({
 			...stub,
 			registerServices(kernel) {
@@ -112,8 +111,8 @@
 		expect(stub.events).to.deep.equal(['inside starts', 'handed on within 8000 ms', 'inside stops', 'platform stops']);
 	});
 
-	// A read takes longer than the host may go on. Its caller is told so before the services end, and the process with them.
-	it('answers what has not ended within its share of the bound', async () => {
+	// A read takes longer than the host may keep running. Its caller gets an answer before the services stop and the process ends.
+	it('answers requests that do not complete within the drain share of the stop time', async () => {
 		await daemon.start();
 		stub.behaviour.execute = async () => new Promise(() => {
 			stub.events.push('reading');
@@ -134,9 +133,9 @@
 		]);
 	});
 
-	// A host is told to stop while a service still starts, and that service gets there in the middle of the stop. Were the
-	// start to go on, the port for callers would open at a host whose process is about to end, which cuts whoever comes.
-	it('opens no port to callers once it was told to stop', async () => {
+	// A host is asked to stop while a service is still starting, and the start of that service completes during the stop. If the remaining services
+	// started, the port for callers would open in a process that is about to end, and callers that connect would be disconnected.
+	it('does not open the port for callers after it was asked to stop', async () => {
 		let go: (() => void) | undefined;
 		stub.behaviour.start = async () => new Promise(resolve => {
 			go = resolve;
@@ -154,7 +153,7 @@
 		expect(stub.events).to.deep.equal(['inside stops', 'platform stops']);
 	});
 
-	it('ends within its bound when a service does not', async () => {
+	it('stops within shutdownMs even if a service does not stop', async () => {
 		await daemon.start();
 		stub.behaviour.stop = async () => new Promise(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 		const stoppedAt = stub.clock.now() + 10_000;
--- a/tests/daemon/run-daemon-tests.ts
+++ b/tests/daemon/run-daemon-tests.ts
@@ -37,7 +37,7 @@
 	};
 
 	const run = async (args: string[]) => runDaemon({
-		...stub, args, env: ENV, output, errors, events, createParts: () => stub.parts,
+		...stub, args, env: ENV, output, errors, events, createDependencies: () => stub.dependencies,
 	});
 
 	const waitFor = async (event: string) => {
@@ -46,22 +46,22 @@
 		}
 	};
 
-	it('prints help and version', async () => {
+	it('prints its help and its version', async () => {
 		expect(await run(['--help'])).to.equal(0);
 		expect(String(output.read())).to.include('--signing-keys').and.include('ALDERCROFT_SIGNING_KEYS');
 		expect(await run(['--version'])).to.equal(0);
 		expect(String(output.read())).to.equal('0.1.0\n');
 	});
 
-	it('names a wrong setting in one line and ends with 2', async () => {
+	it('names an invalid setting in one line and exits with 2', async () => {
 		expect(await run(['--caller-prot', '1'])).to.equal(2);
 		expect(String(errors.read())).to.equal('aldercroftd: --caller-prot: no such setting\n');
 		expect(stub.events).to.deep.equal([]);
 	});
 
-	describe('a signal', () => {
+	describe('on a signal', () => {
 		const doTest = (signal: string) => {
-			it(`stops gracefully on ${signal}, also when it comes twice, and ends with 0`, async () => {
+			it(`stops gracefully on ${signal}, also if it is sent twice, and exits with 0`, async () => {
 				const running = run([]);
 				await waitFor('serving');
 				emit(signal);
@@ -75,7 +75,7 @@
 		doTest('SIGINT');
 	});
 
-	it('ends with 1 when a service cannot start, and stops those that had started', async () => {
+	it('exits with 1 if a service cannot start, and stops those that had started', async () => {
 		stub.behaviour.start = async () => {
 			throw new Error('port taken');
 		};
@@ -84,7 +84,7 @@
 		expect(stub.events).to.deep.equal(['could not start: port taken', 'platform stops']);
 	});
 
-	it('stops on a signal that comes while a service hangs in its start', async () => {
+	it('stops on a signal that arrives while the start of a service hangs', async () => {
 		stub.behaviour.start = async () => new Promise(() => {
 			stub.events.push('hanging');
 		});
@@ -96,7 +96,7 @@
 		expect(stub.events).to.deep.equal(['hanging', 'stopped before it had started', 'leaving', 'platform stops', 'left']);
 	});
 
-	it('logs an error that nothing caught and ends with 1', async () => {
+	it('logs an uncaught error and exits with 1', async () => {
 		const running = run([]);
 		await waitFor('serving');
 		emit('uncaughtException', new Error('bug'));
--- a/tests/daemon/separate-processes-tests.ts
+++ b/tests/daemon/separate-processes-tests.ts
@@ -14,7 +14,7 @@
 }
 
 describe('separate processes', () => {
-	it('write at one daemon, read at two others, end in order', async () => {
+	it('serve a write at one daemon and reads of it at two others, and exit with 0', async () => {
 		const system = await startLocalSystem({
 			proxies: 3,
 			availabilityZones: ZONES,
@@ -29,9 +29,9 @@
 			}, 'new');
 			expect(written).to.include({outcome: 'done', servedBy: 'sleep-logs-1', term: 1});
 
-			const pull = {kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: ['m-17']};
+			const readRequest = {kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: ['m-17']};
 			for (const proxy of ['entry-2', 'entry-3']) {
-				const read = await ask(system, proxy, pull, written.session!);
+				const read = await ask(system, proxy, readRequest, written.session!);
 				expect(read.rows).to.deep.equal([{score: 41}]);
 				expect(read.position).to.be.at.least(written.position!);
 				expect(read.ageMs).to.satisfy(Number.isInteger);
--- a/tests/daemon/stub-daemon.ts
+++ b/tests/daemon/stub-daemon.ts
@@ -1,5 +1,5 @@
 import type {CallerAnswer} from '../../src/callers/caller-answer.js';
-import type {DaemonParts} from '../../src/daemon/create-daemon.js';
+import type {DaemonDependencies} from '../../src/daemon/create-daemon.js';
 import type {Kernel} from '../../src/kernel/kernel.js';
 import type {Service} from '../../src/kernel/service.js';
 import type {LogFields} from '../../src/log/log.js';
@@ -29,13 +29,13 @@
 	leaveNoticeMs: 2000,
 };
 
-/** A daemon's surroundings that keep a list of what happened to them. */
+/** Stubs of a daemon's dependencies and services, which record what happens to them. */
 export type StubDaemon = {
 	readonly clock: VirtualClock;
 	readonly events: string[];
-	readonly parts: DaemonParts;
+	readonly dependencies: DaemonDependencies;
 	readonly registerServices: (kernel: Kernel) => void;
-	/** What the stubs do; a test changes it. */
+	/** What the stubs do; tests may change it. */
 	readonly behaviour: {
 		loaded: boolean;
 		execute: () => Promise<CallerAnswer>;
@@ -44,7 +44,7 @@
 	};
 };
 
-/** Creates surroundings in which everything works. */
+/** Creates stubs that all work. */
 export function createStubDaemon(): StubDaemon {
 	const clock = createVirtualClock();
 	const events: string[] = [];
@@ -65,14 +65,14 @@
 	const log = {
 		debug: write, info: write, warn: write, error: write, part: () => log,
 	};
-	const outside: Service = {
+	const platform: Service = {
 		async stop() {
 			events.push('platform stops');
 		},
 	};
-	const parts = {
-		clock, random: createSeededRandom(1), settings: STUB_SETTINGS, log, metrics: createPromMetrics(), platform: outside, peers: {}, endpoints: {},
-	} as unknown as DaemonParts;
+	const dependencies = {
+		clock, random: createSeededRandom(1), settings: STUB_SETTINGS, log, metrics: createPromMetrics(), platform, peers: {}, endpoints: {},
+	} as unknown as DaemonDependencies;
 
 	const registerServices = (kernel: Kernel) => {
 		const configuration = {
@@ -90,6 +90,6 @@
 	};
 
 	return {
-		clock, events, parts, registerServices, behaviour,
+		clock, events, dependencies, registerServices, behaviour,
 	};
 }
--- a/tests/daemon/transactions-over-http-tests.ts
+++ b/tests/daemon/transactions-over-http-tests.ts
@@ -5,7 +5,7 @@
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
 const INSERT = 'INSERT INTO nights (member, score) VALUES ($1, $2)';
 
-describe('transactions over HTTP, at separate processes', () => {
+describe('transactions over HTTP at separate processes', () => {
 	let system: LocalSystem;
 
 	before(async () => {
@@ -50,15 +50,15 @@
 	};
 
 	const readScores = async (proxy: string, member: string, session?: string) => {
-		const pull = {
+		const readRequest = {
 			kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: [member], latest: session === undefined,
 		};
-		const {rows} = await post(proxy, '/v1/groups/sleep-logs/requests', pull, session);
+		const {rows} = await post(proxy, '/v1/groups/sleep-logs/requests', readRequest, session);
 		return rows?.map(({score}) => score);
 	};
 
 	const doTest = (beginAt: string, runAt: string, endAt: string) => {
-		it(`begins at ${beginAt}, goes on at ${runAt} and is committed at ${endAt}, whose session sees it everywhere`, async () => {
+		it(`begins at ${beginAt}, continues at ${runAt} and is committed at ${endAt}; the session then sees it at every proxy`, async () => {
 			const member = `m-${beginAt}`;
 			const transaction = await begin(beginAt);
 			await insert(beginAt, transaction, member, 41);
@@ -75,7 +75,7 @@
 	doTest('entry-2', 'entry-3', 'entry-1');
 	doTest('entry-3', 'entry-1', 'entry-2');
 
-	it('leaves nothing where it is rolled back at another proxy, and cannot be committed after', async () => {
+	it('leaves no rows if it is rolled back at another proxy, and cannot be committed afterwards', async () => {
 		const transaction = await begin('entry-1');
 		await insert('entry-2', transaction, 'm-17', 41);
 		const rolledBack = await post('entry-3', `${transaction}/rollback`);
@@ -85,8 +85,8 @@
 		expect([late.outcome, late.refusal?.code]).to.deep.equal(['not-run', 'resolved']);
 	});
 
-	// A host is replaced while a caller's transaction is open at it. The stop waits for the commit, which comes through another proxy.
-	it('ends before the daemon that holds it stops', async () => {
+	// A host stops while a caller's transaction is open at it. The stop waits for the commit, which arrives through another proxy.
+	it('can be committed before the daemon that holds it stops', async () => {
 		const transaction = await begin('entry-1');
 		const holder = transaction.split('.').at(-1)!;
 		const other = system.proxies.map(({host}) => host.name).find(name => name !== holder)!;
