--- a/src/kernel/kernel-errors.ts
+++ b/src/kernel/kernel-errors.ts
@@ -1,6 +1,6 @@
 import ModernError from 'modern-errors';
 
-/** A fault in how the daemon's services are put together. */
+/** Thrown when the daemon's services are registered or looked up incorrectly. */
 export const KernelError = ModernError.subclass('KernelError');
 
 /** @internal */
@@ -9,6 +9,6 @@
 }
 
 /** @internal */
-export function throwServiceTwice(name: string): never {
+export function throwServiceAlreadyRegistered(name: string): never {
 	throw new KernelError(`a service is registered as "${name}" already`);
 }
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,16 +1,16 @@
 import type {Service} from './service.js';
 import type {ServiceMap, ServiceName} from './service-map.js';
-import {throwServiceMissing, throwServiceTwice} from './kernel-errors.js';
+import {throwServiceMissing, throwServiceAlreadyRegistered} from './kernel-errors.js';
 
-/** Holds the daemon's services by name, starts them in order of registration and stops them in reverse. */
+/** Holds the daemon's services by name, starts them in order of registration and stops them in reverse order. */
 export type Kernel = {
-	/** Registers a service under its name. */
+	/** Registers a service under its name. Throws KernelError if the name is already taken. */
 	register<N extends ServiceName>(name: N, service: ServiceMap[N]): void;
-	/** Finds a service, or undefined where none is registered. */
+	/** Returns a service, or undefined if none is registered under this name. */
 	get<N extends ServiceName>(name: N): ServiceMap[N] | undefined;
-	/** Finds a service that must be there. */
+	/** Returns a service. Throws KernelError if none is registered under this name. */
 	getOrThrow<N extends ServiceName>(name: N): ServiceMap[N];
-	/** Starts every service that has a life cycle; where it is stopped meanwhile, no further one. */
+	/** Starts the services one after the other. If the kernel is stopped meanwhile, the remaining services are not started. */
 	start(): Promise<void>;
 	/** Stops the started services in reverse order. */
 	stop(): Promise<void>;
@@ -25,7 +25,7 @@
 	return {
 		register(name, service) {
 			if (services.has(name)) {
-				throwServiceTwice(name);
+				throwServiceAlreadyRegistered(name);
 			}
 
 			services.set(name, service);
@@ -40,8 +40,8 @@
 			stopping = false;
 			for (const service of services.values() as Iterable<Service>) {
 				await service.start?.();
-				// Guards against a service that gets there during the stop: it would never be stopped, and those after it, the
-				// port for callers last, would open at a process that is about to end.
+				// A service whose start completes during a stop is stopped here, since the stop did not include it. Without this check the services after
+				// it, of which the port for callers is the last, would also start in a process that is about to end.
 				if (stopping) {
 					await service.stop?.();
 					return;
--- a/src/kernel/service-map.ts
+++ b/src/kernel/service-map.ts
@@ -1,10 +1,10 @@
 /**
- * The names under which services find each other.
+ * Maps the names of services to their types.
  *
- * Each domain adds its own entry by declaration merging, next to the interface it names:
+ * Each folder adds its own entries by declaration merging, next to the type of the service:
  * `declare module '../kernel/service-map.js' { interface ServiceMap { clock: Clock } }`.
  */
 export interface ServiceMap {}
 
-/** A name under which a service can be registered. */
+/** The name of a service. */
 export type ServiceName = keyof ServiceMap;
--- a/src/kernel/service.ts
+++ b/src/kernel/service.ts
@@ -1,7 +1,7 @@
-/** The life cycle that the kernel drives; a service without one is passive. */
+/** The life cycle of a service, which the kernel controls. A service without these methods runs no background work. */
 export type Service = {
-	/** Begins background work; awaited before the next service starts. */
+	/** Starts background work. The kernel waits for it before it starts the next service. */
 	start?(): Promise<void>;
-	/** Ends background work; called in the reverse order of start. */
+	/** Stops background work. The kernel stops services in the reverse order of their start. */
 	stop?(): Promise<void>;
 };
--- a/src/log/bounded-log.ts
+++ b/src/log/bounded-log.ts
@@ -1,46 +1,47 @@
 import type {Clock} from '../time/clock.js';
 import type {Log, LogFields} from './log.js';
 
-/** What bounds a log. */
+/** Options of a rate-limited log. */
 export type BoundedLogOptions = {
 	readonly clock: Clock;
-	/** Whether what takes the lines has fallen behind, so that more would only fill memory. */
+	/** Whether the reader of the lines has fallen behind, so that further lines would only fill memory. */
 	isBacklogged(): boolean;
-	/** Lines a second; see {@link LINES_PER_SECOND}. */
+	/** Average lines per second; {@link DEFAULT_LINES_PER_SECOND} unless given. */
 	readonly linesPerSecond?: number;
 };
 
-/**
- * Lines a second that are written on average. Writing them takes a small part of a core, also on a day on which every statement needs a line.
- */
-export const LINES_PER_SECOND = 100;
+/** Average number of lines per second that may be written. Writing them takes a small part of a core, even when every statement logs a line. */
+export const DEFAULT_LINES_PER_SECOND = 100;
 
-/** Seconds of the average that may come at once: a failover touches every statement under way. */
+/** How many seconds' worth of lines may be written at once: a failover affects every statement in flight. */
 const BURST_SECONDS = 4;
 
-/** Creates a log that drops lines beyond a rate, or while its reader has fallen behind, and says how many. */
+/**
+ * Creates a log that drops lines above a rate, or while its reader has fallen behind. Before the next line that it writes, it logs how many were
+ * dropped. Debug lines are not limited.
+ */
 export function createBoundedLog(log: Log, options: BoundedLogOptions): Log {
-	const perSecond = options.linesPerSecond ?? LINES_PER_SECOND;
-	const most = perSecond * BURST_SECONDS;
-	let left = most;
+	const perSecond = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
+	const maxTokens = perSecond * BURST_SECONDS;
+	let tokens = maxTokens;
 	let refilledAt: number | undefined;
 	let dropped = 0;
 
-	const takeOne = (now: number) => {
-		left = Math.min(most, left + ((now - (refilledAt ?? now)) * perSecond / 1000));
+	const takeToken = (now: number) => {
+		tokens = Math.min(maxTokens, tokens + ((now - (refilledAt ?? now)) * perSecond / 1000));
 		refilledAt = now;
-		if (left < 1 || options.isBacklogged()) {
+		if (tokens < 1 || options.isBacklogged()) {
 			dropped++;
 			return false;
 		}
 
-		left--;
+		tokens--;
 		return true;
 	};
 
-	const bound = (inner: Log): Log => {
+	const limit = (inner: Log): Log => {
 		const print = (level: 'debug' | 'info' | 'warn' | 'error') => (sentence: string, fields?: LogFields) => {
-			if (!takeOne(options.clock.now())) {
+			if (!takeToken(options.clock.now())) {
 				return;
 			}
 
@@ -53,14 +54,14 @@
 		};
 
 		return {
-			// What is printed only on demand is not counted against what is always printed.
+			// Debug lines are printed only on demand and do not count towards the rate of the others.
 			debug: inner.debug,
 			info: print('info'),
 			warn: print('warn'),
 			error: print('error'),
-			part: prefix => bound(inner.part(prefix)),
+			part: prefix => limit(inner.part(prefix)),
 		};
 	};
 
-	return bound(log);
+	return limit(log);
 }
--- a/src/log/bunyan-log.ts
+++ b/src/log/bunyan-log.ts
@@ -4,31 +4,31 @@
 import type {Log, LogFields} from './log.js';
 import {redactFields} from './redact.js';
 
-/** What the log needs. */
+/** Options of the log. */
 export type BunyanLogOptions = {
 	readonly clock: Clock;
-	/** Name of the program. */
+	/** The name of the program. */
 	readonly name: string;
-	/** Name of this host. */
+	/** The name of this host. */
 	readonly hostName: string;
-	/** Bunyan's name of the least level to print. */
+	/** Bunyan's name of the lowest level to print. */
 	readonly level: string;
-	/** Where the lines go; standard output unless given. */
+	/** The stream that the lines are written to; standard output unless given. */
 	readonly stream?: NodeJS.WritableStream;
 };
 
 type Level = 'debug' | 'info' | 'warn' | 'error';
 
-/** Creates a log that prints one JSON object a line. */
+/** Creates a log that prints each line as one JSON object. */
 export function createBunyanLog({clock, name, hostName, level, stream = process.stdout}: BunyanLogOptions): Log {
-	// Guards against a daemon that spins instead of serving and stopping: where the reader of its output is gone, each
-	// line raises an error that nobody catches, and the line about that raises the next. Without its log it still serves.
-	stream.on('error', ignoreLostReader);
+	// Without this listener the daemon would spin instead of serving and stopping once the reader of its output is gone: each line would
+	// raise an uncaught error, and the line that logs that error would raise the next one. With it the daemon serves on without a log.
+	stream.on('error', ignoreError);
 	const logger = bunyan.createLogger({
 		name, hostname: hostName, level: level as bunyan.LogLevelString, stream,
 	});
 
-	const createPart = (prefix: string): Log => {
+	const createPrefixedLog = (prefix: string): Log => {
 		const print = (lineLevel: Level) => (sentence: string, fields: LogFields = {}) => {
 			if (logger[lineLevel]()) {
 				logger[lineLevel]({...redactFields(fields), time: new Date(clock.wall())}, '%s', prefix + sentence);
@@ -40,11 +40,11 @@
 			info: print('info'),
 			warn: print('warn'),
 			error: print('error'),
-			part: inner => createPart(prefix + inner),
+			part: inner => createPrefixedLog(prefix + inner),
 		};
 	};
 
-	return createPart('');
+	return createPrefixedLog('');
 }
 
-function ignoreLostReader(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
+function ignoreError(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
--- a/src/log/line-log.ts
+++ b/src/log/line-log.ts
@@ -1,6 +1,6 @@
 import type {Log, LogFields} from './log.js';
 
-/** Creates a log that hands each line over, with the prefix of its part; what is for debugging is left out. */
+/** Creates a log that passes each line, with its prefix, to a function; debug lines are omitted. */
 export function createLineLog(write: (sentence: string, fields: LogFields) => void, prefix = ''): Log {
 	const line = (sentence: string, fields: LogFields = {}) => {
 		write(prefix + sentence, fields);
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -1,10 +1,10 @@
-/** Writes log lines: a short sentence, and fields beside it. Never a token, a key or a caller's values. */
+/** Writes log lines: a short sentence and structured fields. They never contain a token, a key or a caller's values. */
 export type Log = {
 	debug(sentence: string, fields?: LogFields): void;
 	info(sentence: string, fields?: LogFields): void;
 	warn(sentence: string, fields?: LogFields): void;
 	error(sentence: string, fields?: LogFields): void;
-	/** A log whose sentences begin with the part's fixed prefix, as in `failover: `. */
+	/** Returns a log that puts this prefix, such as `failover: `, before each sentence. */
 	part(prefix: string): Log;
 };
 
--- a/src/log/redact.ts
+++ b/src/log/redact.ts
@@ -1,15 +1,15 @@
 import type {LogFields} from './log.js';
 
-/** What stands in a log line in place of a value that must not. */
+/** Replaces a value that must not appear in a log line. */
 export const REDACTED = '[redacted]';
 
-/** Names of fields whose value is never printed, alone or as the last word of a longer name, in any number or case. */
+/** Matches the names of fields whose value is never printed: each word alone or at the end of a longer name, singular or plural, in any case. */
 const SECRET_NAME = /(?:token|key|password|session|value|authorization)s?$/iv;
 
-/** Deeper values are left out; log fields are meant to be flat. */
+/** Values nested deeper than this are omitted; log fields are meant to be flat. */
 const MAX_DEPTH = 4;
 
-/** Copies the fields of a log line without what must not be printed, however deep it stands. */
+/** Copies the fields of a log line, with values that must not be printed replaced at any depth. */
 export function redactFields(fields: LogFields): LogFields {
 	return redact(fields, 0) as LogFields;
 }
@@ -34,7 +34,7 @@
 	return Object.fromEntries(Object.entries(value).map(([name, item]) => [name, SECRET_NAME.test(name) ? REDACTED : redact(item, depth + 1)]));
 }
 
-/** Errors of libraries carry requests and statements as properties; only these fields are taken over. */
+/** Copies only these fields of an error, since errors of libraries carry requests and statements as further properties. */
 function describeError(err: Error, depth: number): LogFields {
 	const {name, message, stack, cause} = err;
 	return cause === undefined || depth > MAX_DEPTH
--- a/src/log/silent-log.ts
+++ b/src/log/silent-log.ts
@@ -1,6 +1,6 @@
 import type {Log} from './log.js';
 
-/** Creates a log that keeps nothing. */
+/** Creates a log that discards every line. */
 export function createSilentLog(): Log {
 	const silent: Log = {
 		debug() {}, // eslint-disable-line @typescript-eslint/no-empty-function
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -3,7 +3,7 @@
 import type {WorkClass} from '../groups/group-config.js';
 import type {RefusalCode} from '../refusals/refusal.js';
 
-/** What a caller may ask for, as metrics and refusal records name it. */
+/** The kinds of operations that callers request, as metrics and refusal records name them. */
 export const AskedKind = {
 	Read: 'read',
 	Write: 'write',
@@ -16,7 +16,7 @@
 /** One of the kinds in {@link AskedKind}. */
 export type AskedKind = typeof AskedKind[keyof typeof AskedKind];
 
-/** How a call to the platform ended. */
+/** The result of a call to the platform. */
 export const PlatformCallResult = {
 	Ok: 'ok',
 	Conflict: 'conflict',
@@ -26,40 +26,40 @@
 /** One of the results in {@link PlatformCallResult}. */
 export type PlatformCallResult = typeof PlatformCallResult[keyof typeof PlatformCallResult];
 
-/** A caller's request that has its answer. */
-export type RequestFigures = {
+/** The measurement of one answered request of a caller. */
+export type RequestMeasurement = {
 	readonly kind: AskedKind;
-	/** Undefined where the request does not name one. */
+	/** Undefined if the request does not name a class. */
 	readonly class?: WorkClass;
 	readonly outcome: Outcome;
 	readonly seconds: number;
 };
 
-/** Counts what the daemon does. No label holds a caller's value, so that their number stays bounded. */
+/** The metrics of the daemon. No label contains a caller's value, so that the number of time series stays bounded. */
 export type Metrics = {
-	/** A caller's request has its answer. */
-	observeRequest(figures: RequestFigures): void;
-	/** A caller was told a refusal. */
+	/** Records that a caller's request was answered. */
+	observeRequest(figures: RequestMeasurement): void;
+	/** Counts a refusal that was sent to a caller. */
 	countRefusal(code: RefusalCode): void;
-	/** A request got its slot at an endpoint after waiting so many seconds. */
+	/** Records how many seconds a request waited for its slot at an endpoint. */
 	observeQueueWait(workClass: WorkClass, seconds: number): void;
-	/** A read was served by an endpoint in that role. */
+	/** Counts a read by the role of the endpoint that served it. */
 	countRead(role: EndpointRole): void;
-	/** The entry tried a request again, because of that refusal. */
+	/** Counts a request that the entry retried, by the refusal that caused the retry. */
 	countRetry(code: RefusalCode): void;
-	/** A frame from a peer answered nothing that was awaited. */
+	/** Counts a frame from a peer that matched no pending request. */
 	countDroppedFrame(): void;
-	/** A call to the platform ended; a waiting watch is one. */
+	/** Counts a completed call to the platform; a long poll of a watch counts as one call. */
 	countPlatformCall(call: string, result: PlatformCallResult): void;
-	/** Connections that this host holds to an endpoint now. */
+	/** Sets how many idle and busy connections this host has to an endpoint. */
 	setPoolConnections(endpoint: string, idle: number, busy: number): void;
-	/** The highest revision of the platform's store that the configuration in force holds. */
+	/** Sets the highest revision of the platform's store in the configuration in force. */
 	setConfigRevision(revision: number): void;
-	/** This host raised another primary; seconds from the first suspicion to the first position confirmed. */
+	/** Records that this host promoted another primary, with the seconds from the first suspicion to the first confirmed log position. */
 	observeFailover(group: string, seconds: number): void;
-	/** Every figure in the text format of Prometheus. */
+	/** Returns all metrics in the text format of Prometheus. */
 	render(): Promise<string>;
-	/** Content type of {@link Metrics.render}. */
+	/** The content type of what {@link Metrics.render} returns. */
 	readonly contentType: string;
 };
 
--- a/src/settings/read-settings.ts
+++ b/src/settings/read-settings.ts
@@ -5,34 +5,34 @@
 	throwSettingMalformed, throwSettingMissing, throwSettingRepeated, throwSettingUnknown,
 } from './settings-errors.js';
 
-/** Where the settings are written. */
+/** The sources from which the settings are read. */
 export type SettingsSource = {
-	/** The command line without the program. */
+	/** The arguments of the command line, without the program. */
 	readonly args: readonly string[];
 	readonly env: Readonly<Record<string, string | undefined>>;
 };
 
 const PREFIX = 'ALDERCROFT_';
 
-/** Variables of the operators' command line tool, which may stand in the same environment. */
-const FOREIGN_VARIABLES = new Set(['ALDERCROFT_OPERATOR_URL', 'ALDERCROFT_OPERATOR_TOKEN']);
+/** Variables of the operators' command line tool, which may be set in the same environment. */
+const OPERATOR_TOOL_VARIABLES = new Set(['ALDERCROFT_OPERATOR_URL', 'ALDERCROFT_OPERATOR_TOKEN']);
 
 const SETTING_NAMES = Object.keys(SETTING_DEFINITIONS) as ReadonlyArray<keyof Settings>;
 
-/** The setting's flag without the dashes, as in `host-address`. */
+/** Returns the flag of a setting without the dashes, such as `host-address`. */
 export function getFlagName(name: keyof Settings): string {
 	return name.replaceAll(/[A-Z]/gv, letter => `-${letter.toLowerCase()}`);
 }
 
-/** The setting's variable, as in `ALDERCROFT_HOST_ADDRESS`. */
+/** Returns the environment variable of a setting, such as `ALDERCROFT_HOST_ADDRESS`. */
 export function getVariableName(name: keyof Settings): string {
 	return PREFIX + getFlagName(name).replaceAll('-', '_').toUpperCase();
 }
 
 /**
- * Reads the settings; a flag goes before its variable.
+ * Reads the settings; a flag takes precedence over the setting's variable.
  *
- * Throws SettingsError with one line that names the setting; a setting's value is never quoted, since it may be a key.
+ * Throws SettingsError with a message of one line that names the setting. The message never quotes the value, since it may be a key.
  */
 export function readSettings({args, env}: SettingsSource): Settings {
 	const flags = readFlags(args);
@@ -84,11 +84,11 @@
 	return flags;
 }
 
-/** A misspelt variable would leave its setting at the default without a word. */
+/** Rejects unknown variables with the prefix: a misspelt one would silently leave its setting at the default. */
 function checkVariables(env: SettingsSource['env']): void {
 	const known = new Set(SETTING_NAMES.map(name => getVariableName(name)));
 	for (const variable of Object.keys(env)) {
-		if (variable.startsWith(PREFIX) && !known.has(variable) && !FOREIGN_VARIABLES.has(variable)) {
+		if (variable.startsWith(PREFIX) && !known.has(variable) && !OPERATOR_TOOL_VARIABLES.has(variable)) {
 			throwSettingUnknown(variable);
 		}
 	}
--- a/src/settings/settings-errors.ts
+++ b/src/settings/settings-errors.ts
@@ -1,6 +1,6 @@
 import ModernError from 'modern-errors';
 
-/** A setting that is unknown, missing, malformed or repeated; the message is one line that names it. */
+/** Thrown for a setting that is unknown, missing, malformed or repeated. The message is one line that names the setting. */
 export const SettingsError = ModernError.subclass('SettingsError');
 
 /** @internal */
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -2,21 +2,21 @@
 import * as z from 'zod';
 import type {Settings} from './settings.js';
 
-/** How one setting is written and read; its name in `Settings` gives the flag and the variable. */
+/** Describes and parses one setting. Its flag and variable follow from its name in `Settings`. */
 export type SettingDefinition = {
-	/** Reads the text of the flag or variable. */
+	/** Parses the text of the flag or variable. */
 	readonly schema: z.ZodType<Settings[keyof Settings], string>;
-	/** Text taken where neither is given; absent: the setting must be given. */
+	/** The text that is parsed if neither is given; undefined if the setting is required. */
 	readonly default?: string;
 	readonly unit: string;
-	/** What it sets, as docs/SETTINGS.md and `--help` have it. */
+	/** What the setting controls, as shown in docs/SETTINGS.md and by `--help`. */
 	readonly description: string;
 };
 
-/** Levels that bunyan knows, from the most talkative. */
+/** Bunyan's log levels, from the most verbose. */
 const LOG_LEVELS = ['trace', 'debug', 'info', 'warn', 'error', 'fatal'] as const;
 
-/** The shortest key taken, in bytes. */
+/** Minimum length of a key, in bytes. */
 const MIN_KEY_BYTES = 32;
 
 const MAX_MS = 3_600_000;
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,6 +1,6 @@
-/** The daemon's settings; each comes from a flag or an `ALDERCROFT_*` variable. docs/SETTINGS.md lists them. */
+/** The daemon's settings, each given by a flag or an `ALDERCROFT_*` variable. docs/SETTINGS.md lists them. */
 export type Settings = {
-	/** Name of this host on the platform's list. */
+	/** The name of this host in the platform's list of hosts. */
 	readonly hostName: string;
 	/** IP number to listen on and to be reached at. */
 	readonly hostAddress: string;
@@ -15,20 +15,20 @@
 	readonly platformUrl: string;
 	/** Keys that sign session tokens and refusal tickets, current first; 32 bytes or more each. */
 	readonly signingKeys: readonly string[];
-	/** Keys that authenticate peer links, current first. */
+	/** Keys that authenticate links between proxies, current first; 32 bytes or more each. */
 	readonly peerKeys: readonly string[];
 	/** User and password for the database servers. */
 	readonly endpointUser: string;
 	readonly endpointPassword: string;
 	/** Database to open on the database servers. */
 	readonly endpointDatabase: string;
-	/** SHA-256, in hex, of the token that opens a system without operators; empty for none. */
+	/** SHA-256, in hex, of the token that grants access to a system without operators; empty for none. */
 	readonly bootstrapTokenHash: string;
-	/** Bunyan level name. */
+	/** The lowest bunyan level to print. */
 	readonly logLevel: string;
-	/** Bound on ending in-flight work on SIGTERM, in milliseconds. */
+	/** Maximum time of a graceful stop after a signal, in milliseconds. */
 	readonly shutdownMs: number;
-	/** How long a leaving host goes on telling callers to come back, so that the balancer has time to notice, in milliseconds. */
+	/** How long a leaving host keeps answering callers with a refusal that they may retry, so that the balancer has time to notice, in milliseconds. */
 	readonly leaveNoticeMs: number;
 };
 
--- a/tests/kernel/kernel-tests.ts
+++ b/tests/kernel/kernel-tests.ts
@@ -6,7 +6,7 @@
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 describe('kernel', () => {
-	it('starts services in order of registration and stops them in reverse', async () => {
+	it('starts services in order of registration and stops them in reverse order', async () => {
 		const events: string[] = [];
 		const traced = <S extends Record<keyof S, unknown>>(name: string, service: S) => ({
 			...service,
@@ -27,7 +27,7 @@
 		expect(events).to.deep.equal(['start clock', 'start random', 'stop random', 'stop clock']);
 	});
 
-	it('names the service that is missing or registered twice', () => {
+	it('names a service that is missing or registered twice', () => {
 		const kernel = createKernel();
 		expect(kernel.get('clock')).to.equal(undefined);
 		expect(() => kernel.getOrThrow('clock')).to.throw('no service is registered as "clock"');
--- a/tests/log/bunyan-log-tests.ts
+++ b/tests/log/bunyan-log-tests.ts
@@ -15,7 +15,7 @@
 
 	const parse = (line: string) => JSON.parse(line) as Record<string, unknown>;
 
-	it('prints a sentence behind the prefixes of its parts, with its fields and the clock\'s time', () => {
+	it('prints a sentence after its prefixes, with its fields and the clock\'s time', () => {
 		const {log, read} = createLog();
 		log.part('failover: ').part('sleep: ').warn('the primary is silent, 100% so', {term: 3});
 		expect(parse(read())).to.include({
@@ -23,14 +23,14 @@
 		});
 	});
 
-	it('prints nothing under its level', () => {
+	it('prints nothing below its level', () => {
 		const {log, read} = createLog('warn');
 		log.info('started');
 		log.debug('detail');
 		expect(read()).to.equal('');
 	});
 
-	describe('what must not be printed', () => {
+	describe('redacts secrets in', () => {
 		const doTest = (fields: Record<string, unknown>) => {
 			it(JSON.stringify(fields), () => {
 				const {log, read} = createLog();
@@ -52,7 +52,7 @@
 		doTest({tries: [{values: ['hush'], endpoint: 'shown'}]});
 	});
 
-	it('prints an error with its causes, and none of its other properties', () => {
+	it('prints an error with its causes but without its other properties', () => {
 		const {log, read} = createLog();
 		const cause = Object.assign(new Error('reset'), {detail: 'Key (member)=(hush)'});
 		log.error('no answer', {err: new PlatformError('the platform gave no answer', {cause}), sessionId: 'shown'});
@@ -61,9 +61,9 @@
 		expect(line).to.not.include('hush');
 	});
 
-	// The reader of a daemon's output ends, and the daemon is asked to stop. It spins at a full core instead: writing a
-	// line raises an error, nobody catches it, and the line about that raises the next one.
-	it('goes on where the reader of its output is gone', async () => {
+	// The reader of a daemon's output exits and the daemon is asked to stop. Without a listener for stream errors it would use a full core instead of
+	// stopping: each line would raise an uncaught error, and the line that logs that error would raise the next one.
+	it('keeps working after the reader of its output has exited', async () => {
 		let lines = 0;
 		const stream = new Writable({
 			autoDestroy: false,
--- a/tests/metrics/prom-metrics-tests.ts
+++ b/tests/metrics/prom-metrics-tests.ts
@@ -52,7 +52,7 @@
 		m.observeFailover('sleep', 2.5);
 	}, 'aldercroft_failover_seconds_sum{group="sleep"} 2.5');
 
-	it('shares nothing with the metrics of another daemon in the process', async () => {
+	it('is independent of the metrics of another daemon in the same process', async () => {
 		createPromMetrics().countDroppedFrame();
 		expect(await createPromMetrics().render()).to.include('aldercroft_peer_frames_dropped_total 0');
 	});
--- a/tests/settings/read-settings-tests.ts
+++ b/tests/settings/read-settings-tests.ts
@@ -43,7 +43,7 @@
 		} satisfies Settings);
 	});
 
-	describe('what is given', () => {
+	describe('valid flags', () => {
 		const doTest = <N extends keyof Settings>(args: string[], name: N, expected: Settings[N]) => {
 			it(args.join(' '), () => {
 				expect(readSettings({args, env: ENV})[name]).to.deep.equal(expected);
@@ -57,7 +57,7 @@
 		doTest(['--log-level', 'debug', '--peer-keys', OLD_KEY], 'peerKeys', [OLD_KEY]);
 	});
 
-	describe('what is wrong', () => {
+	describe('errors', () => {
 		const doTest = (args: string[], env: Record<string, string | undefined>, expected: string) => {
 			it(expected, () => {
 				expect(() => readSettings({args, env: {...ENV, ...env}})).to.throw(SettingsError).with.property('message', expected);
@@ -90,8 +90,8 @@
 		const rows = readFileSync('docs/SETTINGS.md', 'utf8').split('\n').filter(line => line.startsWith('| `--'));
 		const expected = Object.entries(SETTING_DEFINITIONS).map(([key, definition]) => {
 			const name = key as keyof Settings;
-			const standing = definition.default === undefined ? 'must be given' : `\`${definition.default}\``;
-			return `| \`--${getFlagName(name)}\` | \`${getVariableName(name)}\` | ${definition.unit} | ${standing} | ${definition.description} |`;
+			const requirement = definition.default === undefined ? 'must be given' : `\`${definition.default}\``;
+			return `| \`--${getFlagName(name)}\` | \`${getVariableName(name)}\` | ${definition.unit} | ${requirement} | ${definition.description} |`;
 		});
 		expect(rows).to.deep.equal(expected);
 	});
