--- a/scripts/bundle-proxy.js
+++ b/scripts/bundle-proxy.js
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** Bundles the proxy under target/ and makes its code cache: a restart loads one file in place of some hundred, and compiles little of it. */
+/** Bundles the proxy under target/ and creates its code cache, so that a restart loads one file instead of some hundred and compiles little of it. */
 import {spawnSync} from 'node:child_process';
 import {copyFileSync, readFileSync} from 'node:fs';
 import process from 'node:process';
 import {build} from 'esbuild';
 import launcher from './proxy-launcher.cjs';
 
-/** The flags under which the program runs: V8 takes a cache only under those that it was made with. */
+/** Returns the Node flags that the program runs with: V8 accepts a code cache only under the flags that it was created with. */
 function getProgramFlags() {
 	const [, command] = /^run = "node (?<command>[^"]*)"/mv.exec(readFileSync('deploy/system.toml', 'utf8'));
 	const words = command.split(' ');
@@ -23,7 +23,7 @@
 	minifyWhitespace: true,
 	minifySyntax: true,
 	legalComments: 'none',
-	// The first is a native library; the launcher leaves out the others.
+	// koffi is a native library; the launcher excludes the other modules.
 	external: ['koffi', ...launcher.LEFT_OUT],
 });
 copyFileSync('scripts/proxy-launcher.cjs', 'target/aldercroft-proxy.cjs');
--- a/scripts/figures-reporter.js
+++ b/scripts/figures-reporter.js
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {reporters} from 'mocha';
 
-/** Mocha's own spec output, with the titles of what passed and failed written to the file named by TEST_FIGURES. */
+/** Mocha's spec reporter, which also writes the titles of passed and failed tests and the number of pending ones to the file named by TEST_FIGURES. */
 export default class FiguresReporter extends reporters.Spec {
 	constructor(runner, options) {
 		super(runner, options);
--- a/scripts/proxy-launcher.cjs
+++ b/scripts/proxy-launcher.cjs
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 'use strict';
 /**
- * Starts the proxy from its bundle with V8's code cache: a restart compiles nothing that the cache holds. A cache that is missing, or was made by another version of Node or
- * under other flags, is left out, and the start takes longer.
+ * Starts the proxy from its bundle with V8's code cache, so that a restart does not compile what the cache holds. A cache that is missing, or was created by another
+ * version of Node or under other flags, is not used, and the start takes longer.
  */
 const {readFileSync} = require('node:fs');
 const {createRequire} = require('node:module');
@@ -13,7 +13,7 @@
 const BUNDLE_FILE = path.join(__dirname, 'aldercroft-proxy.bundle.cjs');
 const CACHE_FILE = path.join(__dirname, 'aldercroft-proxy.bundle.cache');
 
-/** Bunyan's optional parts, which the proxy does without: found in node_modules, one of them loads much that each start would wait for. */
+/** Optional dependencies of bunyan, which the proxy does not need. If they are found in node_modules, one of them loads many modules, which delays every start. */
 const LEFT_OUT = ['dtrace-provider', 'mv', 'source-map-support', 'safe-json-stringify', 'moment'];
 
 function readCache() {
@@ -24,7 +24,7 @@
 	}
 }
 
-/** Compiles the bundle; returns its script and what it exports. */
+/** Compiles and runs the bundle; returns its script and its exports. */
 function loadBundle() {
 	const requireModule = createRequire(BUNDLE_FILE);
 	const requireListed = name => {
--- a/scripts/run-tests.js
+++ b/scripts/run-tests.js
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 /**
- * Runs mocha and prints its figures as `N passed, N failed`.
+ * Runs mocha and prints its result as `N passed, N failed`.
  *
- * Tests named in KNOWN-RED.txt (`full title | cause | issue`, three lines at most) are passed over and printed.
+ * Failures of tests named in KNOWN-RED.txt (`full title | cause | issue`, at most three lines) are tolerated, and those lines are printed.
  * Any other failure, a skipped test, or a listed test that passes again, fails the run.
  */
 import {spawnSync} from 'node:child_process';
--- a/xo.config.js
+++ b/xo.config.js
@@ -28,35 +28,35 @@
 	},
 	{
 		rules: {
-			// The users' house style asks for the customary short names.
+			// The code style uses the customary short names.
 			'unicorn/prevent-abbreviations': ['error', {allowList}],
 			'unicorn/catch-error-name': ['error', {name: 'err'}],
-			// Decisions take the present time as an argument; only the clock reads it.
+			// Functions take the current time as an argument; only the clock reads it.
 			'no-restricted-syntax': [
 				'error',
 				{selector: 'CallExpression[callee.object.name="Date"][callee.property.name="now"]', message: 'Take the present time as an argument.'},
 				{selector: 'CallExpression[callee.object.name="Math"][callee.property.name="random"]', message: 'Take chance from the random service.'},
 			],
-			// The house style's constant objects carry their type under the same name; the compiler checks redeclaration.
+			// The code style gives a constant object and its type the same name; the compiler checks redeclaration.
 			'@typescript-eslint/no-redeclare': 'off',
 			'no-redeclare': 'off',
-			// The types of modern-errors hide from this rule that they are errors.
+			// This rule does not recognize the types of modern-errors as errors.
 			'@typescript-eslint/only-throw-error': 'off',
-			// Service and peer-call names are merged into empty interfaces.
+			// The names of services and peer calls are added to empty interfaces by declaration merging.
 			'@typescript-eslint/no-empty-interface': 'off',
 			'@typescript-eslint/no-empty-object-type': 'off',
 			'@typescript-eslint/consistent-type-definitions': 'off',
 			'@typescript-eslint/member-ordering': 'off',
-			// Races and work in the background need the promise itself.
+			// Promise races and background work need the promise itself.
 			'promise/prefer-await-to-then': 'off',
 			'promise/prefer-catch': 'off',
-			// Flags are set by other tasks while a loop awaits.
+			// Other tasks change flags while a loop awaits.
 			'no-unmodified-loop-condition': 'off',
-			// A statement a step: loops over servers are awaited one by one on purpose.
+			// Loops over servers await one step at a time on purpose.
 			'no-await-in-loop': 'off',
-			// Each layer's errors are classes made by modern-errors.
+			// The error classes of each layer are constants created by modern-errors.
 			'@typescript-eslint/naming-convention': 'off',
-			// One public class or concept a file, but its small companions stand beside it.
+			// A file has one public class or concept, but may also hold small classes that belong to it.
 			'max-classes-per-file': 'off',
 			'capitalized-comments': 'off',
 			'no-bitwise': 'off',
@@ -71,7 +71,7 @@
 		},
 	},
 	{
-		// The map of peer calls is merged from every domain, and the rule judges by a part of it.
+		// The map of peer calls is merged from declarations in many folders, and this rule sees only some of them.
 		files: ['src/peers/create-peers.ts', 'src/peers/peer-handlers.ts', 'tests/configuration/configuration-fleet.ts'],
 		rules: {'@typescript-eslint/no-unnecessary-type-assertion': 'off'},
 	},
