--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -38,7 +38,7 @@
 /** The metrics of the daemon. No label contains a caller's value, so that the number of time series stays bounded. */
 export type Metrics = {
 	/** Records that a caller's request was answered. */
-	observeRequest(figures: RequestMeasurement): void;
+	observeRequest(measurement: RequestMeasurement): void;
 	/** Counts a refusal that was sent to a caller. */
 	countRefusal(code: RefusalCode): void;
 	/** Records how many seconds a request waited for its slot at an endpoint. */
--- a/src/metrics/prom-metrics.ts
+++ b/src/metrics/prom-metrics.ts
@@ -58,10 +58,10 @@
 	});
 
 	return {
-		observeRequest(figures) {
-			const workClass = figures.class ?? 'none';
-			requests.inc({kind: figures.kind, class: workClass, outcome: figures.outcome});
-			requestSeconds.observe({kind: figures.kind, class: workClass}, figures.seconds);
+		observeRequest(measurement) {
+			const workClass = measurement.class ?? 'none';
+			requests.inc({kind: measurement.kind, class: workClass, outcome: measurement.outcome});
+			requestSeconds.observe({kind: measurement.kind, class: workClass}, measurement.seconds);
 		},
 		countRefusal(code) {
 			refusals.inc({code});
--- a/src/platform/caller-lines.ts
+++ b/src/platform/caller-lines.ts
@@ -18,15 +18,15 @@
 
 /** Parses one line from a caller. */
 export function parseCallerLine(line: string): CallerMessage {
-	const [word, rest] = cutWord(line);
+	const [word, rest] = splitFirstWord(line);
 	switch (word) {
 		case 'STARTUP': {
-			const [database, key] = cutWord(rest);
+			const [database, key] = splitFirstWord(rest);
 			return database === '' ? {kind: 'malformed'} : {kind: 'open', database, key};
 		}
 
 		case 'QUERY': {
-			const [id, text] = cutWord(rest);
+			const [id, text] = splitFirstWord(rest);
 			return id === '' ? {kind: 'malformed'} : {kind: 'statement', id, statement: parseStatement(text)};
 		}
 
@@ -42,7 +42,7 @@
 
 /** Parses the text of a statement. */
 export function parseStatement(text: string): Statement {
-	const [word, rest] = cutWord(text);
+	const [word, rest] = splitFirstWord(text);
 	switch (word) {
 		case 'BEGIN': {
 			return rest === '' || rest === 'READ' ? {kind: 'begin', readOnly: rest === 'READ'} : MALFORMED;
@@ -65,7 +65,7 @@
 		}
 
 		case 'SET': {
-			const [name, value] = cutWord(rest);
+			const [name, value] = splitFirstWord(rest);
 			return name === '' ? MALFORMED : {kind: 'set', name, value};
 		}
 
@@ -74,7 +74,7 @@
 		}
 
 		case 'EXECUTE': {
-			const [name, args] = cutWord(rest);
+			const [name, args] = splitFirstWord(rest);
 			return name === '' ? MALFORMED : {kind: 'execute', name, args};
 		}
 
@@ -89,8 +89,8 @@
 }
 
 function parsePrepare(rest: string): Statement {
-	const [name, definition] = cutWord(rest);
-	const [access, shape] = cutWord(definition);
+	const [name, definition] = splitFirstWord(rest);
+	const [access, shape] = splitFirstWord(definition);
 	if (name === '' || shape === '' || (access !== 'READ' && access !== 'WRITE')) {
 		return MALFORMED;
 	}
@@ -105,7 +105,7 @@
 		text += `DATAROW ${row}\r\n`;
 	}
 
-	text += formatEnd(end);
+	text += formatAnswerEnd(end);
 	return text + formatReady(state, position);
 }
 
@@ -115,11 +115,11 @@
 }
 
 /** Formats the line that completes an answer or reports its error, without the ready line. */
-export function formatEnd(end: AnswerEnd): string {
+export function formatAnswerEnd(end: AnswerEnd): string {
 	return end.kind === 'complete' ? `COMPLETE ${end.signature ?? '-'}\r\n` : `ERROR ${formatCode(end.code)} ${end.text}\r\n`;
 }
 
-function cutWord(text: string): [string, string] {
+function splitFirstWord(text: string): [string, string] {
 	const blank = text.indexOf(' ');
 	return blank === -1 ? [text, ''] : [text.slice(0, blank), text.slice(blank + 1)];
 }
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -60,7 +60,7 @@
 export function createHttpMetadataStore({address, clock, log: parentLog, onCall, onGeneration}: HttpMetadataStoreOptions): MetadataStore {
 	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
 	const log = parentLog.part('store: ');
-	const unusable = createUnusableEntryLog(log);
+	const unusableEntries = createUnusableEntryLog(log);
 	let lastGeneration: number | undefined;
 
 	const noteGeneration = (generation: number) => {
@@ -105,14 +105,14 @@
 				throwPlatformSilent(what, new Error('its pages come from two generations of the store'));
 			}
 
-			const readable = page.items.map(item => decodeObject(kind, item)).filter(object => object !== undefined);
-			objects.push(...readable);
+			const decodable = page.items.map(item => decodeObject(kind, item)).filter(object => object !== undefined);
+			objects.push(...decodable);
 			if (!page.hasMore) {
 				return {...first, objects};
 			}
 
 			// The next page is requested by the last name of this one. Without a name the call fails, since a partial list must not pass for a complete one.
-			after = readable.at(-1)?.meta.name ?? throwPlatformSilent(what, new Error('a page names no object'));
+			after = decodable.at(-1)?.meta.name ?? throwPlatformSilent(what, new Error('a page names no object'));
 		}
 	};
 
@@ -120,7 +120,7 @@
 	const decodeObject = (kind: string, item: unknown): StoreObject | undefined => {
 		const object = storeObjectSchema.safeParse(item);
 		if (!object.success) {
-			unusable.report(kind, item);
+			unusableEntries.report(kind, item);
 		}
 
 		return object.data;
@@ -135,10 +135,10 @@
 			const {revision, objects} = await list(CONFIGURATION_KIND, timeoutMs);
 			const main = objects.find(object => object.meta.name === CONFIGURATION_NAME);
 			const routing = main && decodeRouting(main.spec, entry => {
-				unusable.report(WORKSPACE_ENTRY, entry);
+				unusableEntries.report(WORKSPACE_ENTRY, entry);
 			});
 			if (main && !routing) {
-				unusable.report(CONFIGURATION_KIND, {meta: main.meta});
+				unusableEntries.report(CONFIGURATION_KIND, {meta: main.meta});
 			}
 
 			return {revision, content: routing};
@@ -151,7 +151,7 @@
 				if (endpoint) {
 					content.push(endpoint);
 				} else {
-					unusable.report(ENDPOINT_KIND, object);
+					unusableEntries.report(ENDPOINT_KIND, object);
 				}
 			}
 
--- a/src/platform/store-schemas.ts
+++ b/src/platform/store-schemas.ts
@@ -92,12 +92,12 @@
 
 /** Decodes the configuration. Returns undefined if it is invalid; the version in force then remains. */
 export function decodeRouting(spec: unknown, onUnusable: (workspace: unknown) => void): Routing | undefined {
-	const read = routingSchema.safeParse(spec);
-	if (!read.success) {
+	const parsed = routingSchema.safeParse(spec);
+	if (!parsed.success) {
 		return undefined;
 	}
 
-	const {revision, routes, backends, tenants, limits} = read.data;
+	const {revision, routes, backends, tenants, limits} = parsed.data;
 	const hasWorkspaces = tenants.length > 0;
 	return {
 		version: revision,
--- a/src/platform/tcp-caller-channel.ts
+++ b/src/platform/tcp-caller-channel.ts
@@ -2,7 +2,7 @@
 import type {Socket} from 'node:net';
 import type {CallerChannel, CallerRequest} from '../gateway/caller-channel.js';
 import {
-	formatCallerAnswer, formatEnd, formatReady, parseCallerLine,
+	formatCallerAnswer, formatAnswerEnd, formatReady, parseCallerLine,
 } from './caller-lines.js';
 import {createLineReader} from './line-reader.js';
 
@@ -23,15 +23,15 @@
 	const leftListeners: Array<() => void> = [];
 	let left = false;
 	let closed = false;
-	let wake: (() => void) | undefined;
+	let resolveWaiting: (() => void) | undefined;
 
 	const wakeReader = () => {
-		wake?.();
-		wake = undefined;
+		resolveWaiting?.();
+		resolveWaiting = undefined;
 	};
 
 	const waitForMore = async () => new Promise<void>(resolve => {
-		wake = resolve;
+		resolveWaiting = resolve;
 	});
 
 	const markLeft = () => {
@@ -112,7 +112,7 @@
 			await write(formatCallerAnswer(rows, end, state, position));
 		},
 		refuse(code, reason) {
-			void write(formatEnd({kind: 'error', code, text: reason}));
+			void write(formatAnswerEnd({kind: 'error', code, text: reason}));
 		},
 		endRefusal(state) {
 			void write(formatReady(state));
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -85,8 +85,8 @@
 		const state = parseState(letter);
 		const waiter = waiters.shift();
 		if (!waiter || !end || !state) {
-			waiter?.reject(createLinkLost(address, 'an answer out of turn'));
-			failAndReset('an answer out of turn');
+			waiter?.reject(createLinkLost(address, 'an answer that is incomplete or matches no request'));
+			failAndReset('an answer that is incomplete or matches no request');
 			return;
 		}
 
@@ -109,7 +109,7 @@
 		} else if (line.startsWith('READY ')) {
 			finishAnswer(line);
 		} else {
-			failAndReset('a line that is not understood');
+			failAndReset('an unknown kind of line');
 		}
 	};
 
@@ -163,7 +163,7 @@
 				return;
 			}
 
-			reject(word === 'ERROR' ? createLinkRefused(address, parseCode(detail)) : createLinkLost(address, 'a greeting that is not understood'));
+			reject(word === 'ERROR' ? createLinkRefused(address, parseCode(detail)) : createLinkLost(address, 'an unknown response to the startup message'));
 			socket.destroy();
 		};
 
--- a/src/platform/workspace-schema.ts
+++ b/src/platform/workspace-schema.ts
@@ -18,13 +18,13 @@
 export function decodeWorkspaces(entries: readonly unknown[], onUnusable: (entry: unknown) => void): ReadonlyMap<string, Workspace> {
 	const workspaces = new Map<string, Workspace>();
 	for (const entry of entries) {
-		const read = workspaceSchema.safeParse(entry);
-		if (!read.success || workspaces.has(read.data.name)) {
+		const parsed = workspaceSchema.safeParse(entry);
+		if (!parsed.success || workspaces.has(parsed.data.name)) {
 			onUnusable(omitKeys(entry));
 			continue;
 		}
 
-		const {name, apiKeys, priority, ratePerS, burst} = read.data;
+		const {name, apiKeys, priority, ratePerS, burst} = parsed.data;
 		workspaces.set(name, {
 			name,
 			keys: apiKeys,
--- a/src/settings/read-settings.ts
+++ b/src/settings/read-settings.ts
@@ -45,8 +45,8 @@
 	const definition = SETTING_DEFINITIONS[name];
 	const flag = `--${getFlagName(name)}`;
 	const variable = getVariableName(name);
-	const given = flags.get(flag) ?? env[variable];
-	const text = given ?? definition.default ?? throwSettingMissing(`${flag} or ${variable}`);
+	const givenText = flags.get(flag) ?? env[variable];
+	const text = givenText ?? definition.default ?? throwSettingMissing(`${flag} or ${variable}`);
 	const checked = definition.schema.safeParse(text);
 	return checked.success ? checked.data : throwSettingMalformed(flags.has(flag) ? flag : variable, checked.error.issues[0]!.message);
 }
--- a/tests/daemon/create-daemon-tests.ts
+++ b/tests/daemon/create-daemon-tests.ts
@@ -23,13 +23,13 @@
 		return [res.status, await res.json()] as [number, Record<string, unknown>];
 	};
 
-	const askReady = async () => send(daemon.kernel.getOrThrow('operators').port, '/ready');
+	const getReady = async () => send(daemon.kernel.getOrThrow('operators').port, '/ready');
 
-	const read = async () => send(daemon.kernel.getOrThrow('callers').port, '/v1/groups/sleep/requests', '{"kind":"read","statement":"x"}');
+	const sendRead = async () => send(daemon.kernel.getOrThrow('callers').port, '/v1/groups/sleep/requests', '{"kind":"read","statement":"x"}');
 
 	it('serves callers and operators', async () => {
 		await daemon.start();
-		const [status, answer] = await read();
+		const [status, answer] = await sendRead();
 		expect([status, answer.outcome]).to.deep.equal([200, 'done']);
 		const command = await send(daemon.kernel.getOrThrow('operators').port, '/v1/commands', '{"command":"show hosts"}');
 		expect(command).to.deep.equal([200, {status: 'ok', text: 'show hosts', data: null}]);
@@ -39,15 +39,15 @@
 	it('is ready only once it has started and has a configuration, until it stops', async () => {
 		stub.behaviour.loaded = false;
 		stub.behaviour.start = async () => {
-			expect(await askReady()).to.deep.equal([503, {ready: false, reason: 'starting'}]);
+			expect(await getReady()).to.deep.equal([503, {ready: false, reason: 'starting'}]);
 		};
 
 		await daemon.start();
-		expect(await askReady()).to.deep.equal([503, {ready: false, reason: 'no configuration'}]);
+		expect(await getReady()).to.deep.equal([503, {ready: false, reason: 'no configuration'}]);
 		stub.behaviour.loaded = true;
-		expect(await askReady()).to.deep.equal([200, {ready: true}]);
+		expect(await getReady()).to.deep.equal([200, {ready: true}]);
 		const stopping = daemon.stop();
-		expect(await askReady()).to.deep.equal([503, {ready: false, reason: 'leaving'}]);
+		expect(await getReady()).to.deep.equal([503, {ready: false, reason: 'leaving'}]);
 		await stub.clock.runUntil(stopping);
 	});
 
@@ -59,14 +59,14 @@
 			stub.events.push('reading');
 			finish = resolve;
 		});
-		const inFlight = read();
+		const inFlight = sendRead();
 		while (!stub.events.includes('reading')) {
 			await stub.clock.advance(0);
 		}
 
 		openTransactions = 1;
 		const stopping = daemon.stop();
-		const [status, refused] = await read();
+		const [status, refused] = await sendRead();
 		expect([status, (refused.refusal as CallerRefusal).code]).to.deep.equal([503, 'host-leaving']);
 		await stub.clock.advance(3000);
 		expect(stub.events).to.deep.equal(['inside starts', 'reading']);
@@ -86,7 +86,7 @@
 		await daemon.start();
 		const stopping = daemon.stop();
 		await stub.clock.advance(1999);
-		const [status] = await read();
+		const [status] = await sendRead();
 		expect(status).to.equal(503);
 		expect(stub.events).to.not.include('inside stops');
 		await stub.clock.runUntil(stopping);
@@ -94,7 +94,7 @@
 
 	// Other proxies send their callers' requests to this host, which owns groups. If its services stopped first, those requests would be aborted.
 	it('hands its groups to other hosts before any service stops', async () => {
-		const handingOn = createDaemon({
+		const daemonWithOwners = createDaemon({
 			...stub,
 			registerServices(kernel) {
 				stub.registerServices(kernel);
@@ -106,8 +106,8 @@
 				} as never);
 			},
 		});
-		await handingOn.start();
-		await stub.clock.runUntil(handingOn.stop());
+		await daemonWithOwners.start();
+		await stub.clock.runUntil(daemonWithOwners.stop());
 		expect(stub.events).to.deep.equal(['inside starts', 'handed on within 8000 ms', 'inside stops', 'platform stops']);
 	});
 
@@ -117,7 +117,7 @@
 		stub.behaviour.execute = async () => new Promise(() => {
 			stub.events.push('reading');
 		});
-		const inFlight = read();
+		const inFlight = sendRead();
 		while (!stub.events.includes('reading')) {
 			await stub.clock.advance(0);
 		}
@@ -136,17 +136,17 @@
 	// A host is asked to stop while a service is still starting, and the start of that service completes during the stop. If the remaining services
 	// started, the port for callers would open in a process that is about to end, and callers that connect would be disconnected.
 	it('does not open the port for callers after it was asked to stop', async () => {
-		let go: (() => void) | undefined;
+		let completeStart: (() => void) | undefined;
 		stub.behaviour.start = async () => new Promise(resolve => {
-			go = resolve;
+			completeStart = resolve;
 		});
 		const starting = daemon.start();
-		while (!go) {
+		while (!completeStart) {
 			await stub.clock.advance(0);
 		}
 
 		const stopping = daemon.stop();
-		go();
+		completeStart();
 		await starting;
 		await stub.clock.runUntil(stopping);
 		expect(() => daemon.kernel.getOrThrow('callers').port).to.throw(TypeError);
--- a/tests/daemon/separate-processes-tests.ts
+++ b/tests/daemon/separate-processes-tests.ts
@@ -4,7 +4,7 @@
 
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
 
-async function ask(system: LocalSystem, proxy: string, body: Record<string, unknown>, session: string): Promise<CallerAnswer> {
+async function sendRequest(system: LocalSystem, proxy: string, body: Record<string, unknown>, session: string): Promise<CallerAnswer> {
 	const res = await fetch(`${system.getProxyOrThrow(proxy).callerUrl}/v1/groups/sleep-logs/requests`, {
 		method: 'POST',
 		headers: {'content-type': 'application/json', 'aldercroft-session': session},
@@ -24,14 +24,14 @@
 			flags: ['--leave-notice-ms', '0'],
 		});
 		try {
-			const written = await ask(system, 'entry-1', {
+			const written = await sendRequest(system, 'entry-1', {
 				kind: 'write', statement: 'INSERT INTO nights (member, score) VALUES ($1, $2)', values: ['m-17', 41],
 			}, 'new');
 			expect(written).to.include({outcome: 'done', servedBy: 'sleep-logs-1', term: 1});
 
 			const readRequest = {kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: ['m-17']};
 			for (const proxy of ['entry-2', 'entry-3']) {
-				const read = await ask(system, proxy, readRequest, written.session!);
+				const read = await sendRequest(system, proxy, readRequest, written.session!);
 				expect(read.rows).to.deep.equal([{score: 41}]);
 				expect(read.position).to.be.at.least(written.position!);
 				expect(read.ageMs).to.satisfy(Number.isInteger);
--- a/tests/platform/programs-tests.ts
+++ b/tests/platform/programs-tests.ts
@@ -3,7 +3,7 @@
 import {openWireCaller, type WireCaller} from '../../src/stand-ins/plain-platform/wire-caller.js';
 
 /** Sends a statement and resolves with the first lines of its answer. */
-async function askLines(caller: WireCaller, id: string, text: string, count: number) {
+async function sendStatement(caller: WireCaller, id: string, text: string, count: number) {
 	const lines = await caller.ask(id, text);
 	return lines.slice(0, count);
 }
@@ -32,15 +32,15 @@
 		const proxy = await platform.startProxy('entry-1');
 		const caller = await openWireCaller(proxy.callerPort, 'roster');
 		expect(caller.greeting).to.deep.equal(['READY I -']);
-		expect(await askLines(caller, 'w1', 'WRITE a 7', 1)).to.deep.equal(['COMPLETE sign-w1']);
-		expect(await askLines(caller, 'r1', 'READ a', 2)).to.deep.equal(['DATAROW 7', 'COMPLETE sign-r1']);
+		expect(await sendStatement(caller, 'w1', 'WRITE a 7', 1)).to.deep.equal(['COMPLETE sign-w1']);
+		expect(await sendStatement(caller, 'r1', 'READ a', 2)).to.deep.equal(['DATAROW 7', 'COMPLETE sign-r1']);
 		expect(await caller.ask('x1', 'DROP a')).to.deep.equal(['ERROR MALFORMED the statement is not understood', 'READY I -']);
 		expect(await caller.ask('b1', 'BEGIN')).to.deep.equal(['COMPLETE -', 'READY T -']);
-		expect(await askLines(caller, 'w2', 'WRITE a 8', 1)).to.deep.equal(['COMPLETE sign-w2']);
+		expect(await sendStatement(caller, 'w2', 'WRITE a 8', 1)).to.deep.equal(['COMPLETE sign-w2']);
 		expect(await caller.ask('c1', 'ROLLBACK')).to.deep.equal(['COMPLETE -', 'READY I -']);
 
-		const stranger = await openWireCaller(proxy.callerPort, 'nowhere');
-		expect(stranger.greeting).to.deep.equal(['ERROR NOSUCHDB no route has this name']);
+		const rejectedCaller = await openWireCaller(proxy.callerPort, 'nowhere');
+		expect(rejectedCaller.greeting).to.deep.equal(['ERROR NOSUCHDB no route has this name']);
 
 		const res = await fetch(`http://127.0.0.1:${proxy.metricsPort}/metrics`);
 		expect(await res.text()).to.match(/aldercroft_statements_total\{kind="run",outcome="done"\} 3/v);
@@ -65,7 +65,7 @@
 		half.leave();
 		const bare = await openWireCaller(proxy.callerPort, 'sync');
 		expect(await bare.ask('', '')).to.deep.equal(['ERROR MALFORMED the message is not understood']);
-		expect(await askLines(good, 'w9', 'WRITE b 1', 1)).to.deep.equal(['COMPLETE sign-w9']);
+		expect(await sendStatement(good, 'w9', 'WRITE b 1', 1)).to.deep.equal(['COMPLETE sign-w9']);
 		await proxy.end('SIGKILL');
 	});
 });
