--- a/src/daemon/register-operators.ts
+++ b/src/daemon/register-operators.ts
@@ -16,7 +16,10 @@
 	}
 }
 
-/** Registers the service that writes changes to the platform. It offers each object that it sees to the configuration, so that changes also reach peers when every watch is dead. */
+/**
+ * Registers the service that writes changes to the platform. Every group that it reads or writes is offered to the configuration, from where an accepted
+ * change reaches the peers, even when every watch is dead.
+ */
 export function registerChanges(kernel: Kernel): void {
 	const configuration = kernel.getOrThrow('configuration');
 	kernel.register('changes', createChanges({
--- a/src/platform/endpoint-lines.ts
+++ b/src/platform/endpoint-lines.ts
@@ -69,7 +69,10 @@
 	unfence: 'RESUME',
 } as const;
 
-/** Parses the row that answers a status request: role, term, position received, term of the fence, lag, busy, connections. Returns undefined if the role or the position is invalid. */
+/**
+ * Parses the row that answers a status request: role, term, position received, term of the fence, lag, busy, connections. Returns undefined if the role
+ * or the position is invalid.
+ */
 export function parseStatusRow(row: string): EndpointStatus | undefined {
 	const [role, term, received, fencedTerm, lag, busy, connections] = row.split(' ');
 	const position = parsePosition(received ?? '');
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -59,14 +59,14 @@
 	let rows: string[] = [];
 	let end: AnswerEnd | undefined;
 
-	const fail = (why: string, cause?: unknown) => {
+	const failLink = (reason: string, cause?: unknown) => {
 		if (closed) {
 			return;
 		}
 
 		closed = true;
 		for (const waiter of waiters.splice(0)) {
-			waiter.reject(createLinkLost(address, why, cause));
+			waiter.reject(createLinkLost(address, reason, cause));
 		}
 
 		for (const listener of closeListeners) {
@@ -75,8 +75,8 @@
 	};
 
 	/** Fails the link and resets its socket. An answer that is incomplete or matches no request must end the link, so that no caller gets another caller's rows. */
-	const failAndReset = (why: string) => {
-		fail(why);
+	const failAndReset = (reason: string) => {
+		failLink(reason);
 		socket.resetAndDestroy();
 	};
 
@@ -142,7 +142,7 @@
 			failAndReset('cut by this host');
 		},
 		close() {
-			fail('closed by this host');
+			failLink('closed by this host');
 			socket.end('TERMINATE\r\n');
 			// An endpoint that never closes its side must not keep the file descriptor open.
 			socket.setTimeout(CLOSE_TIMEOUT_MS, () => socket.resetAndDestroy());
@@ -187,11 +187,11 @@
 		});
 		socket.on('error', err => {
 			reject(createLinkLost(address, err.message, err));
-			fail(err.message, err);
+			failLink(err.message, err);
 		});
 		socket.on('close', () => {
 			reject(createLinkLost(address, 'it was closed'));
-			fail('the endpoint closed it');
+			failLink('the endpoint closed it');
 		});
 	});
 }
