--- a/src/platform/caller-lines.ts
+++ b/src/platform/caller-lines.ts
@@ -6,9 +6,9 @@
 import {formatCode, formatState} from './platform-words.js';
 import {formatPosition, NO_POSITION} from './position-text.js';
 
-/** A message of a caller. */
+/** A message from a caller. */
 export type CallerMessage =
-	/** The first of a session: names the database, which is a route's host, and shows the caller's key. */
+	/** The first message of a session. It names the database, which is a route's `host`, and carries the caller's key. */
 	| {readonly kind: 'open'; readonly database: string; readonly key: string}
 	| ({readonly kind: 'statement'} & IdentifiedStatement)
 	| {readonly kind: 'end'}
@@ -16,17 +16,17 @@
 
 const MALFORMED: Statement = {kind: 'malformed'};
 
-/** Reads one line of a caller. */
+/** Parses one line from a caller. */
 export function parseCallerLine(line: string): CallerMessage {
-	const [word, rest] = cutWord(line);
+	const [word, rest] = splitFirstWord(line);
 	switch (word) {
 		case 'STARTUP': {
-			const [database, key] = cutWord(rest);
+			const [database, key] = splitFirstWord(rest);
 			return database === '' ? {kind: 'malformed'} : {kind: 'open', database, key};
 		}
 
 		case 'QUERY': {
-			const [id, text] = cutWord(rest);
+			const [id, text] = splitFirstWord(rest);
 			return id === '' ? {kind: 'malformed'} : {kind: 'statement', id, statement: parseStatement(text)};
 		}
 
@@ -40,9 +40,9 @@
 	}
 }
 
-/** Reads a statement's text. */
+/** Parses the text of a statement. */
 export function parseStatement(text: string): Statement {
-	const [word, rest] = cutWord(text);
+	const [word, rest] = splitFirstWord(text);
 	switch (word) {
 		case 'BEGIN': {
 			return rest === '' || rest === 'READ' ? {kind: 'begin', readOnly: rest === 'READ'} : MALFORMED;
@@ -65,7 +65,7 @@
 		}
 
 		case 'SET': {
-			const [name, value] = cutWord(rest);
+			const [name, value] = splitFirstWord(rest);
 			return name === '' ? MALFORMED : {kind: 'set', name, value};
 		}
 
@@ -74,7 +74,7 @@
 		}
 
 		case 'EXECUTE': {
-			const [name, args] = cutWord(rest);
+			const [name, args] = splitFirstWord(rest);
 			return name === '' ? MALFORMED : {kind: 'execute', name, args};
 		}
 
@@ -89,8 +89,8 @@
 }
 
 function parsePrepare(rest: string): Statement {
-	const [name, definition] = cutWord(rest);
-	const [access, shape] = cutWord(definition);
+	const [name, definition] = splitFirstWord(rest);
+	const [access, shape] = splitFirstWord(definition);
 	if (name === '' || shape === '' || (access !== 'READ' && access !== 'WRITE')) {
 		return MALFORMED;
 	}
@@ -98,28 +98,28 @@
 	return {kind: 'prepare', name, shape: {access: access === 'READ' ? Access.Read : Access.Write, shape}};
 }
 
-/** Writes the answer to a statement. */
+/** Formats the answer to a statement: its rows, how it ended, and the ready line. */
 export function formatCallerAnswer(rows: readonly string[], end: AnswerEnd, state: SessionState, position?: LogPosition): string {
 	let text = '';
 	for (const row of rows) {
 		text += `DATAROW ${row}\r\n`;
 	}
 
-	text += formatEnd(end);
+	text += formatAnswerEnd(end);
 	return text + formatReady(state, position);
 }
 
-/** Writes that a session is open, or that a statement's answer is over. */
+/** Formats the ready line, which follows the opening of a session and every answer. */
 export function formatReady(state: SessionState, position?: LogPosition): string {
 	return `READY ${formatState(state)} ${position ? formatPosition(position) : NO_POSITION}\r\n`;
 }
 
-/** Writes how an answer ends, without what follows each answer. */
-export function formatEnd(end: AnswerEnd): string {
+/** Formats the line that completes an answer or reports its error, without the ready line. */
+export function formatAnswerEnd(end: AnswerEnd): string {
 	return end.kind === 'complete' ? `COMPLETE ${end.signature ?? '-'}\r\n` : `ERROR ${formatCode(end.code)} ${end.text}\r\n`;
 }
 
-function cutWord(text: string): [string, string] {
+function splitFirstWord(text: string): [string, string] {
 	const blank = text.indexOf(' ');
 	return blank === -1 ? [text, ''] : [text.slice(0, blank), text.slice(blank + 1)];
 }
