--- a/src/owners/barrier.ts
+++ b/src/owners/barrier.ts
@@ -4,31 +4,31 @@
 import type {LogPosition} from '../terms/log-position.js';
 
 /**
- * Finds a log position that bounds every write acknowledged before the question, by anyone.
+ * Finds a log position that covers every write acknowledged by any owner before the barrier was requested.
  *
- * Argument: let a write be acknowledged in term A before the round began. Had A been above the round's term T, a
- * majority would have promised A by then, and no majority could still show T. If A is T, the primary of T held the
- * write before it showed its position. If A is below T, the promotion of T inherited the write. So the primary's own
- * position covers it. A position that merely some majority holds would not: another majority may have confirmed more.
+ * Proof: let a write be acknowledged in term A before the round began. If A were above the round's term T, a majority
+ * would have promised A by then, and no majority could still report T. If A is T, the primary of T held the write before
+ * it reported its position. If A is below T, the promotion of T inherited the write. So the primary's own position
+ * covers it. A position that merely some majority holds does not: another majority may have confirmed a later one.
  */
 export type Barrier = {
-	/** Joins the next round; undefined where no round succeeded by `deadlineAt`. */
+	/** Resolves with the result of a round that begins after the call, or with undefined if none succeeds by `deadlineAt`. */
 	take(deadlineAt: number): Promise<BarrierFloor | undefined>;
-	/** When the last successful round began, and what it found. */
+	/** Returns the result of the last successful round; undefined before the first one. */
 	getLast(): BarrierFloor | undefined;
 	stop(): void;
 };
 
-/** What a round found. */
+/** The result of a successful round. */
 export type BarrierFloor = {
 	readonly floor: LogPosition;
-	/** Name of the primary that showed it. */
+	/** Name of the primary that reported the floor. */
 	readonly primary: string;
-	/** When the round began; every write acknowledged before is covered. */
+	/** When the round began; the floor covers every write acknowledged before then. */
 	readonly takenAt: number;
 };
 
-/** What a barrier is made from. */
+/** Options of {@link createBarrier}. */
 export type BarrierOptions = {
 	readonly clock: Clock;
 	/** Names of the group's endpoints; their count decides the majority. */
@@ -39,24 +39,27 @@
 	onTaken?(floor: BarrierFloor, now: number): void;
 };
 
-/** Longest time for one server's part of a round, in milliseconds. */
+/** How long a round waits for one server's status, in milliseconds. */
 const STATUS_TIMEOUT_MS = 300;
 
 /** Pause between rounds that found no primary, in milliseconds. */
 const RETRY_PAUSE_MS = 25;
 
-type Shown = ReadonlyMap<string, EndpointStatus>;
+type ReportedStatuses = ReadonlyMap<string, EndpointStatus>;
 
-/** The primary of the highest term shown, if a majority has promised just that term; undefined otherwise. */
-export function judgeRound(shown: Shown, majority: number): {primary: string; floor: LogPosition} | undefined {
-	for (const [primary, status] of shown) {
+/**
+ * Returns the primary whose term a majority has promised, with the end of its log as the floor; undefined if there is none.
+ * A primary whose log does not end in its own term yet is left out.
+ */
+export function evaluateRound(reported: ReportedStatuses, majority: number): {primary: string; floor: LogPosition} | undefined {
+	for (const [primary, status] of reported) {
 		if (status.role !== EndpointRole.Primary || status.log.term !== status.term) {
 			continue;
 		}
 
-		// Guards against a superseded primary that still believes it leads: its floor would miss newer
-		// acknowledged writes and a session would read stale rows. A majority at its term rules that out.
-		const atTerm = [...shown.values()].filter(other => other.term === status.term).length;
+		// Guards against a superseded primary that does not know of its successor: its floor would miss newer
+		// acknowledged writes, and a session would read stale rows. A majority at its term rules that out.
+		const atTerm = [...reported.values()].filter(other => other.term === status.term).length;
 		if (atTerm >= majority) {
 			return {primary, floor: status.log};
 		}
@@ -65,65 +68,65 @@
 	return undefined;
 }
 
-/** Creates a barrier; one round serves all who asked before it began. */
+/** Creates a barrier; one round serves every `take` called before the round began. */
 export function createBarrier(options: BarrierOptions): Barrier {
 	const {clock} = options;
-	const unsent = new Map<string, Promise<EndpointStatus>>();
+	const unsentRequests = new Map<string, Promise<EndpointStatus>>();
 	let running: Promise<BarrierFloor | undefined> | undefined;
 	let next: Promise<BarrierFloor | undefined> | undefined;
 	let last: BarrierFloor | undefined;
 	let stopped = false;
 
-	// Guards against rounds that leave a question each on the channel of a server that went silent: when it comes back,
-	// the failover's own would wait behind thousands, and writes with it. A question that is not sent yet serves all
-	// rounds that began before it is.
-	const askNext = async (endpoint: string) => {
-		const waiting = unsent.get(endpoint);
+	// Guards against status requests that pile up on the channel of a silent server, one for each round: when it responds
+	// again, failover's own requests would wait behind thousands of them, and writes with failover. A request that is not
+	// sent yet therefore serves every round that begins before it is sent.
+	const requestStatus = async (endpoint: string) => {
+		const waiting = unsentRequests.get(endpoint);
 		if (waiting) {
 			return waiting;
 		}
 
-		const asked = options.getChannel(endpoint).run(async connection => {
-			unsent.delete(endpoint);
+		const request = options.getChannel(endpoint).run(async connection => {
+			unsentRequests.delete(endpoint);
 			return connection.status(STATUS_TIMEOUT_MS);
 		});
-		unsent.set(endpoint, asked);
+		unsentRequests.set(endpoint, request);
 		try {
-			return await asked;
+			return await request;
 		} finally {
-			if (unsent.get(endpoint) === asked) {
-				unsent.delete(endpoint);
+			if (unsentRequests.get(endpoint) === request) {
+				unsentRequests.delete(endpoint);
 			}
 		}
 	};
 
-	const ask = async (endpoint: string, shown: Map<string, EndpointStatus>) => {
+	const pollEndpoint = async (endpoint: string, reported: Map<string, EndpointStatus>) => {
 		try {
-			const status = await askNext(endpoint);
-			shown.set(endpoint, status);
+			const status = await requestStatus(endpoint);
+			reported.set(endpoint, status);
 			options.onStatus(endpoint, status, clock.now());
 		} catch {
 			options.onFailure(endpoint, clock.now());
 		}
 	};
 
-	// Ends as soon as the answers decide; a silent server delays no round that the others settle.
+	// Returns as soon as the statuses decide the round; a silent server delays no round that the others decide.
 	const runRound = async () => {
 		const takenAt = clock.now();
 		const endpoints = options.getEndpoints();
 		const majority = Math.floor(endpoints.length / 2) + 1;
-		const shown = new Map<string, EndpointStatus>();
-		const asked = new Set<Promise<void>>();
+		const reported = new Map<string, EndpointStatus>();
+		const pending = new Set<Promise<void>>();
 		for (const endpoint of endpoints) {
-			const answer: Promise<void> = ask(endpoint, shown).finally(() => {
-				asked.delete(answer);
+			const poll: Promise<void> = pollEndpoint(endpoint, reported).finally(() => {
+				pending.delete(poll);
 			});
-			asked.add(answer);
+			pending.add(poll);
 		}
 
-		while (asked.size > 0) {
-			await Promise.race(asked);
-			const found = judgeRound(shown, majority);
+		while (pending.size > 0) {
+			await Promise.race(pending);
+			const found = evaluateRound(reported, majority);
 			if (found) {
 				last = {...found, takenAt};
 				options.onTaken?.(last, clock.now());
@@ -143,7 +146,7 @@
 		}
 	};
 
-	// A round under way may have asked the primary before the caller's question: only the next one counts.
+	// A round in progress may have read the primary's status before this call, so only the next round counts.
 	const joinNextRound = async () => {
 		next ??= (async () => {
 			await running;
--- a/src/owners/confirmer.ts
+++ b/src/owners/confirmer.ts
@@ -3,36 +3,36 @@
 import type {EndpointStatus} from '../endpoints/endpoint.js';
 import type {ControlChannel} from '../endpoints/control-channel.js';
 
-/** How a confirmation ended. */
+/** The result of a confirmation. */
 export const Confirmation = {
-	/** A majority of the group holds the entry under its term: no later promotion can be without it. */
+	/** A majority of the group holds the entry under its term, so no later promotion can lack it. */
 	Confirmed: 'confirmed',
-	/** A majority has promised a higher term: this entry can no longer be confirmed under its own. */
+	/** A majority has promised a higher term, so the entry can no longer be confirmed under its own. */
 	Superseded: 'superseded',
-	/** Neither was shown in time. */
+	/** Neither was established by the deadline, or the confirmer was stopped. */
 	TimedOut: 'timed-out',
 } as const;
 
-/** One of the ends in {@link Confirmation}. */
+/** One of the results in {@link Confirmation}. */
 export type Confirmation = typeof Confirmation[keyof typeof Confirmation];
 
-/** An entry to be confirmed. */
+/** A log entry to confirm. */
 export type ConfirmRequest = {
 	readonly term: number;
 	readonly position: number;
-	/** Endpoint whose answer named the entry, with the status it showed in that answer. */
+	/** Endpoint whose answer named the entry; `status` is the one in that answer. */
 	readonly shownBy: string;
 	readonly status: EndpointStatus;
 	readonly deadlineAt: number;
 };
 
-/** Confirms log entries of one group by what a majority of its endpoints show. */
+/** Confirms log entries of one group by the statuses that a majority of its endpoints report. */
 export type Confirmer = {
 	confirm(req: ConfirmRequest): Promise<Confirmation>;
 	stop(): void;
 };
 
-/** What a confirmer is made from. */
+/** Options of {@link createConfirmer}. */
 export type ConfirmerOptions = {
 	readonly clock: Clock;
 	/** Names of the group's endpoints; their count decides the majority. */
@@ -42,11 +42,11 @@
 	onFailure(endpoint: string, now: number): void;
 };
 
-/** How long a server may hold a wait for a position, in milliseconds. */
-const WAIT_MS = 400;
+/** How long a server may hold a request that waits for a position, in milliseconds. */
+const SERVER_WAIT_MS = 400;
 
-/** Added to the wait for the answer's way back, in milliseconds. */
-const ANSWER_MARGIN_MS = 200;
+/** Time beyond {@link SERVER_WAIT_MS} that the response may take to arrive, in milliseconds. */
+const RESPONSE_MARGIN_MS = 200;
 
 /** Pause after a failed exchange, in milliseconds. */
 const FAILURE_PAUSE_MS = 50;
@@ -55,30 +55,30 @@
 	readonly term: number;
 	readonly position: number;
 	readonly holding: Set<string>;
-	readonly passed: Set<string>;
+	readonly superseding: Set<string>;
 	readonly deadlineAt: number;
-	settle(end: Confirmation): void;
+	resolve(end: Confirmation): void;
 };
 
 /**
- * Tells whether a server holds the entry under its term, by one answer of the server.
+ * Returns whether a status proves that its server holds the entry under the entry's term.
  *
- * Guards against counting a fenced server's divergent tail: after a promotion such a server may have promised the
- * new term and show a high position, and yet lack the entry. It would show up as an acknowledged write that the next
- * promotion loses. Since the log's last entry must be of the same term, and a primary's first entry of a term follows
- * all that it inherited, a log that ends in this term at or past the position contains the entry.
+ * Guards against counting the divergent log tail of a fenced server: after a promotion such a server may have promised
+ * the new term and report a high position, and yet lack the entry. The effect would be an acknowledged write that the
+ * next promotion loses. The log's last entry must therefore be of the same term: since a primary's first entry of a term
+ * follows all that it inherited, a log that ends in this term at or past the position contains the entry.
  */
 export function isHolding(status: EndpointStatus, term: number, position: number): boolean {
 	return status.term === term && status.log.term === term && status.log.position >= position;
 }
 
-/** Creates a confirmer; it exchanges nothing while nothing waits. */
+/** Creates a confirmer; it sends nothing while no confirmation is pending. */
 export function createConfirmer(options: ConfirmerOptions): Confirmer {
 	const {clock} = options;
 	const waiters = new Set<Waiter>();
 	const running = new Set<string>();
 	let stopped = false;
-	let watchedUntil = Infinity;
+	let timerAt = Infinity;
 
 	const getMajority = () => Math.floor(options.getEndpoints().length / 2) + 1;
 
@@ -88,13 +88,13 @@
 		}
 
 		if (status.term > waiter.term) {
-			waiter.passed.add(endpoint);
+			waiter.superseding.add(endpoint);
 		}
 
 		if (waiter.holding.size >= getMajority()) {
-			waiter.settle(Confirmation.Confirmed);
-		} else if (waiter.passed.size >= getMajority()) {
-			waiter.settle(Confirmation.Superseded);
+			waiter.resolve(Confirmation.Confirmed);
+		} else if (waiter.superseding.size >= getMajority()) {
+			waiter.resolve(Confirmation.Superseded);
 		}
 	};
 
@@ -107,7 +107,7 @@
 	const getNextWaiter = (endpoint: string) => {
 		let next: Waiter | undefined;
 		for (const waiter of waiters) {
-			const open = !waiter.holding.has(endpoint) && !waiter.passed.has(endpoint);
+			const open = !waiter.holding.has(endpoint) && !waiter.superseding.has(endpoint);
 			if (open && (!next || waiter.position < next.position)) {
 				next = waiter;
 			}
@@ -119,7 +119,7 @@
 	const exchange = async (endpoint: string, waiter: Waiter) => {
 		try {
 			const status = await options.getChannel(endpoint).run(async connection =>
-				connection.waitFor(waiter, WAIT_MS, WAIT_MS + ANSWER_MARGIN_MS));
+				connection.waitFor(waiter, SERVER_WAIT_MS, SERVER_WAIT_MS + RESPONSE_MARGIN_MS));
 			options.onStatus(endpoint, status, clock.now());
 			countAll(endpoint, status);
 		} catch {
@@ -128,7 +128,7 @@
 		}
 	};
 
-	// One task an endpoint while anything waits; each answer counts for every waiter at once.
+	// Runs one task per endpoint while anything waits; each status counts for every waiter.
 	const watchEndpoint = async (endpoint: string) => {
 		if (running.has(endpoint)) {
 			return;
@@ -149,33 +149,33 @@
 		let nextAt = Infinity;
 		for (const waiter of waiters) {
 			if (waiter.deadlineAt <= now) {
-				waiter.settle(Confirmation.TimedOut);
+				waiter.resolve(Confirmation.TimedOut);
 			} else {
 				nextAt = Math.min(nextAt, waiter.deadlineAt);
 			}
 		}
 
-		watchUntil(nextAt);
+		setTimer(nextAt);
 	};
 
-	// One watch for all that wait: a timer for each would cost more than its confirmation.
+	// One timer serves all waiters: a timer each would cost more than the confirmation itself.
 	const deadlines = createDeadlineTimer(clock, expire);
 
-	const watchUntil = (at: number) => {
-		watchedUntil = at;
+	const setTimer = (at: number) => {
+		timerAt = at;
 		if (at !== Infinity) {
 			deadlines.set(at);
 		}
 	};
 
-	const waitForEnd = async (req: ConfirmRequest) => new Promise<Confirmation>(resolve => {
+	const addWaiter = async (req: ConfirmRequest) => new Promise<Confirmation>(resolve => {
 		const waiter: Waiter = {
 			term: req.term,
 			position: req.position,
 			holding: new Set(),
-			passed: new Set(),
+			superseding: new Set(),
 			deadlineAt: req.deadlineAt,
-			settle(end) {
+			resolve(end) {
 				waiters.delete(waiter);
 				resolve(end);
 			},
@@ -186,8 +186,8 @@
 			return;
 		}
 
-		if (req.deadlineAt < watchedUntil) {
-			watchUntil(req.deadlineAt);
+		if (req.deadlineAt < timerAt) {
+			setTimer(req.deadlineAt);
 		}
 
 		for (const endpoint of options.getEndpoints()) {
@@ -196,12 +196,12 @@
 	});
 
 	return {
-		confirm: waitForEnd,
+		confirm: addWaiter,
 		stop() {
 			stopped = true;
 			deadlines.stop();
 			for (const waiter of waiters) {
-				waiter.settle(Confirmation.TimedOut);
+				waiter.resolve(Confirmation.TimedOut);
 			}
 		},
 	};
--- a/tests/owners/barrier-tests.ts
+++ b/tests/owners/barrier-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import type {EndpointStatus} from '../../src/endpoints/endpoint.js';
-import {judgeRound} from '../../src/owners/barrier.js';
+import {evaluateRound} from '../../src/owners/barrier.js';
 
 /** `P` or `R` for the role, promised term, and the log's (term, position), as in `P2 (2, 7)`. */
 function parseStatus(text: string): EndpointStatus {
@@ -14,11 +14,11 @@
 }
 
 describe('barrier', () => {
-	describe('judgeRound', () => {
+	describe('evaluateRound', () => {
 		const doTest = (shown: string[], expected: string) => {
 			it(`${shown.join(', ')} gives ${expected}`, () => {
 				const statuses = new Map(shown.map((text, index) => [`e${index + 1}`, parseStatus(text)]));
-				const found = judgeRound(statuses, 2);
+				const found = evaluateRound(statuses, 2);
 				expect(found ? `${found.primary} (${found.floor.term}, ${found.floor.position})` : 'nothing').to.equal(expected);
 			});
 		};
@@ -26,10 +26,10 @@
 		doTest(['P1 (1, 5)', 'R1 (1, 3)'], 'e1 (1, 5)');
 		doTest(['P1 (1, 5)'], 'nothing');
 		doTest(['R1 (1, 5)', 'R1 (1, 5)', 'R1 (1, 5)'], 'nothing');
-		// A superseded primary with one stray follower, and the primary that a majority promised.
+		// A superseded primary that reports the longest log, and the primary whose term a majority has promised.
 		doTest(['P1 (1, 9)', 'P2 (2, 7)', 'R2 (1, 6)'], 'e2 (2, 7)');
 		doTest(['P1 (1, 9)', 'R2 (1, 6)', 'R2 (1, 6)'], 'nothing');
-		// A primary that has not yet written the entry of its own term shows no bound.
+		// A primary that has not written an entry of its own term yet gives no floor.
 		doTest(['P2 (1, 9)', 'R2 (1, 6)', 'R2 (1, 6)'], 'nothing');
 	});
 });
--- a/tests/owners/confirmer-tests.ts
+++ b/tests/owners/confirmer-tests.ts
@@ -18,16 +18,16 @@
 		doTest(2, 2, 7, true);
 		doTest(2, 2, 8, true);
 		doTest(2, 2, 6, false);
-		// A fenced server with a long divergent tail of an older term.
+		// A fenced server whose log has a long divergent tail of an older term.
 		doTest(2, 1, 900, false);
-		// A server that has promised more can be outvoted no longer.
+		// A server that has promised a higher term does not confirm an entry of a lower one.
 		doTest(3, 2, 7, false);
 		doTest(3, 3, 9, false);
 	});
 
 	describe('confirm', () => {
 		const doTest = (title: string, answers: Record<string, EndpointStatus[]>, expected: string) => {
-			it(`${title} ends ${expected}`, async () => {
+			it(`${title}: ${expected}`, async () => {
 				const clock = createVirtualClock();
 				const asked: Record<string, number> = {};
 				const confirmer = createConfirmer({
@@ -59,10 +59,10 @@
 			});
 		};
 
-		doTest('one replica that catches up', {e2: [createStatus(2, 2, 6), createStatus(2, 2, 7)]}, 'confirmed');
-		doTest('silent replicas', {}, 'timed-out');
-		doTest('a majority of a higher term', {e2: [createStatus(3, 2, 6)], e3: [createStatus(3, 1, 9)]}, 'superseded');
-		doTest('one server of a higher term', {e2: [createStatus(3, 2, 6)]}, 'timed-out');
-		doTest('a divergent tail beside a silent replica', {e3: [createStatus(2, 1, 900)]}, 'timed-out');
+		doTest('one replica catches up', {e2: [createStatus(2, 2, 6), createStatus(2, 2, 7)]}, 'confirmed');
+		doTest('all replicas are silent', {}, 'timed-out');
+		doTest('a majority has promised a higher term', {e2: [createStatus(3, 2, 6)], e3: [createStatus(3, 1, 9)]}, 'superseded');
+		doTest('one server has promised a higher term', {e2: [createStatus(3, 2, 6)]}, 'timed-out');
+		doTest('one replica has a divergent tail and the other is silent', {e3: [createStatus(2, 1, 900)]}, 'timed-out');
 	});
 });
