--- a/src/owners/create-owners.ts
+++ b/src/owners/create-owners.ts
@@ -10,19 +10,19 @@
 import type {Clock} from '../time/clock.js';
 import type {Service} from '../kernel/service.js';
 import type {GroupOwner} from './group-owner.js';
-import {tellLeaving} from './tell-leaving.js';
+import {notifyLeaving} from './notify-leaving.js';
 import {answerNotRun, createRefusal} from './owner-answers.js';
 
-/** The owners on this host, with what operators and transactions need of them. */
+/** The group owners that run on this host, with what operators and transactions need of them. */
 export type OwnersService = Owners & Service & {
-	/** The group's owner where this host is one and runs it. */
+	/** Returns the group's owner if it runs on this host. */
 	getOwner(group: string): GroupOwner | undefined;
-	/** Admits a request into the group's owner here; a refusal where this host is none. */
+	/** Runs work at the group's owner on this host; resolves with a refusal if this host does not own the group or is leaving. */
 	withOwner(group: string, work: (owner: GroupOwner) => Promise<OwnerResponse>): Promise<OwnerResponse>;
 	getOwnedGroups(): readonly string[];
 	/**
-	 * Hands this host's groups on, for a planned stop: tells those who come next, sends every new request to them, and
-	 * resolves once what had begun has ended, or after `boundMs`. Open transactions go on meanwhile.
+	 * Hands this host's groups over for a planned stop: notifies the next owners, refuses new requests so that they go there,
+	 * and resolves once the requests in flight have ended or `boundMs` has passed. Open transactions continue meanwhile.
 	 */
 	leave(boundMs: number): Promise<void>;
 };
@@ -33,7 +33,7 @@
 	}
 }
 
-/** What the owners are made from. */
+/** Options of {@link createOwners}. */
 export type OwnersOptions = {
 	readonly clock: Clock;
 	readonly configuration: Configuration;
@@ -42,18 +42,18 @@
 	readonly peers: Peers;
 	readonly log: Log;
 	createGroupOwner(group: string): GroupOwner;
-	/** Told which version of a group's configuration a peer's request carried. */
+	/** Called with the version of a group's configuration that a peer's request carried. */
 	onVersionSeen?(group: string, version: number, peerAddress: string): void;
 };
 
-/** Time between looks at which groups this host looks after, in milliseconds. */
-const LOOK_MS = 500;
+/** Time between checks of which groups this host owns, in milliseconds. */
+const OWNERSHIP_CHECK_INTERVAL_MS = 500;
 
-/** How long a former owner lets its requests end, in milliseconds. */
-const ENDING_MS = 60_000;
+/** How long an owner that is no longer in charge of its group waits for its requests to end, in milliseconds. */
+const DRAIN_TIMEOUT_MS = 60_000;
 
-/** Time between looks at what is still in flight while this host leaves, in milliseconds. */
-const LEAVE_LOOK_MS = 10;
+/** Time between checks of what is still in flight while this host leaves, in milliseconds. */
+const LEAVE_POLL_INTERVAL_MS = 10;
 
 type RunningOwner = {
 	readonly owner: GroupOwner;
@@ -75,25 +75,25 @@
 		return cfg !== undefined && owning.getOwners(group, cfg.owners, now).some(({name}) => name === hosts.self.name);
 	};
 
-	const end = async (group: string, ended: RunningOwner) => {
+	const drainAndStop = async (group: string, former: RunningOwner) => {
 		running.delete(group);
-		const until = clock.now() + ENDING_MS;
-		while (ended.inFlight > 0 && clock.now() < until) {
-			await clock.sleep(LOOK_MS, stopping.signal);
+		const until = clock.now() + DRAIN_TIMEOUT_MS;
+		while (former.inFlight > 0 && clock.now() < until) {
+			await clock.sleep(OWNERSHIP_CHECK_INTERVAL_MS, stopping.signal);
 			if (stopping.signal.aborted) {
 				break;
 			}
 		}
 
-		await ended.owner.stop();
+		await former.owner.stop();
 	};
 
-	const begin = (group: string) => {
-		const begun: RunningOwner = {owner: options.createGroupOwner(group), inFlight: 0};
-		running.set(group, begun);
-		log.info('this host now looks after a group', {group});
-		void begun.owner.start();
-		return begun;
+	const startOwner = (group: string) => {
+		const started: RunningOwner = {owner: options.createGroupOwner(group), inFlight: 0};
+		running.set(group, started);
+		log.info('this host now owns a group', {group});
+		void started.owner.start();
+		return started;
 	};
 
 	const getRunning = (group: string) => {
@@ -102,34 +102,34 @@
 			return current;
 		}
 
-		return isOwner(group, clock.now()) ? begin(group) : undefined;
+		return isOwner(group, clock.now()) ? startOwner(group) : undefined;
 	};
 
-	const look = () => {
+	const checkOwnership = () => {
 		const now = clock.now();
 		for (const {cfg, deleted} of configuration.getGroups()) {
 			if (!deleted && !running.has(cfg.name) && isOwner(cfg.name, now)) {
-				begin(cfg.name);
+				startOwner(cfg.name);
 			}
 		}
 
 		for (const [group, current] of running) {
 			current.owner.noteLeaving(now);
 			if (!isOwner(group, now)) {
-				log.info('this host no longer looks after a group', {group});
-				void end(group, current);
+				log.info('this host no longer owns a group', {group});
+				void drainAndStop(group, current);
 			}
 		}
 	};
 
-	const lookOn = async () => {
+	const runOwnershipChecks = async () => {
 		while (!stopping.signal.aborted) {
-			// A host that leaves keeps its owners for what had begun.
+			// A leaving host keeps its owners for the requests in flight.
 			if (!leaving) {
-				look();
+				checkOwnership();
 			}
 
-			await clock.sleep(LOOK_MS, stopping.signal);
+			await clock.sleep(OWNERSHIP_CHECK_INTERVAL_MS, stopping.signal);
 		}
 	};
 
@@ -142,8 +142,8 @@
 		}), true);
 	};
 
-	// Guards against work that begins at a host that is about to stop and would be cut: it has not run, and the caller's
-	// proxy brings it to another owner at once.
+	// Guards against starting work on a host that is about to stop and would abort it: the work has not run, and the
+	// caller's proxy sends it to another owner at once.
 	const refuseLeaving = (group: string) => answerNotRun(createRefusal(RefusalCode.HostLeaving, {
 		reason: `host ${hosts.self.name} is stopping and has handed group ${group} on`,
 		facts: {host: hosts.self.name},
@@ -186,11 +186,11 @@
 		getOwnedGroups: () => [...running.keys()],
 		async leave(boundMs) {
 			const until = clock.now() + boundMs;
-			await tellLeaving({...options, groups: [...running.keys()]});
+			await notifyLeaving({...options, groups: [...running.keys()]});
 			leaving = true;
 			hosts.reportLeaving(hosts.self.address, clock.now());
 			while (countInFlight() > 0 && clock.now() < until) {
-				await clock.sleep(LEAVE_LOOK_MS, stopping.signal);
+				await clock.sleep(LEAVE_POLL_INTERVAL_MS, stopping.signal);
 			}
 		},
 		async start() {
@@ -209,11 +209,11 @@
 			configuration.onChange(group => {
 				running.get(group)?.owner.applyConfig();
 			});
-			void lookOn();
+			void runOwnershipChecks();
 		},
 		async stop() {
 			stopping.abort();
-			await Promise.all([...running].map(async ([group, current]) => end(group, current)));
+			await Promise.all([...running].map(async ([group, current]) => drainAndStop(group, current)));
 		},
 	};
 }
--- a/src/owners/group-changes.ts
+++ b/src/owners/group-changes.ts
@@ -1,14 +1,14 @@
 import type {Clock} from '../time/clock.js';
 
-/** Tells those who wait that a group's primary or term may have changed. */
+/** Notifies listeners and waiters that a group's primary or term may have changed. */
 export type GroupChanges = {
 	notify(): void;
 	on(listener: () => void): () => void;
 	waitFor(deadlineAt: number): Promise<void>;
 };
 
-/** Longest wait without a look, in milliseconds, should a change have gone unnoticed. */
-const LONGEST_WAIT_MS = 250;
+/** Maximum time before a waiter checks again, in milliseconds, in case a change was not notified. */
+const MAX_WAIT_MS = 250;
 
 /** Creates the notifier of one group. */
 export function createGroupChanges(clock: Clock): GroupChanges {
@@ -33,7 +33,7 @@
 			const off = on(() => {
 				abort.abort();
 			});
-			await clock.sleep(Math.min(LONGEST_WAIT_MS, deadlineAt - clock.now()), abort.signal);
+			await clock.sleep(Math.min(MAX_WAIT_MS, deadlineAt - clock.now()), abort.signal);
 			off();
 		},
 	};
--- a/src/owners/group-owner.ts
+++ b/src/owners/group-owner.ts
@@ -22,33 +22,33 @@
 import {createWriteGate} from './write-gate.js';
 import {createWritePath, type WritePath} from './write-path.js';
 
-/** Looks after one database group on this host: its connections, its knowledge and its paths. */
+/** Owns one database group on this host: its connections, what is known of its endpoints, and its read and write paths. */
 export type GroupOwner = {
 	readonly parts: GroupParts;
 	readonly reads: ReadPath;
 	readonly writes: WritePath;
-	/** The way in for failover. */
+	/** What failover uses of this owner. */
 	readonly failoverContext: GroupFailoverContext;
 	start(): Promise<void>;
-	/** Ends the owner's tasks and closes its connections. */
+	/** Stops the owner's tasks and closes its connections. */
 	stop(): Promise<void>;
-	/** Takes a changed configuration in force. */
+	/** Applies a changed configuration. */
 	applyConfig(): void;
-	/** Hands the primary's role to another endpoint; rejects with the reason why not. */
+	/** Moves the primary's role to another endpoint; rejects with the reason if it cannot. */
 	switchTo(endpoint: string, deadlineMs: number): Promise<void>;
-	/** What order, host list and the server's own word say now. */
+	/** Returns whether the operator's order, the platform's host list or the server's own status currently makes it leave. */
 	isLeaving(endpoint: EndpointConfig): boolean;
-	/** Notes which endpoints are leaving, so that a leaving primary's grace runs without traffic too. */
+	/** Records which endpoints are leaving, so that a leaving primary's grace period runs without traffic too. */
 	noteLeaving(now: number): void;
 };
 
-/** What a group's owner is made from. */
+/** Options of {@link createGroupOwner}. */
 export type GroupOwnerOptions = {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly endpoints: Endpoints;
 	getGroup(): VersionedGroup;
-	/** Tells whether the platform's list calls the host at that address leaving. */
+	/** Returns whether the platform's list marks the host at that address as leaving. */
 	isEndpointLeaving(address: string): boolean;
 	createAdmission(endpoint: EndpointConfig, cfg: GroupConfig): Admission;
 	createFailover(context: GroupFailoverContext): GroupFailover;
@@ -57,16 +57,16 @@
 type OwnedEndpoint = EndpointParts & {
 	readonly address: string;
 	readonly control: ControlChannel;
-	/** Apart from `control`, since a wait for a position holds it for long. */
+	/** Separate from `control`, since a wait for a position occupies its channel for long. */
 	readonly waits: ControlChannel;
 };
 
-/** Creates the owner of one group; it connects when it is started or first used. */
+/** Creates the owner of one group; it connects once it is started or first used. */
 export function createGroupOwner(options: GroupOwnerOptions): GroupOwner {
 	const {clock, random, getGroup} = options;
-	const owned = new Map<string, OwnedEndpoint>();
+	const ownedEndpoints = new Map<string, OwnedEndpoint>();
 	const changes = createGroupChanges(clock);
-	const knowledge = watchKnowledge(createGroupKnowledge({getGroup}), changes.notify);
+	const knowledge = notifyOnChange(createGroupKnowledge({getGroup}), changes.notify);
 	const writeGate = createWriteGate(clock);
 	const leaving = createLeavingEndpoints();
 	const running = createRunningWork();
@@ -106,14 +106,14 @@
 	};
 
 	const close = async (endpoint: OwnedEndpoint) => {
-		owned.delete(endpoint.name);
+		ownedEndpoints.delete(endpoint.name);
 		await Promise.all([endpoint.pool.close(), endpoint.control.close(), endpoint.waits.close()]);
 	};
 
 	const getOwned = (name: string) => {
 		const {cfg} = getGroup();
 		const endpoint = cfg.endpoints.find(candidate => candidate.name === name);
-		const current = owned.get(name);
+		const current = ownedEndpoints.get(name);
 		if (!endpoint || current?.address === endpoint.address) {
 			return endpoint && current;
 		}
@@ -123,7 +123,7 @@
 		}
 
 		const opened = open(endpoint, cfg);
-		owned.set(name, opened);
+		ownedEndpoints.set(name, opened);
 		return opened;
 	};
 
@@ -149,7 +149,7 @@
 		knowledge,
 		control: async <T>(endpoint: string, exchange: (connection: EndpointConnection) => Promise<T>) => getChannel(endpoint, 'control').run(exchange),
 		holdWrites: async ms => writeGate.hold(ms),
-		// A new owner knows nothing yet, and watches closely at first.
+		// A new owner knows of no earlier work, so it counts as busy when it is created and is polled at the short interval.
 		getIdleMs: now => Math.min(now - createdAt, running.getIdleMs(now)),
 	};
 	const failover = options.createFailover(failoverContext);
@@ -157,24 +157,24 @@
 	const silence = createSilenceWatch({
 		clock,
 		knowledge,
-		onDoubt(endpoint, now) {
+		onSilent(endpoint, now) {
 			failover.suspect(endpoint, now);
 		},
 	});
 
-	// Guards against new work on an endpoint that is about to go: the operator's order, the platform's list and
-	// the server's own word each suffice, so that losing one of the three ways does not matter.
+	// Guards against new work on an endpoint that is about to stop: the operator's order, the platform's list and
+	// the server's own status each suffice, so that the loss of one of the three signals does not matter.
 	const isLeavingNow = ({name}: EndpointConfig) => {
-		// Whoever waited for its turn still holds the configuration from before the order.
+		// A request that was queued still holds the configuration from before the order.
 		const endpoint = getGroup().cfg.endpoints.find(current => current.name === name);
 		return endpoint?.order !== EndpointOrder.Serve
 			|| options.isEndpointLeaving(endpoint.address)
 			|| knowledge.get(name)?.status?.leaving === true;
 	};
 
-	const noteOne = (endpoint: EndpointConfig, now: number) => {
+	const noteEndpoint = (endpoint: EndpointConfig, now: number) => {
 		const isLeaving = isLeavingNow(endpoint);
-		// As long as the server has not spoken, its own word is missing.
+		// Until the server has reported a status, whether it calls itself leaving is unknown.
 		if (isLeaving || knowledge.get(endpoint.name)?.status) {
 			leaving.note(endpoint.name, isLeaving, now);
 		}
@@ -184,7 +184,7 @@
 
 	const noteLeaving = (now: number) => {
 		for (const endpoint of getGroup().cfg.endpoints) {
-			noteOne(endpoint, now);
+			noteEndpoint(endpoint, now);
 		}
 	};
 
@@ -199,7 +199,7 @@
 		getGroup,
 		getParts: getOwned,
 		mayTakeWork(endpoint, now) {
-			return !noteOne(endpoint, now) || (knowledge.getPrimary()?.name === endpoint.name && !leaving.isGraceOver(endpoint.name, now));
+			return !noteEndpoint(endpoint, now) || (knowledge.getPrimary()?.name === endpoint.name && !leaving.isGraceOver(endpoint.name, now));
 		},
 		suspect(endpoint, now) {
 			knowledge.observeFailure(endpoint, now);
@@ -222,14 +222,14 @@
 			confirmer.stop();
 			silence.stop();
 			barrier.stop();
-			await Promise.all([...owned.values()].map(async endpoint => close(endpoint)));
+			await Promise.all([...ownedEndpoints.values()].map(async endpoint => close(endpoint)));
 		},
 		noteLeaving,
 		isLeaving: isLeavingNow,
 		switchTo: async (endpoint, deadlineMs) => failover.switchTo(endpoint, deadlineMs),
 		applyConfig() {
 			const {cfg} = getGroup();
-			for (const endpoint of owned.values()) {
+			for (const endpoint of ownedEndpoints.values()) {
 				const current = cfg.endpoints.find(({name}) => name === endpoint.name);
 				if (current) {
 					endpoint.pool.setLimit(getPoolLimit(cfg, current));
@@ -244,8 +244,8 @@
 	};
 }
 
-/** Tells of every observation that may change who the primary is. */
-function watchKnowledge(knowledge: GroupKnowledge, notify: () => void): GroupKnowledge {
+/** Calls `notify` after every observation that changed the highest term or the primary. */
+function notifyOnChange(knowledge: GroupKnowledge, notify: () => void): GroupKnowledge {
 	return {
 		...knowledge,
 		get highestTerm() {
--- a/src/owners/group-parts.ts
+++ b/src/owners/group-parts.ts
@@ -10,21 +10,21 @@
 import type {SilenceWatch} from './silence-watch.js';
 import type {WriteGate} from './write-gate.js';
 
-/** One endpoint as an owner uses it. */
+/** What an owner uses of one endpoint. */
 export type EndpointParts = {
 	readonly name: string;
 	readonly pool: ConnectionPool;
 	readonly admission: Admission;
 };
 
-/** The primary of a group as its owner knows it. */
+/** The primary of a group and its term, as its owner knows them. */
 export type Primary = {
 	readonly endpoint: EndpointConfig;
 	readonly parts: EndpointParts;
 	readonly term: number;
 };
 
-/** What an owner of one group works with; shared by its read, write, transaction and failover paths. */
+/** What the read, write and transaction paths of one group's owner share. */
 export type GroupParts = {
 	readonly clock: Clock;
 	readonly knowledge: GroupKnowledge;
@@ -33,16 +33,16 @@
 	/** Closed while a planned change of primary is under way. */
 	readonly writeGate: WriteGate;
 	readonly running: RunningWork;
-	/** Has a silent endpoint looked at before its next poll. */
+	/** Has failover check a silent endpoint before its next poll. */
 	readonly silence: SilenceWatch;
 	getGroup(): VersionedGroup;
 	getParts(endpoint: string): EndpointParts | undefined;
-	/** Tells whether the endpoint may be given new work; a leaving one that is still primary may for a short grace. */
+	/** Returns whether the endpoint may be given new work; a leaving one that is still primary may for a short grace period. */
 	mayTakeWork(endpoint: EndpointConfig, now: number): boolean;
-	/** Notes that traffic found an endpoint silent. */
+	/** Records that an exchange with an endpoint failed, and reports the endpoint to failover. */
 	suspect(endpoint: string, now: number): void;
-	/** Resolves when the group's primary may have changed, or at `deadlineAt`. */
+	/** Resolves when the group's primary may have changed, at the latest at `deadlineAt`. */
 	waitForChange(deadlineAt: number): Promise<void>;
-	/** Calls back when the primary or the highest term may have changed, until the returned call ends it. */
+	/** Calls the listener when the primary or the highest term may have changed, until the returned function is called. */
 	onChange(listener: () => void): () => void;
 };
--- a/src/owners/lost-writes.ts
+++ b/src/owners/lost-writes.ts
@@ -7,24 +7,24 @@
 import type {GroupParts} from './group-parts.js';
 import {answerNotRun, createRefusal} from './owner-answers.js';
 
-/** A server's answer that the log has passed a session's floor without holding its entry. */
-export type SeenLoss = {
+/** A server's answer which shows that its log has passed a session's floor without holding the floor's entry. */
+export type DetectedLoss = {
 	readonly endpoint: EndpointConfig;
 	readonly answer: FloorReadAnswer;
 	readonly floor: LogPosition;
 };
 
-/** Any log that ends in a term holds that term's first entry, and with it all that the promotion kept. */
+/** Every log that ends in a term holds the term's first entry, and with it all that the promotion kept. */
 const ANY_POSITION = 1;
 
 /**
- * Tells a session that an acknowledged write of its own was lost, where that is final; undefined where it is not.
+ * Returns the refusal which says that an acknowledged write of the session was lost, or undefined if that is not final.
  *
- * Guards against telling a session too early: the server that was promoted without the write may die before anyone
- * follows it, and the next promotion may bring the old primary's log back with the write in it. Once a majority's
- * logs end in the term that lacks it, every later promotion starts from such a log.
+ * Guards against reporting the loss too early: the server that was promoted without the write may fail before any other
+ * follows it, and the next promotion may restore the old primary's log with the write in it. Once the logs of a majority
+ * end in the term that lacks the write, every later promotion starts from such a log.
  */
-export async function refuseLostWrite(group: GroupParts, {endpoint, answer, floor}: SeenLoss, deadlineAt: number): Promise<OwnerResponse | undefined> {
+export async function refuseLostWrite(group: GroupParts, {endpoint, answer, floor}: DetectedLoss, deadlineAt: number): Promise<OwnerResponse | undefined> {
 	const {status} = answer;
 	if (status.log.term !== status.term) {
 		return undefined;
--- a/src/owners/predicted-placement.ts
+++ b/src/owners/predicted-placement.ts
@@ -6,25 +6,25 @@
 	PlacementGroup, ReadChoice, ReadNeed, ReadPlacement,
 } from './read-placement.js';
 
-/** A replica seen within this time is taken to keep its distance to the primary, in milliseconds; it is asked each second. */
-const STEADY_MS = 1000;
+/** How long a replica is assumed to keep the lag that it last reported, in milliseconds; replicas are polled each second. */
+const LAG_VALIDITY_MS = 1000;
 
-/** Longest time for which a read is held back until a replica has what it needs, in milliseconds. */
+/** Maximum time for which a read is held back until a replica is predicted to hold its floor, in milliseconds. */
 const MAX_WAIT_MS = 10;
 
 type RankedChoice = ReadChoice & {
 	/** Predicted time until the read runs, in milliseconds. */
 	readonly startMs: number;
-	/** Sets the order among equals. */
-	readonly lot: number;
+	/** Random number that orders choices with equal start times. */
+	readonly tieBreaker: number;
 };
 
 /**
- * Predicts what a replica will hold when the read reaches it, from what it showed and how far it was behind then.
+ * Predicts what a replica will hold when the read reaches it, from the position that it reported and its lag at that time.
  *
- * A replica that was last seen some time ago has moved on with the primary since: its data is as old as it was then,
- * not older by the time that passed. A floor that a session brought was acknowledged, so a majority holds it: as many of
- * the most advanced replicas as that takes beside the primary are tried at once, seen to hold it or not.
+ * A replica that was last seen some time ago has advanced with the primary since: its data is as old as it was then, not
+ * older by the time that has passed. A session's floor was acknowledged, so a majority holds it: as many of the most
+ * advanced replicas as complete a majority with the primary are tried at once, even if they did not report the floor yet.
  */
 export class PredictedPlacement implements ReadPlacement {
 	constructor(private readonly random: Random) {}
@@ -36,22 +36,22 @@
 			.filter(replica => getPredictedAgeMs(group, replica, need) <= need.maxAgeMs)
 			.map(replica => this.#rank(replica, presumed.has(replica) ? 0 : getFloorWaitMs(group, replica, need)))
 			.filter(({waitMs}) => waitMs <= MAX_WAIT_MS)
-			.sort((left, right) => left.startMs - right.startMs || left.lot - right.lot);
+			.sort((left, right) => left.startMs - right.startMs || left.tieBreaker - right.tieBreaker);
 		const primary = getPrimaryCandidate(group, need);
 		return [...choices, ...(primary ? [{endpoint: primary.endpoint, waitMs: 0}] : [])];
 	}
 
 	#rank({endpoint, queueMs}: ReplicaCandidate, waitMs: number): RankedChoice {
-		// Several owners that see the same replicas idle would all take the first of them.
+		// Without a random order, several owners that see the same replicas idle would all choose the first of them.
 		return {
-			endpoint, waitMs, startMs: Math.max(waitMs, queueMs), lot: this.random.fraction(),
+			endpoint, waitMs, startMs: Math.max(waitMs, queueMs), tieBreaker: this.random.fraction(),
 		};
 	}
 }
 
 function getPredictedAgeMs({knowledge}: PlacementGroup, {endpoint, known}: ReplicaCandidate, {now}: ReadNeed): number {
-	const isSteady = now - known.seenAt <= STEADY_MS;
-	return isSteady ? knowledge.getLogAgeMs(known.status.log, known.seenAt) : knowledge.getAgeMs(endpoint.name, now);
+	const isRecent = now - known.seenAt <= LAG_VALIDITY_MS;
+	return isRecent ? knowledge.getLogAgeMs(known.status.log, known.seenAt) : knowledge.getAgeMs(endpoint.name, now);
 }
 
 function getPresumedHolders(group: PlacementGroup, replicas: readonly ReplicaCandidate[], need: ReadNeed): ReadonlySet<ReplicaCandidate> {
@@ -64,7 +64,7 @@
 	return new Set(byAdvance.slice(0, getMajority(cfg) - 1));
 }
 
-/** How long until the replica is predicted to hold the floor, in milliseconds; Infinity where nothing tells. */
+/** Returns how long until the replica is predicted to hold the floor, in milliseconds; Infinity if that is not known. */
 function getFloorWaitMs({knowledge}: PlacementGroup, {known}: ReplicaCandidate, {floor, now}: ReadNeed): number {
 	const {log} = known.status;
 	if (holdsLogPosition(log, floor)) {
@@ -73,7 +73,7 @@
 
 	const shownAt = knowledge.getReachedAt(log);
 	const floorAt = knowledge.getReachedAt(floor);
-	if (shownAt === undefined || floorAt === undefined || now - known.seenAt > STEADY_MS) {
+	if (shownAt === undefined || floorAt === undefined || now - known.seenAt > LAG_VALIDITY_MS) {
 		return Infinity;
 	}
 
--- a/src/owners/read-candidates.ts
+++ b/src/owners/read-candidates.ts
@@ -3,25 +3,25 @@
 import type {EndpointKnowledge} from '../groups/group-knowledge.js';
 import type {PlacementGroup, ReadNeed} from './read-placement.js';
 
-/** An endpoint that may be given a read, with what its admission predicts. */
+/** An endpoint that may be given a read, with its predicted queue time. */
 export type ReadCandidate = {
 	readonly endpoint: EndpointConfig;
 	/** Predicted wait for a slot, in milliseconds. */
 	readonly queueMs: number;
 };
 
-/** A replica that answered when it was last asked. */
+/** A replica that responded to the last request to it. */
 export type ReplicaCandidate = ReadCandidate & {
 	readonly known: EndpointKnowledge & {readonly status: EndpointStatus};
 };
 
-/** The primary where it may be given work, undefined otherwise. */
+/** Returns the primary if it may be given work, undefined otherwise. */
 export function getPrimaryCandidate(group: PlacementGroup, need: ReadNeed): ReadCandidate | undefined {
 	const primary = group.knowledge.getPrimary();
 	return primary && toCandidate(group, primary, need);
 }
 
-/** The replicas that may be given work. */
+/** Returns the replicas that may be given work and have not failed since they last responded. */
 export function getReplicaCandidates(group: PlacementGroup, need: ReadNeed): readonly ReplicaCandidate[] {
 	const primary = group.knowledge.getPrimary();
 	const candidates: ReplicaCandidate[] = [];
--- a/src/owners/read-path.ts
+++ b/src/owners/read-path.ts
@@ -9,35 +9,35 @@
 import {answerNotRun, createRefusal} from './owner-answers.js';
 import {refuseLostWrite} from './lost-writes.js';
 import type {ReadPlacement} from './read-placement.js';
-import {isTellingFailure} from './telling-failure.js';
+import {isServerFailure} from './server-failure.js';
 
-/** Serves reads of one group at an endpoint that holds the floor and the stated age. */
+/** Serves reads of one group from an endpoint that holds the read's floor and whose data is within the read's maximum age. */
 export type ReadPath = {
 	read(req: OwnerRequest, deadlineAt: number): Promise<OwnerResponse>;
 };
 
-/** When a caller may come back after no endpoint could serve its read, in milliseconds. */
+/** Retry delay for a caller whose read no endpoint could serve, in milliseconds. */
 const NO_ENDPOINT_RETRY_MS = 200;
 
-/** Part of the remaining time that a try may take while other endpoints are left, and the least that it is given, in milliseconds. */
+/** Share of the remaining time that a try may take while other endpoints are left, and the minimum that it gets, in milliseconds. */
 const TRY_SHARE = 0.5;
-const LEAST_TRY_MS = 400;
+const MIN_TRY_MS = 400;
 
 type Attempt = {readonly answer: FloorReadAnswer} | {readonly failed: OwnerResponse};
 
-/** Where a read's floor came from: the session, or a barrier taken at `takenAt`. */
+/** The floor that a read starts with: the session's, or that of a barrier taken at `takenAt`. */
 type ReadStart = {
 	readonly floor: LogPosition;
 	readonly takenAt?: number;
-	/** Whether a barrier was taken for this read, be it for its floor or for the ages alone. */
+	/** Whether a barrier was taken for this read, either for its floor or only to learn the age of the data. */
 	readonly withBarrier: boolean;
 };
 
-/** Why a read has to start again. */
+/** Why a read must start again. */
 const StartAgain = {
-	/** The barrier that it started from no longer bounds anything: its primary's log was not kept. */
+	/** The floor of the barrier that it started with is no longer valid: the log of the barrier's primary was not kept. */
 	BarrierLost: 'barrier-lost',
-	/** The last endpoint's rows were not known to be young enough when they came. */
+	/** The rows of the last endpoint were not known to be within the maximum age when they arrived. */
 	AgeUnknown: 'age-unknown',
 } as const;
 
@@ -54,7 +54,7 @@
 	const exchange = async (endpoint: EndpointConfig, req: OwnerRequest, floor: LogPosition, deadlineAt: number): Promise<Attempt> => {
 		const parts = group.getParts(endpoint.name)!;
 		const fail = (err: unknown, startedAt: number): Attempt => {
-			if (isTellingFailure({startedAt, until: deadlineAt}, clock.now())) {
+			if (isServerFailure({startedAt, until: deadlineAt}, clock.now())) {
 				group.suspect(endpoint.name, clock.now());
 			}
 
@@ -69,7 +69,7 @@
 			return fail(err, enteredAt);
 		}
 
-		// Guards against work that waited for its turn while the endpoint was told to leave: the wait may be long.
+		// Guards against work on an endpoint that started to leave while the work waited for a connection, which may take long.
 		if (!group.mayTakeWork(endpoint, clock.now())) {
 			parts.pool.release(connection);
 			return {failed: refuseLeaving(endpoint)};
@@ -106,16 +106,16 @@
 		}
 	};
 
-	// Guards against an answer older than the caller accepts: it may have been held up while the server moved on or
-	// was promoted. So the age is judged by the position that the server showed before the rows, never by what is
-	// known of the server.
+	// Guards against an answer older than the caller accepts: it may have been delayed while the server moved on or
+	// was promoted. So the age follows from the position that the server reported before the rows, never from what is
+	// known of the server by now.
 	const getAnswerAge = (answer: FloorReadAnswer, floorAt: number | undefined) => {
 		const now = clock.now();
 		const known = knowledge.getLogAgeMs(answer.status.log, now);
 		return floorAt === undefined ? known : Math.min(known, now - floorAt);
 	};
 
-	const judge = (endpoint: EndpointConfig, answer: FloorReadAnswer, req: OwnerRequest, floorAt: number | undefined): OwnerResponse | undefined => {
+	const evaluateAnswer = (endpoint: EndpointConfig, answer: FloorReadAnswer, req: OwnerRequest, floorAt: number | undefined): OwnerResponse | undefined => {
 		if (!answer.held) {
 			return undefined;
 		}
@@ -150,8 +150,8 @@
 		retryAfterMs: NO_ENDPOINT_RETRY_MS,
 	}));
 
-	// Guards against rows of unknown age from a primary that may have been superseded while this owner heard
-	// nothing: where no endpoint is known to be young enough, a barrier first shows that the primary still leads.
+	// Guards against rows of unknown age from a primary that may have been superseded while this owner received nothing:
+	// if the primary's data is not known to be within the maximum age, a barrier first proves that it is still the primary.
 	const needsBarrier = (req: OwnerRequest) => {
 		const primary = knowledge.getPrimary();
 		return !req.floor || !primary || knowledge.getAgeMs(primary.name, clock.now()) > req.maxAgeMs;
@@ -163,24 +163,24 @@
 			return undefined;
 		}
 
-		// A session's floor decides where the read may go; the barrier then only made the ages known.
+		// A session's floor decides which endpoints may serve the read; the barrier was then needed for the ages only.
 		return req.floor ? {floor: req.floor, withBarrier: true} : {floor: taken.floor, takenAt: taken.takenAt, withBarrier: true};
 	};
 
 	const takeStart = async (req: OwnerRequest, deadlineAt: number): Promise<ReadStart | undefined> =>
 		req.floor && !needsBarrier(req) ? {floor: req.floor, withBarrier: false} : takeBarrier(req, deadlineAt);
 
-	const judgeAttempt = async (endpoint: EndpointConfig, attempt: Attempt, req: OwnerRequest, start: ReadStart, deadlineAt: number) => {
+	const evaluateAttempt = async (endpoint: EndpointConfig, attempt: Attempt, req: OwnerRequest, start: ReadStart, deadlineAt: number) => {
 		if ('failed' in attempt) {
 			return undefined;
 		}
 
 		const {answer} = attempt;
 		if (!answer.lost) {
-			return judge(endpoint, answer, req, start.takenAt);
+			return evaluateAnswer(endpoint, answer, req, start.takenAt);
 		}
 
-		// A barrier's floor bounds what was acknowledged, but may itself be an entry that nobody confirmed.
+		// A barrier's floor covers what was acknowledged, but may itself be an entry that was never confirmed.
 		return start.takenAt === undefined
 			? refuseLostWrite(group, {endpoint, answer, floor: start.floor}, deadlineAt)
 			: StartAgain.BarrierLost;
@@ -207,9 +207,9 @@
 			}
 
 			const isLast = index === choices.length - 1;
-			const tryUntil = isLast ? deadlineAt : clock.now() + Math.min(leftMs, Math.max(LEAST_TRY_MS, leftMs * TRY_SHARE));
+			const tryUntil = isLast ? deadlineAt : clock.now() + Math.min(leftMs, Math.max(MIN_TRY_MS, leftMs * TRY_SHARE));
 			const attempt = await runAdmitted(endpoint, req, start.floor, tryUntil);
-			const answer = await judgeAttempt(endpoint, attempt, req, start, tryUntil);
+			const answer = await evaluateAttempt(endpoint, attempt, req, start, tryUntil);
 			if (answer) {
 				return answer;
 			}
@@ -219,8 +219,8 @@
 			mayHaveRun ||= 'failed' in attempt ? attempt.failed.outcome === Outcome.Unknown : attempt.answer.held;
 		}
 
-		// Guards against refusing what the primary could answer: the newest known sample passes the stated age while
-		// the rows are under way. It would show as refusals of reads with short ages from a healthy group.
+		// Guards against refusing a read that the primary could serve: the newest known sample may exceed the maximum age
+		// while the rows are on their way. The effect would be refusals of reads with a short maximum age in a healthy group.
 		if (isAgeUnknown && !start.withBarrier) {
 			return StartAgain.AgeUnknown;
 		}
--- a/src/owners/running-work.ts
+++ b/src/owners/running-work.ts
@@ -1,18 +1,18 @@
-/** What runs at a group's endpoints through this host, for operators who wait for a drain. */
+/** Records the work that this host runs at a group's endpoints, for operators who wait for a drain and for failover's poll interval. */
 export type RunningWork = {
-	/** Notes that work begins; the returned call notes its end. */
+	/** Records that work begins; the returned function records its end. */
 	begin(endpoint: string, work: WorkInProgress): () => void;
-	/** The work at an endpoint, oldest first. */
+	/** Returns the work in progress at an endpoint, oldest first. */
 	getAt(endpoint: string): readonly WorkInProgress[];
-	/** How long nothing has begun and nothing has run, in milliseconds; Infinity where nothing ever did. */
+	/** Returns the time since work last began, in milliseconds: 0 while any runs, Infinity if none ever did. */
 	getIdleMs(now: number): number;
 };
 
-/** A request or transaction that runs at an endpoint. */
+/** A request or transaction in progress at an endpoint. */
 export type WorkInProgress = {
 	readonly what: 'read' | 'write' | 'resolve' | 'transaction';
 	readonly requestId: string;
-	/** When it began, on the clock's `now`. */
+	/** When it began, by the clock's `now`. */
 	readonly since: number;
 };
 
--- a/src/owners/write-gate.ts
+++ b/src/owners/write-gate.ts
@@ -1,19 +1,22 @@
 import {setMaxListeners} from 'node:events';
 import type {Clock} from '../time/clock.js';
 
-/** Holds new writes back while a planned change of primary is under way, and counts those that run. */
+/** Holds back new writes during a planned change of primary, and counts the writes that run. */
 export type WriteGate = {
-	/** Waits for the gate to be open and enters; false where it stayed closed until `deadlineAt`. */
+	/** Waits until the gate is open and enters; resolves with false if it stays closed until `deadlineAt`. */
 	enter(deadlineAt: number): Promise<boolean>;
 	/** Leaves after {@link enter}. */
 	leave(): void;
-	/** Closes the gate for `ms` at most and waits for those inside; rejects none. The returned call opens it again. */
+	/**
+	 * Closes the gate for at most `ms` and resolves once no write is inside or that time has passed; no write is rejected.
+	 * The returned function opens the gate again, unless a later hold has closed it.
+	 */
 	hold(ms: number): Promise<() => void>;
 	readonly inside: number;
 };
 
-/** Pause between looks at those still inside, in milliseconds. */
-const LOOK_MS = 5;
+/** Time between checks of the writes still inside, in milliseconds. */
+const POLL_INTERVAL_MS = 5;
 
 /** Creates an open gate. */
 export function createWriteGate(clock: Clock): WriteGate {
@@ -35,7 +38,7 @@
 			return inside;
 		},
 		async enter(deadlineAt) {
-			// The hold ends by itself: a holder that died must not stall filings.
+			// The hold expires by itself, since a holder that crashed must not stall writes.
 			for (let now = clock.now(); now < heldUntil; now = clock.now()) {
 				if (now >= deadlineAt) {
 					return false;
@@ -55,7 +58,7 @@
 			const until = clock.now() + ms;
 			heldUntil = until;
 			while (inside > 0 && clock.now() < until) {
-				await clock.sleep(LOOK_MS);
+				await clock.sleep(POLL_INTERVAL_MS);
 			}
 
 			return () => {
@@ -65,7 +68,7 @@
 	};
 }
 
-/** Aborted when the gate opens; any number of writes may wait for it. */
+/** Creates a signal that is aborted when the gate opens; any number of writes may wait for it. */
 function createOpening(): AbortController {
 	const opening = new AbortController();
 	setMaxListeners(0, opening.signal);
--- a/src/owners/write-path.ts
+++ b/src/owners/write-path.ts
@@ -8,29 +8,29 @@
 import {Confirmation, isHolding} from './confirmer.js';
 import type {GroupParts, Primary} from './group-parts.js';
 import {answerNotRun} from './owner-answers.js';
-import {isTellingFailure, type GivenTime} from './telling-failure.js';
-import {createWriteAnswers} from './write-answers.js';
+import {isServerFailure, type TimeWindow} from './server-failure.js';
+import {createWriteResponses} from './write-responses.js';
 
 /**
- * Runs keyed exchanges at a group's primary and answers only what a majority has confirmed.
+ * Runs keyed exchanges at a group's primary and returns a result only once it is confirmed as the group's durability requires.
  */
 export type WritePath = {
 	write(req: OwnerRequest, deadlineAt: number): Promise<OwnerResponse>;
-	/** Settles what stands under a key; inserts a confirmed tombstone where nothing does. */
+	/** Resolves a request by what is stored under its key; inserts a confirmed tombstone if nothing is. */
 	resolve(req: ResolveRequest, deadlineAt: number): Promise<OwnerResponse>;
 	/**
-	 * Enters the write gate as soon as a primary takes work, and tells which; whoever entered leaves the gate.
-	 * Undefined, and not entered, where none does by `deadlineAt`.
+	 * Enters the write gate as soon as a primary accepts work and resolves with that primary; the caller must leave the gate.
+	 * Resolves with undefined, outside the gate, if no primary accepts work by `deadlineAt`.
 	 */
 	enterAtPrimary(deadlineAt: number): Promise<Primary | undefined>;
-	/** Confirms a primary's keyed answer and turns it into the owner's. */
-	settle(exchange: SettledExchange, deadlineAt: number): Promise<OwnerResponse>;
+	/** Confirms a primary's answer to a keyed exchange and converts it to the owner's response. */
+	settle(exchange: AnsweredExchange, deadlineAt: number): Promise<OwnerResponse>;
 };
 
-/** A keyed exchange that brought an answer. */
-export type SettledExchange = {
+/** A keyed exchange that the primary answered. */
+export type AnsweredExchange = {
 	readonly primary: EndpointConfig;
-	/** Term at which the exchange was asked for. */
+	/** The primary's term when the exchange was requested. */
 	readonly term: number;
 	readonly answer: KeyedWriteAnswer;
 	/** When the exchange was sent. */
@@ -38,23 +38,23 @@
 };
 
 /**
- * Part of the remaining time that an exchange may take, and the least that it is given where that much is left, in milliseconds.
+ * Share of the remaining time that one exchange may take, and the minimum that it gets if that much is left, in milliseconds.
  *
- * Guards against a filing that waits for its deadline on a connection that has gone silent: the rest is for other tries
- * under the same key, which wait for the first one's end where that is merely slow. A short deadline leaves no time for
- * another try, so there the exchange has all of it.
+ * Guards against a write that waits until its deadline on a connection that has gone silent: the rest is kept for further
+ * tries under the same key, which wait for the end of the first one if that is merely slow. A short deadline leaves no
+ * time for another try, so the exchange gets all of it.
  */
 const TRY_SHARE = 0.25;
-const LEAST_TRY_MS = 1000;
+const MIN_TRY_MS = 1000;
 
-/** The primary was told to leave before the exchange was sent; the next one may take it. */
-const PRIMARY_LEAVES = 'primary-leaves';
+/** The primary started to leave before the exchange was sent; the next primary may run it. */
+const PRIMARY_LEAVING = 'primary-leaves';
 
 type KeyedExchange = {
 	readonly what: 'write' | 'resolve';
 	readonly requestId: string;
 	readonly class: WorkClass;
-	/** Waits for a connection rather than leave it to another owner. */
+	/** No other owner will be tried, so the request waits here for a primary that responds. */
 	readonly isLastOwner?: boolean;
 	run(connection: EndpointConnection, term: number, timeoutMs: number): Promise<KeyedWriteAnswer>;
 };
@@ -62,7 +62,7 @@
 /** Creates the write path of one group. */
 export function createWritePath(group: GroupParts): WritePath {
 	const {clock, knowledge} = group;
-	const answers = createWriteAnswers(group);
+	const responses = createWriteResponses(group);
 
 	const findPrimary = (): Primary | undefined => {
 		const endpoint = knowledge.getPrimary();
@@ -75,8 +75,8 @@
 		return parts && term !== undefined ? {endpoint, parts, term} : undefined;
 	};
 
-	// Guards against a planned change that never comes about: it waits until nobody is inside the gate, so whoever
-	// waits for that change's new primary must do so outside.
+	// Guards against a planned change of primary that never completes: it waits until the gate is empty, so a request
+	// that waits for the new primary must do so outside.
 	const enterAtPrimary = async (deadlineAt: number) => {
 		while (await group.writeGate.enter(deadlineAt)) {
 			const primary = findPrimary();
@@ -95,22 +95,22 @@
 		return undefined;
 	};
 
-	const noteFailure = (primary: Primary, given: GivenTime) => {
-		if (isTellingFailure(given, clock.now())) {
+	const noteFailure = (primary: Primary, given: TimeWindow) => {
+		if (isServerFailure(given, clock.now())) {
 			group.suspect(primary.endpoint.name, clock.now());
 		}
 	};
 
-	// Guards against acknowledging a write on the word of a primary that has been superseded: its own answer
-	// looks like any other. Whatever it says of a key counts only once a majority shows the same term.
-	const getConfirmation = async ({term, primary, answer}: SettledExchange, deadlineAt: number) => {
+	// Guards against acknowledging a write by the answer of a superseded primary, which looks like any other.
+	// What a primary answers about a key counts only once a majority reports the same term.
+	const getConfirmation = async ({term, primary, answer}: AnsweredExchange, deadlineAt: number) => {
 		const {status} = answer;
 		if (status.role !== EndpointRole.Primary || !isHolding(status, term, status.log.position)) {
 			return Confirmation.Superseded;
 		}
 
-		// A group may choose to lose what it acknowledged with its primary, but "not run" must outlive every promotion: what
-		// it rests on has to be held by a majority.
+		// With durability `primary`, a group accepts that acknowledged writes are lost together with the primary. "Not run" must
+		// outlive every promotion all the same, so a majority has to hold the entry that it rests on.
 		const saysNotRun = answer.result === KeyedWriteResult.Tombstone || answer.result === KeyedWriteResult.Mismatch;
 		if (group.getGroup().cfg.durability === Durability.Primary && !saysNotRun) {
 			const round = await group.barrier.take(deadlineAt);
@@ -122,17 +122,17 @@
 		});
 	};
 
-	const settle = async (exchange: SettledExchange, deadlineAt: number): Promise<OwnerResponse> => {
+	const confirmAnswer = async (exchange: AnsweredExchange, deadlineAt: number): Promise<OwnerResponse> => {
 		const {term, primary, answer} = exchange;
 		knowledge.observe(primary.name, answer.status, clock.now());
 		switch (answer.result) {
 			case KeyedWriteResult.NotPrimary: {
 				group.suspect(primary.name, clock.now());
-				return answers.refuseSuperseded(primary.name, term, false);
+				return responses.refuseSuperseded(primary.name, term, false);
 			}
 
 			case KeyedWriteResult.Failed: {
-				return answers.refuseFailed(primary, term, answer);
+				return responses.refuseFailed(primary, term, answer);
 			}
 
 			case KeyedWriteResult.Ran:
@@ -145,23 +145,23 @@
 
 		const confirmation = await getConfirmation(exchange, deadlineAt);
 		if (confirmation === Confirmation.Confirmed) {
-			// Only an entry made after `sentAt` proves that the term still led then.
+			// Only an entry written after `sentAt` proves that the primary's term was still current at that time.
 			if (answer.result === KeyedWriteResult.Ran) {
 				knowledge.observeConfirmed(answer.status.log.position, term, exchange.sentAt);
 			}
 
-			return answers.answerConfirmed(primary, answer);
+			return responses.respondConfirmed(primary, answer);
 		}
 
 		group.suspect(primary.name, clock.now());
 		return confirmation === Confirmation.Superseded
-			? answers.refuseSuperseded(primary.name, term, true)
-			: answers.refuseNotConfirmed(primary, term, answer);
+			? responses.refuseSuperseded(primary.name, term, true)
+			: responses.refuseNotConfirmed(primary, term, answer);
 	};
 
-	// Guards against a filing that hangs on a lost primary until its deadline, although another primary could take
-	// it long before: once a higher term is seen the exchange is abandoned, and the next try goes there with the same key.
-	const cutWhenSuperseded = (primary: Primary, connection: EndpointConnection) => group.onChange(() => {
+	// Guards against a write that hangs on a lost primary until its deadline, although another primary could run it much
+	// earlier: once a higher term is seen, the exchange is abandoned, and the next try goes there with the same key.
+	const abandonWhenSuperseded = (primary: Primary, connection: EndpointConnection) => group.onChange(() => {
 		if (knowledge.highestTerm > primary.term) {
 			connection.destroy();
 		}
@@ -174,20 +174,20 @@
 			connection = await primary.parts.pool.acquire(deadlineAt);
 		} catch (err) {
 			noteFailure(primary, {startedAt: enteredAt, until: deadlineAt});
-			return answers.refuseNoConnection(primary, err);
+			return responses.refuseNoConnection(primary, err);
 		}
 
-		// Guards against work that waited for its turn while the primary was told to leave: the wait may be long.
+		// Guards against work on a primary that started to leave while the work waited for a connection, which may take long.
 		if (!group.mayTakeWork(primary.endpoint, clock.now())) {
 			primary.parts.pool.release(connection);
-			return PRIMARY_LEAVES;
+			return PRIMARY_LEAVING;
 		}
 
-		const stopWatching = cutWhenSuperseded(primary, connection);
+		const stopWatching = abandonWhenSuperseded(primary, connection);
 		const noteEnd = group.silence.begin(primary.endpoint.name);
 		const sentAt = clock.now();
 		const remainingMs = Math.max(1, deadlineAt - sentAt);
-		const timeoutMs = Math.min(remainingMs, Math.max(LEAST_TRY_MS, remainingMs * TRY_SHARE));
+		const timeoutMs = Math.min(remainingMs, Math.max(MIN_TRY_MS, remainingMs * TRY_SHARE));
 		const end = group.running.begin(primary.endpoint.name, {what: exchange.what, requestId: exchange.requestId, since: sentAt});
 		try {
 			const answer = await exchange.run(connection, primary.term, timeoutMs);
@@ -195,10 +195,10 @@
 				primary: primary.endpoint, term: primary.term, answer, sentAt,
 			};
 		} catch (err) {
-			// A connection whose exchange was abandoned is never lent again: its late answer would reach another caller.
+			// A connection whose exchange was abandoned is never reused: its late response would reach another caller.
 			connection.destroy();
 			noteFailure(primary, {startedAt: sentAt, until: sentAt + timeoutMs});
-			return isEndpointError(err) && !err.sent ? answers.refuseNoConnection(primary, err) : answers.refuseSilent(primary);
+			return isEndpointError(err) && !err.sent ? responses.refuseNoConnection(primary, err) : responses.refuseSilent(primary);
 		} finally {
 			stopWatching();
 			noteEnd();
@@ -216,15 +216,15 @@
 		let served = false;
 		try {
 			const end = await exchangeAt(primary, exchange, deadlineAt);
-			served = end !== PRIMARY_LEAVES && 'answer' in end;
+			served = end !== PRIMARY_LEAVING && 'answer' in end;
 			return end;
 		} finally {
 			admission.release(clock.now(), served);
 		}
 	};
 
-	/** Waits until a primary is known that answered somebody after its last failure; false where none is by `deadlineAt`. */
-	const waitForSoundPrimary = async (deadlineAt: number) => {
+	/** Waits until a primary is known that has answered since its last failure; resolves with false if there is none by `deadlineAt`. */
+	const waitForRespondingPrimary = async (deadlineAt: number) => {
 		while (clock.now() < deadlineAt) {
 			await group.waitForChange(deadlineAt);
 			const primary = findPrimary();
@@ -236,44 +236,44 @@
 		return false;
 	};
 
-	/** Runs the exchange at the primary of the moment, inside the gate; undefined where that primary was told to leave first. */
+	/** Runs the exchange at the current primary, inside the gate; resolves with undefined if that primary started to leave first. */
 	const runOnce = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerResponse | undefined> => {
 		const primary = await enterAtPrimary(deadlineAt);
 		if (!primary) {
-			return answers.refuseNoPrimary();
+			return responses.refuseNoPrimary();
 		}
 
 		try {
 			const end = await runAdmitted(primary, exchange, deadlineAt);
-			if (end === PRIMARY_LEAVES) {
+			if (end === PRIMARY_LEAVING) {
 				return undefined;
 			}
 
-			return 'answer' in end ? await settle(end, deadlineAt) : end;
+			return 'answer' in end ? await confirmAnswer(end, deadlineAt) : end;
 		} finally {
 			group.writeGate.leave();
 		}
 	};
 
-	// Guards against a burst of filings that is refused the moment a primary is lost, although another leads a second
-	// later: going back and forth between owners would use up the group's retries, and queueing at the lost one would
-	// end in refusals. Nothing was sent, so the last owner asked waits for a primary that answers.
+	// Guards against refusing a burst of writes when a primary is lost, although another is promoted a second later:
+	// going back and forth between owners would use up the group's retry budget, and queueing at the lost primary would
+	// end in refusals. Nothing was sent, so the last owner tried waits for a primary that responds.
 	const runAtPrimary = async (exchange: KeyedExchange, deadlineAt: number): Promise<OwnerResponse> => {
 		for (;;) {
-			const answer = await runOnce(exchange, deadlineAt);
-			if (!answer) {
+			const response = await runOnce(exchange, deadlineAt);
+			if (!response) {
 				continue;
 			}
 
-			const isUnconnected = answer.refusal?.code === RefusalCode.NoConnection;
-			if (!isUnconnected || !exchange.isLastOwner || !await waitForSoundPrimary(deadlineAt)) {
-				return answer;
+			const isUnconnected = response.refusal?.code === RefusalCode.NoConnection;
+			if (!isUnconnected || !exchange.isLastOwner || !await waitForRespondingPrimary(deadlineAt)) {
+				return response;
 			}
 		}
 	};
 
 	return {
-		settle,
+		settle: confirmAnswer,
 		enterAtPrimary,
 		async write(req, deadlineAt) {
 			const {requestId, digest, statement, values, isLastOwner} = req;
--- a/src/owners/write-answers.ts
+++ b/src/owners/write-responses.ts
@@ -6,32 +6,32 @@
 import type {GroupParts, Primary} from './group-parts.js';
 import {answerNotRun, answerUnknown, createRefusal} from './owner-answers.js';
 
-/** Makes the answers of a group's write path. */
-export type WriteAnswers = {
+/** Creates the responses of a group's write path. */
+export type WriteResponses = {
 	/** Nothing was sent: no primary is known. */
 	refuseNoPrimary(): OwnerResponse;
-	/** Nothing was sent: the primary gave no connection; another owner may have one. */
+	/** Nothing was sent: no connection to the primary was available; another owner may have one. */
 	refuseNoConnection(primary: Primary, err: unknown): OwnerResponse;
-	/** The request was sent and no answer came. */
+	/** The request was sent and got no response. */
 	refuseSilent(primary: Primary): OwnerResponse;
-	/** The endpoint is no longer primary of the term; `sent` tells whether the request may have run there. */
+	/** The endpoint is no longer primary of the term; with `sent`, the request may have run there. */
 	refuseSuperseded(endpoint: string, term: number, sent: boolean): OwnerResponse;
 	/** The primary rejected the statement and rolled it back. */
 	refuseFailed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerResponse;
-	/** The primary took the request, and no majority confirmed it. */
+	/** The primary accepted the request, but it was not confirmed in time. */
 	refuseNotConfirmed(primary: EndpointConfig, term: number, answer: KeyedWriteAnswer): OwnerResponse;
-	/** What stands under the key is confirmed. */
-	answerConfirmed(primary: EndpointConfig, answer: KeyedWriteAnswer): OwnerResponse;
+	/** What is stored under the request's key is confirmed. */
+	respondConfirmed(primary: EndpointConfig, answer: KeyedWriteAnswer): OwnerResponse;
 };
 
-/** When a caller may come back while no primary is known, in milliseconds. */
+/** Retry delay for a caller while no primary is known, in milliseconds. */
 const NO_PRIMARY_RETRY_MS = 500;
 
-/** When a caller may come back after an endpoint refused a connection, in milliseconds. */
+/** Retry delay for a caller after no connection to the primary was available, in milliseconds. */
 const NO_CONNECTION_RETRY_MS = 100;
 
-/** Creates the answers of one group. */
-export function createWriteAnswers({knowledge, getGroup}: GroupParts): WriteAnswers {
+/** Creates the write responses of one group. */
+export function createWriteResponses({knowledge, getGroup}: GroupParts): WriteResponses {
 	return {
 		refuseNoPrimary: () => answerNotRun(createRefusal(RefusalCode.NoPrimary, {
 			reason: 'the group has no primary that could take the write',
@@ -70,7 +70,7 @@
 				endpoint: primary.name, term, position: answer.status.log.position, durability: getGroup().cfg.durability,
 			},
 		})),
-		answerConfirmed(primary, {result, rows, status}) {
+		respondConfirmed(primary, {result, rows, status}) {
 			const facts = {endpoint: primary.name, term: status.term, position: status.log.position};
 			if (result === KeyedWriteResult.Tombstone) {
 				return answerNotRun(createRefusal(RefusalCode.Resolved, {
--- a/tests/owners/group-owner-tests.ts
+++ b/tests/owners/group-owner-tests.ts
@@ -8,9 +8,9 @@
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 describe('group owner', () => {
-	it('tells its failover how long the group has been without work', async () => {
-		// Coaches' groups sleep by day, and each was polled as if someone waited. A group taken for idle while it works
-		// would be worse: its lost primary is found a second late. So a new owner, too, counts as busy at first.
+	it('reports to failover how long the group has been idle', async () => {
+		// Guards against idle groups that are polled as often as busy ones. A busy group that counts as idle would be worse:
+		// the loss of its primary is detected a second late. A new owner therefore counts as busy at first, too.
 		const clock = createVirtualClock();
 		const cfg = groupConfigSchema.parse({
 			name: 'nights', endpoints: [{
--- a/tests/owners/predicted-placement-tests.ts
+++ b/tests/owners/predicted-placement-tests.ts
@@ -6,7 +6,7 @@
 import type {PlacementGroup, ReadNeed} from '../../src/owners/read-placement.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 
-/** What was seen of an endpoint: `p` is primary; `p` positions are confirmed as of then. */
+/** A position that an endpoint reported: `p` is the primary, and its positions are confirmed at that time. */
 type Seen = [at: number, endpoint: string, position: number];
 
 type Situation = {
@@ -58,15 +58,15 @@
 	const primary: Seen[] = [[9000, 'p', 5], [9900, 'p', 10], [9990, 'p', 19]];
 	const barrier = {floor: {term: 1, position: 19}, barrierAt: 9985};
 
-	doTest('takes the replica that holds the floor, then the primary', {seen: [...primary, [9980, 'q', 10], [9980, 'r', 4]]}, 'q, p');
-	doTest('takes the least busy first', {seen: [...primary, [9980, 'q', 10], [9980, 'r', 10]], queueMs: {q: 5}}, 'r, q, p');
+	doTest('chooses the replica that holds the floor, then the primary', {seen: [...primary, [9980, 'q', 10], [9980, 'r', 4]]}, 'q, p');
+	doTest('orders replicas by predicted queue time', {seen: [...primary, [9980, 'q', 10], [9980, 'r', 10]], queueMs: {q: 5}}, 'r, q, p');
 	doTest('tries the most advanced replica for an acknowledged write', {seen: [...primary, [9980, 'q', 8], [9980, 'r', 7]]}, 'q, p');
-	doTest('presumes nothing where the primary alone acknowledges', {seen: [...primary, [9980, 'q', 8]], durability: 'primary'}, 'p');
-	doTest('presumes nothing of a barrier\'s floor', {seen: [...primary, [9980, 'q', 6]], need: barrier}, 'p');
+	doTest('does not presume that a replica holds the floor with durability `primary`', {seen: [...primary, [9980, 'q', 8]], durability: 'primary'}, 'p');
+	doTest('does not presume that a replica holds the floor of a barrier', {seen: [...primary, [9980, 'q', 6]], need: barrier}, 'p');
 	doTest('waits for a replica that is about to hold the floor', {seen: [...primary, [9985, 'q', 18]], need: {...barrier, now: 9990}}, 'q in 5, p');
-	doTest('takes a replica that is predicted to hold the floor by now', {seen: [...primary, [9985, 'q', 18]], need: barrier}, 'q, p');
-	doTest('waits no longer than it pays', {seen: [...primary, [9985, 'q', 10]], need: barrier}, 'p');
-	doTest('takes the data to be as old as when it was seen', {seen: [...primary, [9960, 'q', 10]], need: {maxAgeMs: 70}}, 'q, p');
-	doTest('passes over a replica whose data was too old when it was seen', {seen: [...primary, [9980, 'q', 10]], need: {maxAgeMs: 70}}, 'p');
-	doTest('predicts nothing of a replica not seen for long', {seen: [[8000, 'p', 10], [8100, 'q', 10], [9990, 'p', 19]], need: {maxAgeMs: 1500}}, 'p');
+	doTest('chooses a replica that is predicted to hold the floor by now', {seen: [...primary, [9985, 'q', 18]], need: barrier}, 'q, p');
+	doTest('skips a replica that holds the floor only after the maximum wait', {seen: [...primary, [9985, 'q', 10]], need: barrier}, 'p');
+	doTest('assumes that the data is as old as when it was seen', {seen: [...primary, [9960, 'q', 10]], need: {maxAgeMs: 70}}, 'q, p');
+	doTest('skips a replica whose data was too old when it was seen', {seen: [...primary, [9980, 'q', 10]], need: {maxAgeMs: 70}}, 'p');
+	doTest('predicts nothing for a replica that was last seen too long ago', {seen: [[8000, 'p', 10], [8100, 'q', 10], [9990, 'p', 19]], need: {maxAgeMs: 1500}}, 'p');
 });
--- a/tests/owners/read-path-tests.ts
+++ b/tests/owners/read-path-tests.ts
@@ -2,8 +2,9 @@
 
 describe('read path', () => {
 	const doTest = (title: string, quietMs: number, answerDelayMs: number) => {
-		// A coach asks for data of at most 5 s. The last sync that bounds the age is a little younger than that when the read
-		// sets out and a little older when the rows arrive. The group is healthy, so the owner must answer and not refuse.
+		// Guards against refusing a read of a healthy group because its age bound expires during the exchange: the read accepts
+		// data of at most 5 s, and the last write that bounds the age is younger than that when the read starts and older when
+		// the rows arrive.
 		doProof(title, async proof => {
 			const [owner = ''] = proof.owners;
 			const {term = 0, position = 0} = await proof.ask(owner, sync(41), 'new');
@@ -29,7 +30,7 @@
 		}, ['done: [{"score":41}]']);
 	};
 
-	doTest('answers where the age stays within what was asked', 4000, 50);
-	doTest('answers where the known age passes what was asked on the way', 4950, 50);
-	doTest('answers where the age is unknown from the start', 6000, 50);
+	doTest('returns rows when the age stays within the maximum', 4000, 50);
+	doTest('returns rows when the known age exceeds the maximum during the exchange', 4950, 50);
+	doTest('returns rows when the age is not known to be within the maximum from the start', 6000, 50);
 });
--- a/tests/owners/write-gate-tests.ts
+++ b/tests/owners/write-gate-tests.ts
@@ -3,7 +3,7 @@
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 describe('write gate', () => {
-	it('waits for those inside and keeps others out until it is opened', async () => {
+	it('waits for the writes inside and holds back others until it is opened', async () => {
 		const clock = createVirtualClock();
 		const gate = createWriteGate(clock);
 		const events: string[] = [];
@@ -27,9 +27,9 @@
 		expect(events).to.deep.equal(['held', 'entered true']);
 	});
 
-	// The proxy that holds the writes of a switchover dies. Filings would wait for it for ever: the hold must end
-	// by itself, and an earlier holder that wakes up must not open a later one's hold.
-	it('opens by itself, and only for its own holder', async () => {
+	// Guards against writes that wait forever when the proxy that holds them for a switchover fails, so the hold must
+	// expire by itself. An earlier holder that resumes must not open the hold of a later one.
+	it('opens when the hold expires, and otherwise only for its own holder', async () => {
 		const clock = createVirtualClock();
 		const gate = createWriteGate(clock);
 		const openFirst = await clock.runUntil(gate.hold(1000));
