--- a/src/callers/caller-errors.ts
+++ b/src/callers/caller-errors.ts
@@ -1,7 +1,7 @@
 import ModernError from 'modern-errors';
 import {RefusalCode} from '../refusals/refusal.js';
 
-/** A caller's message that cannot be taken as a request; `status` is the HTTP status to answer with. */
+/** A caller's message that is not a valid request; `status` is the HTTP status of the response. */
 export const CallerError = ModernError.subclass('CallerError', {
 	props: {status: 400, code: RefusalCode.Malformed as RefusalCode},
 });
@@ -9,14 +9,14 @@
 /** A CallerError with its fields. */
 export type CallerError = InstanceType<typeof CallerError> & {status: number; code: RefusalCode};
 
-/** What the HTTP library's commonest complaints mean, by its code. */
+/** Reasons for the most common errors of the HTTP library, by its error code. */
 const LIBRARY_REASONS: ReadonlyMap<string, string> = new Map([
 	['FST_ERR_CTP_BODY_TOO_LARGE', 'body: larger than 1 MiB'],
 	['FST_ERR_CTP_INVALID_MEDIA_TYPE', 'header "content-type": expected application/json'],
 	['FST_ERR_CTP_INVALID_CONTENT_LENGTH', 'header "content-length": not the length of the body'],
 ]);
 
-/** Turns the HTTP library's complaint about a message into this layer's; undefined where the fault is not the caller's. */
+/** Converts an error of the HTTP library to a CallerError; returns undefined if the fault is not the caller's. */
 export function toCallerError(err: unknown): CallerError | undefined {
 	if (err instanceof CallerError) {
 		return err;
--- a/src/callers/callers.ts
+++ b/src/callers/callers.ts
@@ -1,15 +1,15 @@
-/** The port for callers, as the daemon drives it. */
+/** The port for callers, as the daemon controls it. */
 export type Callers = {
-	/** Begins to listen. */
+	/** Starts to listen. */
 	start(): Promise<void>;
-	/** Drains within the bound of its options, then closes every connection. */
+	/** Drains within the time bound given in the options, then closes every connection. */
 	stop(): Promise<void>;
 	/**
-	 * Refuses new requests from now on, and resolves when those in flight and the open transactions have ended,
-	 * or `boundMs` milliseconds have passed. Never rejects; goes on listening, so that a late caller is told.
+	 * Refuses new requests from now on, and resolves once the requests in flight and the open transactions have ended
+	 * or `boundMs` milliseconds have passed. Never rejects. The port keeps listening, so that late callers get a refusal.
 	 */
 	drain(boundMs: number): Promise<void>;
-	/** Requests that have arrived and whose answer is not written out yet, or whose work goes on without their caller. */
+	/** Number of requests that have arrived and whose response is not fully written, or whose work continues without their caller. */
 	readonly inFlight: number;
 	/** The port listened on; known once started. */
 	readonly port: number;
--- a/src/callers/http-callers.ts
+++ b/src/callers/http-callers.ts
@@ -11,71 +11,72 @@
 import {throwMalformed} from './caller-errors.js';
 import type {Callers} from './callers.js';
 import type {Entry} from './entry.js';
-import {createHttpAnswers, JSON_TYPE} from './http-answers.js';
-import {createHalfHeads} from './half-heads.js';
+import {createHttpResponses, JSON_TYPE} from './http-responses.js';
+import {createIncompleteHeads} from './incomplete-heads.js';
 import {
 	createHttpRefusals, LEAVING_REFUSAL, type HttpRefusals, type HttpRefusalsOptions,
 } from './http-refusals.js';
-import {addHttpRoutes, getAskedRequest} from './http-routes.js';
+import {addHttpRoutes, summarizeRequest} from './http-routes.js';
 import {createInFlight} from './in-flight.js';
-import {createLastReading} from './last-reading.js';
+import {createFinalRead} from './final-read.js';
 
 /** How long a caller may take to send one request, in milliseconds. */
 const REQUEST_ARRIVAL_MS = 30_000;
 
-/** How long a connection may stay idle; longer than the balancer keeps one, so that the balancer closes first. */
+/** How long a connection may stay idle, in milliseconds; longer than the balancer keeps one, so that the balancer closes first. */
 const KEEP_ALIVE_MS = 75_000;
 
-/** How often a drain looks at the open transactions, in milliseconds. */
+/** Time between a drain's checks of the open transactions, in milliseconds. */
 const TRANSACTIONS_POLL_MS = 20;
 
-/** What the caller port needs. */
+/** Options of {@link createHttpCallers}. */
 export type HttpCallersOptions = HttpRefusalsOptions & {
 	readonly entry: Entry;
 	readonly log: Log;
 	readonly metrics: Metrics;
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	readonly address: string;
-	/** Port to listen on; 0 takes any. */
+	/** Port to listen on; 0 chooses any free one. */
 	readonly port: number;
-	/** Bound of the drain in `stop`, in milliseconds. */
+	/** Maximum duration of the drain in `stop`, in milliseconds. */
 	readonly drainMs: number;
-	/** How many transactions are open on this host; a drain waits for them. */
+	/** Returns how many transactions are open on this host; a drain waits for them. */
 	readonly countOpenTransactions?: () => number;
 };
 
 /** Creates the port for callers: HTTP/1.1 and JSON in front of the entry. */
 export function createHttpCallers(options: HttpCallersOptions): Callers {
 	const {clock, log, countOpenTransactions = () => 0} = options;
-	// From a request's first byte to the last one of its answer; and its work, which outlives a caller that hangs up.
+	// `arrived` counts requests from their complete head until their response is written or their connection closes,
+	// `inProgress` counts their work, which continues after a caller has closed its connection.
 	const arrived = createInFlight();
-	const working = createInFlight();
-	/** Requests that have not arrived whole. */
+	const inProgress = createInFlight();
+	/** Responses to requests whose body has not arrived completely. */
 	const arriving = new Set<FastifyReply>();
-	const latest = new WeakMap<Socket, IncomingMessage>();
-	const countInFlight = () => Math.max(arrived.count, working.count);
-	let leaving = false;
-	let ending = false;
+	const latestRequests = new WeakMap<Socket, IncomingMessage>();
+	const countInFlight = () => Math.max(arrived.count, inProgress.count);
+	let isLeaving = false;
+	let isClosing = false;
 	const refuse = createHttpRefusals(options);
-	const answers = createHttpAnswers({
-		...options, refuse, working, isLeaving: () => leaving, isEnding: () => ending,
-		isLastOnConnection: ({request: {raw}}) => latest.get(raw.socket) === raw,
-		whenPortClosed: async () => lastReading.portClosed,
+	const responses = createHttpResponses({
+		...options, refuse, inProgress, isLeaving: () => isLeaving, isClosing: () => isClosing,
+		isLastOnConnection: ({request: {raw}}) => latestRequests.get(raw.socket) === raw,
+		whenPortClosed: async () => finalRead.portClosed,
 	});
 	const app = createApp(refuse);
-	const halfHeads = createHalfHeads(app.server);
-	const lastReading = createLastReading({server: app.server, clock, isAnswering: () => arrived.count > 0});
+	const incompleteHeads = createIncompleteHeads(app.server);
+	const finalRead = createFinalRead({server: app.server, clock, isAnswering: () => arrived.count > 0});
 
 	app.addHook('onRequest', ({raw}, reply, done) => {
-		latest.set(raw.socket, raw);
+		latestRequests.set(raw.socket, raw);
 		arriving.add(reply);
 		const leave = arrived.enter();
 		const {socket} = raw;
-		halfHeads.noteHead(socket);
+		incompleteHeads.noteHead(socket);
 		reply.raw.once('close', () => {
 			arriving.delete(reply);
-			if (latest.get(socket) === raw) {
-				halfHeads.noteAnswered(socket);
+			if (latestRequests.get(socket) === raw) {
+				incompleteHeads.noteAnswered(socket);
 			}
 
 			leave();
@@ -86,23 +87,23 @@
 		arriving.delete(reply);
 		done();
 	});
-	app.setErrorHandler(async (err, req, reply) => answers.fail(reply, getAskedRequest(req), err));
+	app.setErrorHandler(async (err, req, reply) => responses.fail(reply, summarizeRequest(req), err));
 	app.setNotFoundHandler(async req => {
 		throwMalformed(`route ${req.method} ${req.url.split('?')[0]}: unknown`, 404);
 	});
-	addHttpRoutes(app, {...options, answers});
+	addHttpRoutes(app, {...options, responses});
 
 	const waitForEnd = async (abort: AbortSignal) => {
 		while (countOpenTransactions() > 0 && !abort.aborted) {
 			await clock.sleep(TRANSACTIONS_POLL_MS, abort);
 		}
 
-		await working.whenIdle();
+		await inProgress.whenIdle();
 		await arrived.whenIdle();
 	};
 
 	const drain = async (boundMs: number) => {
-		leaving = true;
+		isLeaving = true;
 		const abort = new AbortController();
 		const ended = await withinMs(clock, boundMs, waitForEnd(abort.signal));
 		abort.abort();
@@ -113,22 +114,22 @@
 
 	const refuseArriving = () => {
 		for (const reply of arriving) {
-			void reply.send(answers.refuseUntaken(reply, getAskedRequest(reply.request)));
+			void reply.send(responses.refuseUnhandled(reply, summarizeRequest(reply.request)));
 		}
 
-		for (const socket of halfHeads.getSockets()) {
-			answerOnSocket(socket, '503 Service Unavailable', JSON.stringify(refuse({asked: 'unclear'}, Outcome.NotRun, LEAVING_REFUSAL)));
+		for (const socket of incompleteHeads.getSockets()) {
+			respondOnSocket(socket, '503 Service Unavailable', JSON.stringify(refuse({asked: 'unclear'}, Outcome.NotRun, LEAVING_REFUSAL)));
 		}
 	};
 
-	/** Has every caller told before its connection ends: those whose work outlasts the bound, and those yet unread. */
-	const end = async () => {
-		ending = true;
-		answers.cut();
-		await lastReading.read();
-		if (arriving.size > 0 || halfHeads.getSockets().length > 0) {
+	/** Responds to every caller before its connection is closed: to those whose work exceeds the bound and to those not yet read. */
+	const respondBeforeClosing = async () => {
+		isClosing = true;
+		responses.cut();
+		await finalRead.read();
+		if (arriving.size > 0 || incompleteHeads.getSockets().length > 0) {
 			refuseArriving();
-			await lastReading.read();
+			await finalRead.read();
 		}
 	};
 
@@ -138,7 +139,7 @@
 		},
 		async stop() {
 			await drain(options.drainMs);
-			await end();
+			await respondBeforeClosing();
 			app.server.closeAllConnections();
 			await app.close();
 		},
@@ -167,7 +168,7 @@
 			raw.end(createMalformedJson(refuse, err.message));
 		},
 		clientErrorHandler(err, socket) {
-			answerBrokenHttp(refuse, err, socket);
+			respondToInvalidHttp(refuse, err, socket);
 		},
 	});
 
@@ -186,17 +187,17 @@
 	return JSON.stringify(refuse({asked: 'unclear'}, Outcome.NotRun, {code: RefusalCode.Malformed, reason, facts: {}}));
 }
 
-/** Answers bytes that are not HTTP; there is no request to reply to, only the socket. */
-function answerBrokenHttp(refuse: HttpRefusals, err: NodeJS.ErrnoException, socket: Socket): void {
+/** Responds to bytes that are not HTTP; there is no request to reply to, only the socket. */
+function respondToInvalidHttp(refuse: HttpRefusals, err: NodeJS.ErrnoException, socket: Socket): void {
 	if (err.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy(err);
 		return;
 	}
 
-	answerOnSocket(socket, '400 Bad Request', createMalformedJson(refuse, 'not HTTP/1.1, or not sent in time'));
+	respondOnSocket(socket, '400 Bad Request', createMalformedJson(refuse, 'not HTTP/1.1, or not sent in time'));
 }
 
-function answerOnSocket(socket: Socket, status: string, body: string): void {
+function respondOnSocket(socket: Socket, status: string, body: string): void {
 	const head = [
 		`HTTP/1.1 ${status}`,
 		`content-type: ${JSON_TYPE}`,
--- a/src/callers/http-refusals.ts
+++ b/src/callers/http-refusals.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../time/clock.js';
 import type {CallerAnswer, Outcome} from './caller-answer.js';
 
-/** What refusing at the caller port needs. */
+/** Options of {@link createHttpRefusals}. */
 export type HttpRefusalsOptions = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -14,19 +14,19 @@
 	readonly explanations: Pick<Explanations, 'record'>;
 };
 
-/** What is known of a request that the caller port itself refuses. */
-export type AskedRequest = {
+/** What the caller port knows of a request when it refuses the request itself. */
+export type RequestSummary = {
 	readonly asked: AskedKind | 'unclear';
 	readonly group?: string;
-	/** The id that the answer speaks of; absent: a fresh one. */
+	/** The id that the response states; absent: a new one. */
 	readonly requestId?: string;
 	readonly class?: string;
 };
 
-/** Makes the answer to a request that the entry gave none to, and its record. */
-export type HttpRefusals = (req: AskedRequest, outcome: Outcome, refusal: Refusal) => CallerAnswer;
+/** Creates the response to a request that the entry did not respond to, and records the refusal. */
+export type HttpRefusals = (req: RequestSummary, outcome: Outcome, refusal: Refusal) => CallerAnswer;
 
-/** Creates the caller port's refusals. */
+/** Creates the function that makes the caller port's refusals. */
 export function createHttpRefusals({clock, random, hostName, explanations}: HttpRefusalsOptions): HttpRefusals {
 	return (req, outcome, refusal) => {
 		const requestId = req.requestId ?? createRequestId(clock.wall(), random);
@@ -52,7 +52,7 @@
 	};
 }
 
-/** A host that is about to stop takes nothing new; another host takes it at once. */
+/** A host that is about to stop accepts no new work; another host accepts it at once. */
 export const LEAVING_REFUSAL: Refusal = {
 	code: RefusalCode.HostLeaving,
 	reason: 'this host is leaving and did not take this try; come back now, another host will',
@@ -60,15 +60,15 @@
 	facts: {},
 };
 
-/** A host that can wait no longer for work that it took: what was asked may have run, or may still. */
-export const CUT_REFUSAL: Refusal = {
+/** A stopping host no longer waits for work that it accepted: the request may have run, or may still run. */
+export const ABANDONED_REFUSAL: Refusal = {
 	code: RefusalCode.HostLeaving,
 	reason: 'this host stops before the request has ended, which may have run; the outcome route tells',
 	retryAfterMs: 0,
 	facts: {},
 };
 
-/** A fault of this host's own: what was asked may have run. */
+/** A fault of this host: the request may have run. */
 export const HOST_FAULT_REFUSAL: Refusal = {
 	code: RefusalCode.HostFault,
 	reason: 'this host failed while it handled the request, which may have run; the outcome route tells',
--- a/src/callers/http-routes.ts
+++ b/src/callers/http-routes.ts
@@ -7,14 +7,14 @@
 import {checkBeginRequest, checkCallerRequest, checkEmptyBody} from './caller-body.js';
 import {throwBadSessionHeader, throwMalformed} from './caller-errors.js';
 import type {Entry} from './entry.js';
-import {SESSION_HEADER, type HttpAnswers} from './http-answers.js';
-import type {AskedRequest} from './http-refusals.js';
+import {SESSION_HEADER, type HttpResponses} from './http-responses.js';
+import type {RequestSummary} from './http-refusals.js';
 import {mayBeRepeat} from './possible-repeat.js';
 
-/** What the routes need. */
+/** Options of {@link addHttpRoutes}. */
 export type HttpRoutesOptions = {
 	readonly entry: Entry;
-	readonly answers: HttpAnswers;
+	readonly responses: HttpResponses;
 	readonly clock: Clock;
 	readonly random: Random;
 };
@@ -23,16 +23,16 @@
 type TransactionRoute = {transactionId: string};
 type OutcomeRoute = {group: string; requestId: string};
 
-/** Most tokens in one session header. */
+/** Maximum number of tokens in one session header. */
 const MAX_TOKENS = 8;
 
 const OTHER_METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'HEAD', 'OPTIONS'] as const;
 
 /** Adds the callers' routes; docs/CALLERS.md describes them. */
 export function addHttpRoutes(app: FastifyInstance, options: HttpRoutesOptions): void {
-	const {entry, answers, clock, random} = options;
+	const {entry, responses, clock, random} = options;
 
-	// An id made here rather than in the entry lets every answer, also one to a fault, speak of the id that ran.
+	// An id that is created here rather than in the entry lets every response, also one to a fault, state the id that ran.
 	const withRequestId = <T extends {requestId?: string}>(body: T) => ({
 		...body,
 		requestId: body.requestId ?? createRequestId(clock.wall(), random),
@@ -55,7 +55,7 @@
 		const body = withRequestId(checkCallerRequest(req.body));
 		const session = getSessionToken(req);
 		const {requestId, class: workClass, kind: asked, attempt} = body;
-		return answers.serve(reply, {
+		return responses.serve(reply, {
 			asked, group, requestId, class: workClass, mayBeRepeat: mayBeRepeat({asked, requestId, attempt}, clock.wall()),
 		}, async () => entry.execute(group, body, session));
 	});
@@ -66,7 +66,7 @@
 		const session = getSessionToken(req);
 		const {requestId, class: workClass} = body;
 		const asked = AskedKind.Begin;
-		return answers.serve(reply, {
+		return responses.serve(reply, {
 			asked, group, requestId, class: workClass, mayBeRepeat: mayBeRepeat({asked, requestId}, clock.wall()),
 		}, async () => entry.begin(group, body, session));
 	});
@@ -75,8 +75,8 @@
 		const {transactionId} = req.params;
 		const body = checkCallerRequest(req.body);
 		const session = getSessionToken(req);
-		return answers.serve(reply, {
-			asked: body.kind, requestId: transactionId, class: body.class, continues: true,
+		return responses.serve(reply, {
+			asked: body.kind, requestId: transactionId, class: body.class, isContinuation: true,
 		}, async () => entry.run(transactionId, body, session));
 	});
 
@@ -84,9 +84,9 @@
 		const {transactionId} = req.params;
 		checkEmptyBody(req.body);
 		const session = getSessionToken(req);
-		// A commit has no key of its own that says whether it was sent before.
-		return answers.serve(reply, {
-			asked: AskedKind.Commit, requestId: transactionId, mayBeRepeat: true, continues: true,
+		// A commit has no key of its own that shows whether it was sent before.
+		return responses.serve(reply, {
+			asked: AskedKind.Commit, requestId: transactionId, mayBeRepeat: true, isContinuation: true,
 		}, async () => entry.commit(transactionId, session));
 	});
 
@@ -94,7 +94,9 @@
 		const {transactionId} = req.params;
 		checkEmptyBody(req.body);
 		const session = getSessionToken(req);
-		return answers.serve(reply, {asked: AskedKind.Rollback, requestId: transactionId, continues: true}, async () => entry.rollback(transactionId, session));
+		return responses.serve(reply, {
+			asked: AskedKind.Rollback, requestId: transactionId, isContinuation: true,
+		}, async () => entry.rollback(transactionId, session));
 	});
 
 	addRoute<OutcomeRoute>('GET', '/v1/groups/:group/requests/:requestId/outcome', async (req, reply) => {
@@ -104,16 +106,16 @@
 		}
 
 		const session = getSessionToken(req);
-		return answers.serve(reply, {asked: AskedKind.Outcome, group, requestId}, async () => entry.resolveOutcome(group, requestId, session));
+		return responses.serve(reply, {asked: AskedKind.Outcome, group, requestId}, async () => entry.resolveOutcome(group, requestId, session));
 	});
 }
 
 /**
- * What can be said of a request that no handler took.
+ * Returns what is known of a request that no handler received.
  *
- * A body that failed its checks may repeat the id of a request that ran: the answer, `not-run`, speaks of a fresh id.
+ * An invalid body may repeat the id of a request that ran, so the response, `not-run`, states a new id.
  */
-export function getAskedRequest(req: FastifyRequest): AskedRequest {
+export function summarizeRequest(req: FastifyRequest): RequestSummary {
 	const {group, requestId} = (req.params ?? {}) as Partial<OutcomeRoute>;
 	return requestId === undefined ? {asked: 'unclear', group} : {asked: AskedKind.Outcome, group, requestId};
 }
@@ -124,7 +126,7 @@
 		return undefined;
 	}
 
-	// Tokens of requests sent side by side come parted by commas, as does a header sent twice; the entry merges them.
+	// Tokens from concurrent requests are separated by commas, as is a header that is sent twice; the entry merges them.
 	const tokens = typeof token === 'string' ? token.split(',').map(part => part.trim()) : [];
 	const isOne = (part: string) => part.length <= MAX_TOKEN_LENGTH && /^[\w\-]+$/v.test(part);
 	if (typeof token !== 'string' || tokens.length > MAX_TOKENS || !tokens.every(part => isOne(part))) {
--- a/src/callers/http-status.ts
+++ b/src/callers/http-status.ts
@@ -1,7 +1,7 @@
 import {RefusalCode} from '../refusals/refusal.js';
 import {Outcome, type CallerAnswer} from './caller-answer.js';
 
-/** HTTP status of an answer whose outcome is `not-run`, by the code of its refusal. */
+/** HTTP status of a response whose outcome is `not-run`, by the code of its refusal. */
 const NOT_RUN_STATUS: Readonly<Record<RefusalCode, number>> = {
 	[RefusalCode.Malformed]: 400,
 	[RefusalCode.BadToken]: 400,
@@ -15,7 +15,7 @@
 	[RefusalCode.TransactionUnknown]: 409,
 	[RefusalCode.TransactionEnded]: 409,
 	[RefusalCode.TransactionBusy]: 409,
-	// The request was well formed and was taken to the server, which refused its content.
+	// The request was well formed and was sent to the server, which rejected its content.
 	[RefusalCode.StatementFailed]: 422,
 	[RefusalCode.RetryBudget]: 429,
 	[RefusalCode.QueueFull]: 429,
@@ -40,7 +40,7 @@
 const STATUS_UNKNOWN = 504;
 const STATUS_NOT_RUN = 503;
 
-/** Chooses the HTTP status of an answer. Only `done` is 2xx, and 504 always means that the request may have run. */
+/** Returns the HTTP status of a response. Only `done` is 2xx, and 504 always means that the request may have run. */
 export function getHttpStatus(answer: Pick<CallerAnswer, 'outcome' | 'refusal'>): number {
 	if (answer.outcome === Outcome.Done) {
 		return STATUS_DONE;
@@ -53,7 +53,7 @@
 	return answer.refusal ? NOT_RUN_STATUS[answer.refusal.code] : STATUS_NOT_RUN;
 }
 
-/** The value of the `Retry-After` header: whole seconds, never less than the milliseconds that they stand for. */
+/** Returns the value of the `Retry-After` header: the delay in whole seconds, rounded up. */
 export function getRetryAfterSeconds(retryAfterMs: number): number {
 	return Math.ceil(retryAfterMs / 1000);
 }
--- a/src/callers/in-flight.ts
+++ b/src/callers/in-flight.ts
@@ -1,9 +1,9 @@
-/** Counts what is under way, so that a graceful stop can wait for its end. */
+/** Counts work in progress, so that a graceful stop can wait for its end. */
 export type InFlight = {
 	readonly count: number;
-	/** Counts one more; the returned call counts it out, once. */
+	/** Increments the count; the returned function decrements it, once. */
 	enter(): () => void;
-	/** Resolves as soon as nothing is under way. */
+	/** Resolves as soon as nothing is in progress. */
 	whenIdle(): Promise<void>;
 };
 
