--- a/tests/callers/http-callers-tests.ts
+++ b/tests/callers/http-callers-tests.ts
@@ -92,7 +92,7 @@
 
 	const sendJson = async (path: string, body: unknown, headers?: Record<string, string>) => send({path, body: JSON.stringify(body), headers});
 
-	it('hands several session tokens on together', async () => {
+	it('passes several session tokens to the entry together', async () => {
 		const {status} = await send({path: REQUESTS, body: JSON.stringify(READ), headers: {'aldercroft-session': 'a-token, b-token'}});
 		expect(status).to.equal(200);
 		expect(calls[0]?.at(-1)).to.equal('a-token, b-token');
@@ -127,13 +127,13 @@
 		doTest({path: '/v1/transactions/t-1/rollback', body: '{}'}, ['rollback', 't-1', 'a-token']);
 		doTest({method: 'GET', path: `${REQUESTS}/${ID}/outcome`}, ['resolveOutcome', 'sleep', ID, 'a-token']);
 
-		it('makes an id for a request that has none', async () => {
+		it('creates an id for a request that has none', async () => {
 			await sendJson(REQUESTS, READ);
 			expect(calls[0]![2]).to.have.property('requestId').that.matches(/^[\da-f\-]{13}-7/v);
 		});
 	});
 
-	describe('what is no request', () => {
+	describe('invalid requests', () => {
 		const doTest = (title: string, sent: Sent, status: number, reason: string, code = 'malformed') => {
 			it(title, async () => {
 				const received = await send(sent);
@@ -164,17 +164,17 @@
 		doTest('an unknown route', {method: 'GET', path: '/v2?q=secret'}, 404, 'route GET /v2: unknown');
 		doTest('a broken path', {method: 'GET', path: '/v1/groups/%ZZ/requests'}, 400, '\'/v1/groups/%ZZ/requests\' is not a valid url component');
 		const badToken = 'header "aldercroft-session": not a token that this service made; send it as it came, or none';
-		doTest('a session header with other signs', {...post(READ), headers: {'aldercroft-session': 'a b'}}, 400, badToken, 'bad-token');
+		doTest('a session header with invalid characters', {...post(READ), headers: {'aldercroft-session': 'a b'}}, 400, badToken, 'bad-token');
 		doTest('too many tokens in the session header', {...post(READ), headers: {'aldercroft-session': Array.from({length: 9}, () => 'a').join(',')}}, 400, badToken, 'bad-token');
 		doTest('an empty token among others', {...post(READ), headers: {'aldercroft-session': 'a,,b'}}, 400, badToken, 'bad-token');
 		doTest('an oversized session header', {...post(READ), headers: {'aldercroft-session': 'a'.repeat(2001)}}, 400, badToken, 'bad-token');
 
-		it('says nothing of the request that a faulty question was about', async () => {
+		it('responds `unknown` to an invalid query for the outcome of another request', async () => {
 			const {status, answer} = await send({method: 'GET', path: `${REQUESTS}/${ID}/outcome`, headers: {'aldercroft-session': 'a b'}});
 			expect([status, answer.outcome, answer.requestId]).to.deep.equal([400, 'unknown', ID]);
 		});
 
-		it('answers bytes that are not HTTP', async () => {
+		it('responds to bytes that are not HTTP', async () => {
 			const socket = connect(callers.port, '127.0.0.1');
 			socket.write('hello\r\n\r\n');
 			const text = Buffer.concat(await socket.toArray()).toString();
@@ -182,13 +182,13 @@
 		});
 	});
 
-	it('tells when to come back in whole seconds, rounded up', async () => {
+	it('sends the retry delay in whole seconds, rounded up', async () => {
 		reply = async () => ({outcome: 'not-run', requestId: ID, refusal: {code: 'queue-full', reason: 'full', retryAfterMs: 1001}});
 		const {status, headers} = await sendJson(REQUESTS, READ);
 		expect([status, headers['retry-after']]).to.deep.equal([429, '2']);
 	});
 
-	it('says unknown, never not-run, when the entry fails', async () => {
+	it('responds `unknown`, never `not-run`, when the entry fails', async () => {
 		reply = async () => {
 			throw new Error('bug');
 		};
@@ -197,7 +197,7 @@
 		expect([status, answer.outcome, answer.requestId, answer.refusal?.code]).to.deep.equal([504, 'unknown', ID, 'host-fault']);
 	});
 
-	it('sends rows that JSON has no form for as text', async () => {
+	it('sends values that JSON cannot represent as text', async () => {
 		reply = async () => ({outcome: 'done', requestId: ID, rows: [{n: 2n ** 60n}]});
 		const {answer} = await sendJson(REQUESTS, READ);
 		expect(answer.rows).to.deep.equal([{n: '1152921504606846976'}]);
@@ -234,9 +234,9 @@
 			return drain;
 		};
 
-		// A host is replaced while a coach's read is at the database. Cutting it would show the coach an error; taking new
-		// reads as well would let the drain never end. The read in flight gets its rows, new work is sent elsewhere.
-		it('ends what is in flight and sends new work elsewhere', async () => {
+		// Guards against a drain that aborts a read in flight, whose caller would see an error, and against one that accepts
+		// new work and so never ends. The read gets its rows, and new work is refused so that it goes to another host.
+		it('completes what is in flight and refuses new work', async () => {
 			const finish = holdReply();
 			const first = sendJson(REQUESTS, READ);
 			await until(() => calls.length > 0);
@@ -257,9 +257,9 @@
 			expect(calls).to.have.length(1);
 		});
 
-		// A tablet loses its link while its sync is at the database. Were only open connections counted, the host would stop
-		// in the middle of the write, and the tablet's next try could not be told what became of the first.
-		it('waits for work whose caller has hung up', async () => {
+		// Guards against counting open connections only: a caller loses its connection while its write is at the database, the
+		// host stops in the middle of the write, and the caller's next try cannot learn the outcome of the first.
+		it('waits for work whose caller has disconnected', async () => {
 			const finish = holdReply();
 			const socket = open(JSON.stringify(READ));
 			await until(() => calls.length > 0);
@@ -272,7 +272,8 @@
 			await drain.promise;
 		});
 
-		// A request is half sent when the drain begins. Closing the port then would leave its caller without any answer.
+		// Guards against closing the connection of a request that is half sent when the drain begins: its caller would get no
+		// response.
 		it('waits for a request that is still arriving, and refuses it', async () => {
 			const body = JSON.stringify(READ);
 			const socket = open(body.slice(0, 5));
@@ -286,7 +287,7 @@
 			await drain.promise;
 		});
 
-		it('lets an open transaction end, and waits for it no longer than the bound', async () => {
+		it('accepts the commit of an open transaction, and waits for the transaction no longer than the bound', async () => {
 			openTransactions = 1;
 			const drain = watchDrain();
 			const {status} = await sendJson('/v1/transactions/t-1/commit', {});
--- a/tests/callers/http-status-tests.ts
+++ b/tests/callers/http-status-tests.ts
@@ -14,14 +14,14 @@
 		});
 	}
 
-	it('follows the outcome first', () => {
+	it('depends on the outcome before the refusal', () => {
 		const refusal = {code: RefusalCode.QueueFull, reason: ''};
 		expect(getHttpStatus({outcome: 'done', refusal})).to.equal(200);
 		expect(getHttpStatus({outcome: 'unknown', refusal})).to.equal(504);
 		expect(getHttpStatus({outcome: 'not-run'})).to.equal(503);
 	});
 
-	it('never tells a caller to come back too early', () => {
+	it('rounds the retry delay up to whole seconds', () => {
 		expect([0, 1, 1000, 1001].map(ms => getRetryAfterSeconds(ms))).to.deep.equal([0, 1, 1, 2]);
 	});
 });
--- a/tests/callers/http-stop-tests.ts
+++ b/tests/callers/http-stop-tests.ts
@@ -17,20 +17,20 @@
 const REQUESTS = '/v1/groups/sleep/requests';
 const COMMIT = '/v1/transactions/t-1/commit';
 
-/** What a caller received on its connection, and what it can say of each answer. */
+/** One response that a caller received on its connection. */
 type Received = {status: number; outcome: string; requestId: string; code: string | undefined; close: boolean};
 
 /**
- * Callers on connections of their own, on a thread of their own: they can send while the host does not run. Each comes back
- * as soon as it has an answer, until the port is closed to it, or it gets none.
+ * Script of a worker thread that runs callers, each on its own connection: they can send while the host does not run. Each
+ * connects again as soon as it has a response, until the port refuses it or it gets no response.
  */
-const CALLERS_ON_A_THREAD = `
+const CALLER_THREAD_SCRIPT = `
 	const {connect} = require('node:net');
 	const {parentPort, workerData: {port, text, count, state}} = require('node:worker_threads');
 	const flags = new Int32Array(state);
 	const texts = [];
 	let sent = 0;
-	let gone = 0;
+	let done = 0;
 	const noteSent = () => {
 		sent++;
 		if (sent === count) {
@@ -38,13 +38,13 @@
 			Atomics.notify(flags, 0);
 		}
 	};
-	const noteGone = () => {
-		gone++;
-		if (gone === count) {
+	const noteDone = () => {
+		done++;
+		if (done === count) {
 			parentPort.postMessage(texts);
 		}
 	};
-	const come = () => {
+	const connectCaller = () => {
 		const parts = [];
 		let connected = false;
 		const socket = connect(port, '127.0.0.1', () => {
@@ -59,16 +59,16 @@
 			}
 
 			if (parts.length > 0) {
-				come();
+				connectCaller();
 			} else {
-				noteGone();
+				noteDone();
 			}
 		});
 	};
 	parentPort.postMessage('ready');
 	Atomics.wait(flags, 0, 0);
 	for (let caller = 0; caller < count; caller++) {
-		come();
+		connectCaller();
 	}
 `;
 
@@ -76,7 +76,7 @@
 	return `POST ${path} HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body.slice(0, sentBytes)}`;
 }
 
-function parseAnswers(text: string): Received[] {
+function parseResponses(text: string): Received[] {
 	return text.split(/(?=HTTP\/1\.1 )/v).filter(part => part !== '').map(part => {
 		const [head, body] = part.split('\r\n\r\n');
 		const {outcome, requestId, refusal} = JSON.parse(body!) as CallerAnswer;
@@ -91,12 +91,12 @@
 	socket.on('data', part => {
 		parts.push(part);
 	});
-	// A connection that is broken off ends too; what counts is what came before.
+	// A connection that is reset ends too; what it received before that counts.
 	socket.on('error', () => undefined);
 	await new Promise(resolve => {
 		socket.once('close', resolve);
 	});
-	return parseAnswers(Buffer.concat(parts).toString());
+	return parseResponses(Buffer.concat(parts).toString());
 }
 
 describe('http callers at a stop', () => {
@@ -161,7 +161,7 @@
 		return socket;
 	};
 
-	/** A connection that has had its first answer and is kept. */
+	/** Opens a connection that has received its first response and is kept alive. */
 	const openIdle = async () => {
 		const socket = await open();
 		socket.write(toHttp(REQUESTS, READ));
@@ -171,7 +171,7 @@
 		return socket;
 	};
 
-	/** Both in one turn of the event loop: what is sent is in the host's socket, and the host has not read it. */
+	/** Sends and stops in one turn of the event loop: the text is in the host's socket, and the host has not read it. */
 	const sendAndStop = async (socket: Socket, text: string) => {
 		socket.write(text);
 		return callers.stop();
@@ -181,10 +181,9 @@
 		status: 503, outcome: 'not-run', code: 'host-leaving', close: true,
 	};
 
-	describe('what waits unread', () => {
-		// A host is late when the time comes to end its connections: a coach's read has been waiting in the socket of a kept
-		// connection for half a second. Ended by what the host has read, the connection counts as idle, and the coach gets
-		// neither rows nor a refusal.
+	describe('an unread request', () => {
+		// Guards against closing a kept-alive connection that only counts as idle because the host runs late: a read waits
+		// unread in its socket, and its caller would get neither rows nor a refusal.
 		it('is refused on a kept connection', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
@@ -195,17 +194,17 @@
 			expect(calls).to.deep.equal([]);
 		});
 
-		// The balancer has opened connections and sent a request on each while the host was late; the host has not even taken
-		// the connections when it closes its port. The event loop takes one of them a turn, and
-		// whoever is refused comes back at once.
-		const doTestNotTaken = (title: string, count: number) => {
+		// Guards against resetting connections that the host has not accepted when it closes its port, although a request was
+		// sent on each while the host ran late. The event loop accepts one connection per turn, and refused callers connect
+		// again at once.
+		const doTestNotAccepted = (title: string, count: number) => {
 			it(title, async () => {
 				const state = new SharedArrayBuffer(4);
 				const flags = new Int32Array(state);
 				const workerData = {
 					port: callers.port, text: toHttp(REQUESTS, READ), count, state,
 				};
-				const thread = new Worker(CALLERS_ON_A_THREAD, {eval: true, execArgv: [], workerData});
+				const thread = new Worker(CALLER_THREAD_SCRIPT, {eval: true, execArgv: [], workerData});
 				await once(thread, 'message');
 				Atomics.store(flags, 0, 1);
 				Atomics.notify(flags, 0);
@@ -214,7 +213,7 @@
 				await clock.runUntil(callers.stop());
 				const [texts] = await received as [string[]];
 				await thread.terminate();
-				const answers = texts.flatMap(text => parseAnswers(text));
+				const answers = texts.flatMap(text => parseResponses(text));
 				expect(answers).to.have.length(count);
 				for (const answer of answers) {
 					expect(answer).to.include(REFUSED);
@@ -222,12 +221,12 @@
 			});
 		};
 
-		doTestNotTaken('is refused on a connection that was not taken yet', 1);
-		doTestNotTaken('is refused on each of many connections that were not taken yet', 60);
+		doTestNotAccepted('is refused on a connection that was not accepted yet', 1);
+		doTestNotAccepted('is refused on each of many connections that were not accepted yet', 60);
 
-		// The host has closed its port and looks once more. A request that comes in just then is on a connection that counts
-		// as idle, and closing a server in the usual way ends those first.
-		it('is refused on a kept connection while the host looks for the last time', async () => {
+		// Guards against a request that arrives after the port was closed, while the host polls for the last time: its
+		// connection counts as idle, and the HTTP server's own `close` closes idle connections first.
+		it('is refused on a kept connection during the last poll', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
 			const stopping = callers.stop();
@@ -239,9 +238,9 @@
 			expect(answers[0]).to.include(REFUSED);
 		});
 
-		// A filing's commit has been waiting in the socket when its host ends. Begun now, it would be cut in the middle; the
-		// commit was not taken, but an earlier try of it may have been.
-		it('is not begun, though it belongs to a transaction', async () => {
+		// Guards against running a commit that waits in the socket when the host closes its port: it would be aborted halfway.
+		// The commit was not accepted, but an earlier try of it may have been, so its outcome is unknown.
+		it('does not run, although it belongs to a transaction', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
 			await clock.runUntil(sendAndStop(socket, toHttp(COMMIT, '{}')));
@@ -254,10 +253,10 @@
 		});
 	});
 
-	describe('what has not ended', () => {
-		// A read takes longer than the host may go on. Ended with its connection, its caller would learn nothing; the host
-		// is still there to say that the work may have run.
-		it('is answered as unknown under its own id', async () => {
+	describe('an unfinished request', () => {
+		// Guards against closing the connection of a request that takes longer than the host keeps running: its caller would
+		// get no response, although the host can still say that the work may have run.
+		it('gets the outcome `unknown` under its own id', async () => {
 			isHeld = true;
 			const requestId = createRequestId(clock.wall(), random);
 			const socket = await open();
@@ -271,8 +270,8 @@
 			}]);
 		});
 
-		// A tablet on a bad link has sent half a request when the host's time is up. No handler has it, so it will not run.
-		it('is refused as not run where it has not arrived whole', async () => {
+		// A caller on a bad link has sent half a request when the host must stop. No handler has it, so it will not run.
+		it('is refused as `not-run` if its body is incomplete', async () => {
 			const socket = await open();
 			const received = readToEnd(socket);
 			socket.write(toHttp(REQUESTS, READ, 5));
@@ -284,9 +283,9 @@
 			expect(calls).to.deep.equal([]);
 		});
 
-		// The tablet's link has let through only the first lines of its request. The host cannot know what is asked, and that
-		// nothing has it.
-		it('is refused as not run where not even its head has arrived', async () => {
+		// Only the start of the request's head has arrived. The host cannot know what is requested, but it knows that no handler
+		// has the request.
+		it('is refused as `not-run` if its head is incomplete', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
 			socket.write(toHttp(REQUESTS, READ).slice(0, 40));
@@ -296,9 +295,9 @@
 			expect(answers[0]).to.include(REFUSED);
 		});
 
-		// The tablet sends its second request behind the first one, which is answered while the second comes in pieces. Told
-		// twice, it would take the second refusal for the answer to its next request.
-		it('is refused once where it came behind another one', async () => {
+		// A caller pipelines a second request, which arrives in pieces while the first is answered. If it were refused twice,
+		// the caller would take the second refusal for the response to its next request.
+		it('is refused once if it was pipelined behind another one', async () => {
 			const socket = await open();
 			const received = readToEnd(socket);
 			const second = toHttp(REQUESTS, READ);
@@ -310,15 +309,15 @@
 			expect(answers.map(({status}) => status)).to.deep.equal([200, 503]);
 		});
 
-		// A connection that has sent nothing is owed nothing: an answer to no request would be taken for the next one's.
-		it('says nothing on an idle connection', async () => {
+		// A connection that has sent nothing gets nothing: a response to no request would be taken for that to the next one.
+		it('causes no response on an idle connection', async () => {
 			const received = [await openIdle(), await open()].map(async socket => readToEnd(socket));
 			await clock.runUntil(callers.stop());
 			expect(await Promise.all(received)).to.deep.equal([[], []]);
 		});
 
-		// The same tablet begins to send when its host looks for the last time.
-		it('is refused as not run where it began to arrive at the very end', async () => {
+		// The request begins to arrive during the host's last poll.
+		it('is refused as `not-run` if it begins to arrive during the last poll', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
 			const stopping = callers.stop();
@@ -332,9 +331,9 @@
 	});
 
 	describe('a leaving host', () => {
-		// Two hosts are replaced one after the other. A caller's write got no answer at the first and comes to the second
-		// under the same id, as it was told to. This try is not taken, but the first one may have run: "not run" would have
-		// the caller write again under a new id.
+		// Guards against a false "not run" when two hosts are replaced one after the other: a write got no response from the
+		// first host and is sent to the second under the same id, as callers are told to. This try is not accepted, but the first may
+		// have run, and after "not run" the caller would write again under a new id.
 		const doTestRepeat = (title: string, path: string, body: () => Record<string, unknown>, outcome: string) => {
 			it(title, async () => {
 				const socket = await open();
@@ -353,17 +352,17 @@
 
 		const write = {kind: 'write', statement: 'x'};
 		const makeId = (agoMs: number) => createRequestId(clock.wall() - agoMs, random);
-		doTestRepeat('says unknown of a write that is sent again', REQUESTS, () => ({...write, requestId: makeId(0), attempt: 2}), 'unknown');
-		doTestRepeat('says unknown of a write whose id is old', REQUESTS, () => ({...write, requestId: makeId(251)}), 'unknown');
-		doTestRepeat('says unknown of a transaction whose id is old', '/v1/groups/sleep/transactions', () => ({requestId: makeId(251)}), 'unknown');
-		doTestRepeat('says not run of a write whose id is fresh', REQUESTS, () => ({...write, requestId: makeId(250)}), 'not-run');
-		doTestRepeat('says not run of a read that is sent again', REQUESTS, () => ({
+		doTestRepeat('responds `unknown` to a write that is sent again', REQUESTS, () => ({...write, requestId: makeId(0), attempt: 2}), 'unknown');
+		doTestRepeat('responds `unknown` to a write whose id is old', REQUESTS, () => ({...write, requestId: makeId(251)}), 'unknown');
+		doTestRepeat('responds `unknown` to a transaction whose id is old', '/v1/groups/sleep/transactions', () => ({requestId: makeId(251)}), 'unknown');
+		doTestRepeat('responds `not-run` to a write whose id is new', REQUESTS, () => ({...write, requestId: makeId(250)}), 'not-run');
+		doTestRepeat('responds `not-run` to a read that is sent again', REQUESTS, () => ({
 			kind: 'read', statement: 'x', requestId: makeId(251), attempt: 2,
 		}), 'not-run');
 
-		// A caller sends two requests on one connection without waiting for the first answer. Both run when the host is told
-		// to stop; a first answer that closes the connection takes the second one's with it.
-		it('answers all that runs on one connection', async () => {
+		// Guards against a response that closes its connection while a pipelined request on it is in progress: both requests
+		// run when the host begins to stop, and the response to the second would be lost.
+		it('responds to all requests in progress on one connection', async () => {
 			isHeld = true;
 			const socket = await open();
 			const received = readToEnd(socket);
