--- a/src/owners/group-parts.ts
+++ b/src/owners/group-parts.ts
@@ -30,7 +30,7 @@
 	readonly knowledge: GroupKnowledge;
 	readonly confirmer: Confirmer;
 	readonly barrier: Barrier;
-	/** Closed while a planned change of primary is under way. */
+	/** Closed during a planned change of primary. */
 	readonly writeGate: WriteGate;
 	readonly running: RunningWork;
 	/** Has failover check a silent endpoint before its next poll. */
--- a/tests/callers/http-callers-tests.ts
+++ b/tests/callers/http-callers-tests.ts
@@ -158,7 +158,7 @@
 		const rounded = '{"kind":"read","statement":"x","values":[9007199254740993]}';
 		doTest('an integer that JSON rounds', {path: REQUESTS, body: rounded}, 400, 'field "values.0": integers beyond 2^53 are rounded on the way; send it as a string');
 		doTest('an id that is no UUIDv7', post({...READ, requestId: 'x'}), 400, 'field "requestId": requestId must be a UUIDv7');
-		doTest('a body where none is taken', {path: '/v1/transactions/t-1/commit', body: '{"now":true}'}, 400, 'field "now": unknown');
+		doTest('a body where none is accepted', {path: '/v1/transactions/t-1/commit', body: '{"now":true}'}, 400, 'field "now": unknown');
 		doTest('another content type', {path: REQUESTS, body: 'a=1', headers: {'content-type': 'text/plain'}}, 415, 'header "content-type": expected application/json');
 		doTest('a wrong method', {method: 'PUT', path: REQUESTS, body: '{}'}, 405, 'method PUT: this route takes POST');
 		doTest('an unknown route', {method: 'GET', path: '/v2?q=secret'}, 404, 'route GET /v2: unknown');
@@ -246,8 +246,8 @@
 			expect(second.headers).to.include({connection: 'close', 'retry-after': '0'});
 			expect(second.answer).to.deep.include({outcome: 'not-run', requestId: ID});
 			expect(second.answer.refusal).to.include({code: 'host-leaving', retryAfterMs: 0});
-			const asked = await send({method: 'GET', path: `${REQUESTS}/${ID}/outcome`});
-			expect([asked.status, asked.answer.outcome]).to.deep.equal([504, 'unknown']);
+			const queried = await send({method: 'GET', path: `${REQUESTS}/${ID}/outcome`});
+			expect([queried.status, queried.answer.outcome]).to.deep.equal([504, 'unknown']);
 			await until(() => callers.inFlight === 1);
 
 			finish({outcome: 'done', requestId: ID});
