--- a/src/callers/http-responses.ts
+++ b/src/callers/http-responses.ts
@@ -64,8 +64,8 @@
 	} = options;
 	const abandonCallbacks = new Set<() => void>();
 
-	const prepare = (reply: FastifyReply, answer: CallerAnswer, status = getHttpStatus(answer)) => {
-		const {refusal, session} = answer;
+	const prepare = (reply: FastifyReply, response: CallerAnswer, status = getHttpStatus(response)) => {
+		const {refusal, session} = response;
 		// A response that closes its connection would lose the responses to later requests on it, which may be in progress.
 		if (isLeaving() && isLastOnConnection(reply)) {
 			void reply.header('connection', 'close');
@@ -84,7 +84,7 @@
 		}
 
 		void reply.code(status).header('content-type', JSON_TYPE);
-		return toJson(answer);
+		return toJson(response);
 	};
 
 	/**
@@ -125,12 +125,12 @@
 			const startedAt = clock.now();
 			const leave = inProgress.enter();
 			try {
-				const answer = await callOrRefuse(req, callEntry);
+				const response = await callOrRefuse(req, callEntry);
 				const seconds = (clock.now() - startedAt) / 1000;
 				metrics.observeRequest({
-					kind: req.asked, class: req.class, outcome: answer.outcome, seconds,
+					kind: req.asked, class: req.class, outcome: response.outcome, seconds,
 				});
-				return prepare(reply, answer);
+				return prepare(reply, response);
 			} finally {
 				leave();
 			}
@@ -160,10 +160,10 @@
 }
 
 /** Encodes a response. A row may hold a bigint, which JSON cannot represent; failing would lose the response to a write that ran. */
-function toJson(answer: CallerAnswer): string {
+function toJson(response: CallerAnswer): string {
 	try {
-		return JSON.stringify(answer);
+		return JSON.stringify(response);
 	} catch {
-		return JSON.stringify(answer, (_key, value: unknown) => typeof value === 'bigint' ? value.toString() : value);
+		return JSON.stringify(response, (_key, value: unknown) => typeof value === 'bigint' ? value.toString() : value);
 	}
 }
--- a/src/callers/http-status.ts
+++ b/src/callers/http-status.ts
@@ -41,16 +41,16 @@
 const STATUS_NOT_RUN = 503;
 
 /** Returns the HTTP status of a response. Only `done` is 2xx, and 504 always means that the request may have run. */
-export function getHttpStatus(answer: Pick<CallerAnswer, 'outcome' | 'refusal'>): number {
-	if (answer.outcome === Outcome.Done) {
+export function getHttpStatus(response: Pick<CallerAnswer, 'outcome' | 'refusal'>): number {
+	if (response.outcome === Outcome.Done) {
 		return STATUS_DONE;
 	}
 
-	if (answer.outcome === Outcome.Unknown) {
+	if (response.outcome === Outcome.Unknown) {
 		return STATUS_UNKNOWN;
 	}
 
-	return answer.refusal ? NOT_RUN_STATUS[answer.refusal.code] : STATUS_NOT_RUN;
+	return response.refusal ? NOT_RUN_STATUS[response.refusal.code] : STATUS_NOT_RUN;
 }
 
 /** Returns the value of the `Retry-After` header: the delay in whole seconds, rounded up. */
--- a/src/owners/read-path.ts
+++ b/src/owners/read-path.ts
@@ -209,9 +209,9 @@
 			const isLast = index === choices.length - 1;
 			const tryUntil = isLast ? deadlineAt : clock.now() + Math.min(leftMs, Math.max(MIN_TRY_MS, leftMs * TRY_SHARE));
 			const attempt = await runAdmitted(endpoint, req, start.floor, tryUntil);
-			const answer = await evaluateAttempt(endpoint, attempt, req, start, tryUntil);
-			if (answer) {
-				return answer;
+			const response = await evaluateAttempt(endpoint, attempt, req, start, tryUntil);
+			if (response) {
+				return response;
 			}
 
 			last = 'failed' in attempt ? attempt.failed : undefined;
