--- a/src/failover/choose-candidate.ts
+++ b/src/failover/choose-candidate.ts
@@ -2,35 +2,35 @@
 import {type EndpointConfig, EndpointOrder} from '../groups/group-config.js';
 import {compareLogPositions} from '../terms/log-position.js';
 
-/** A server that granted a term, as it showed itself then. */
+/** A server that granted a term, with its status at that time. */
 export type FencedServer = {
 	readonly endpoint: EndpointConfig;
 	readonly status: EndpointStatus;
 };
 
-/** What decides between servers whose logs are equal. */
+/** Decides between servers whose logs are equal. */
 export type CandidatePreference = {
-	/** The endpoint wanted, where there is one. */
+	/** The endpoint to prefer, if any. */
 	readonly preferred?: string;
-	/** The endpoint under suspicion, taken only where no other is as good. */
+	/** The suspected endpoint, chosen over another one with an equal log only where that one is drained, stopped or leaving. */
 	readonly suspect?: string;
-	/** Whether the host of the server at that address is leaving. */
+	/** Returns whether the host of the server at that address is leaving. */
 	isHostLeaving(address: string): boolean;
 };
 
-/** Tells whether an endpoint is to get work: neither drained nor stopped nor leaving. */
+/** Returns whether an endpoint may get work: it is neither drained nor stopped nor leaving. */
 export function isServing(endpoint: EndpointConfig, status: EndpointStatus | undefined, isHostLeaving: (address: string) => boolean): boolean {
 	return endpoint.order === EndpointOrder.Serve && !status?.leaving && !isHostLeaving(endpoint.address);
 }
 
 /**
- * Chooses whom to promote among the servers that a majority of the group's fences granted; undefined where there are none.
+ * Chooses the server to promote among the majority that granted the term; undefined where there are none.
  *
- * The log decides before anything else: an acknowledged write is in the highest log of every majority, and in no
- * other log for certain. An endpoint that is drained may therefore be promoted; the planned change follows later.
+ * The log decides first: an acknowledged write is certain to be in the highest log of every majority, and in no other
+ * log. A drained endpoint may therefore be promoted; a planned change replaces it later.
  */
 export function chooseCandidate(fenced: readonly FencedServer[], preference: CandidatePreference): FencedServer | undefined {
-	const getDemerits = ({endpoint, status}: FencedServer) => {
+	const getPenalty = ({endpoint, status}: FencedServer) => {
 		if (endpoint.name === preference.preferred) {
 			return 0;
 		}
@@ -41,6 +41,6 @@
 	};
 
 	return fenced
-		.toSorted((left, right) => compareLogPositions(right.status.log, left.status.log) || getDemerits(left) - getDemerits(right))
+		.toSorted((left, right) => compareLogPositions(right.status.log, left.status.log) || getPenalty(left) - getPenalty(right))
 		.at(0);
 }
--- a/src/failover/choose-successor.ts
+++ b/src/failover/choose-successor.ts
@@ -11,15 +11,15 @@
 	isHostLeaving(address: string): boolean;
 };
 
-/** What the present state of a group asks of its leader. */
+/** A change of primary that the group's current state requires. */
 export type Succession = {
-	/** The primary that is to give up its role. */
+	/** The primary to replace. */
 	readonly primary: EndpointConfig;
-	/** The most caught-up replica that takes work, undefined where there is none. */
+	/** The replica with the highest log among those that may get work, undefined where there is none. */
 	readonly successor: EndpointConfig | undefined;
 };
 
-/** Finds out whether the primary is to be relieved, and by whom; undefined where it may stay. */
+/** Returns which endpoint should replace the primary; undefined where the primary may stay or is unknown. */
 export function chooseSuccessor(options: SuccessorOptions): Succession | undefined {
 	const {knowledge, cfg} = options;
 	const getStatus = (endpoint: EndpointConfig): EndpointStatus | undefined => {
--- a/src/failover/create-group-failover.ts
+++ b/src/failover/create-group-failover.ts
@@ -17,9 +17,9 @@
 import {createGroupRepair} from './repair-group.js';
 import {replacePrimary} from './replace-primary.js';
 import {createReplicaWatch} from './replica-watch.js';
-import {createSecondOpinion} from './second-opinion.js';
+import {createReachabilityReports} from './reachability-reports.js';
 import {createTermClaim} from './term-claim.js';
-import {createWakeup} from './wakeup.js';
+import {createInterruptibleSleep} from './interruptible-sleep.js';
 import {createWriteHolds} from './write-holds.js';
 
 /** What {@link createGroupFailover} needs. */
@@ -29,22 +29,22 @@
 	readonly random: Random;
 	readonly log: Log;
 	readonly platform: Platform;
-	/** This host's answering side, shared by all groups. */
+	/** Handles the peer calls of failover on this host, for all groups. */
 	readonly failoverPeers: FailoverPeers;
 	readonly hosts: Hosts;
 	readonly owning: Owning;
 	readonly settings: FailoverSettings;
-	/** Called after every change of primary that this host brought about. */
+	/** Called after every change of primary that this host performed. */
 	onPromoted?(promotion: Promotion): void;
 };
 
-/** A group's failover that also tells what it is doing. */
+/** A group's failover that also exposes its state. */
 export type ObservableGroupFailover = GroupFailover & {
 	getState(): FailoverState;
 };
 
-/** Shortest pause between two looks at the primary, in milliseconds; traffic may raise suspicions faster than that. */
-const LEAST_NAP_MS = 20;
+/** Minimum pause between two checks of the primary, in milliseconds; traffic may report suspicions more often. */
+const MIN_CHECK_INTERVAL_MS = 20;
 
 /** Creates the failover of one group on this host. */
 export function createGroupFailover(options: GroupFailoverOptions): ObservableGroupFailover {
@@ -55,7 +55,7 @@
 	const host = hosts.self.name;
 	const log = options.log.part('failover: ');
 	const stopping = new AbortController();
-	const napping = createWakeup(clock);
+	const checkDelay = createInterruptibleSleep(clock);
 	let state: FailoverState = {phase: FailoverPhase.Watching, reason: 'not begun', since: clock.now()};
 	let tasks: ReadonlyArray<Promise<void>> = [];
 
@@ -88,16 +88,16 @@
 
 			state = {phase, reason, since: state.phase === phase ? state.since : clock.now()};
 		},
-		async announce(raised, cause, gap) {
-			const {term, status, followed, endpoint: {name: endpoint}} = raised;
-			log.info('raised a primary', {
-				group, endpoint, term, cause, followed, ...gap,
+		async announce(promoted, cause, durations) {
+			const {term, status, followed, endpoint: {name: endpoint}} = promoted;
+			log.info('promoted a new primary', {
+				group, endpoint, term, cause, followed, ...durations,
 			});
 			options.onPromoted?.({
-				group, term, endpoint, status, cause, parts: gap,
+				group, term, endpoint, status, cause, parts: durations,
 			});
 			parts.setState(FailoverPhase.Watching, `${endpoint} is primary at term ${term}`);
-			await parts.others.tellPrimary(endpoint, status);
+			await parts.others.notifyPrimary(endpoint, status);
 		},
 		stopped: stopping.signal,
 	};
@@ -107,18 +107,18 @@
 	const replicas = createReplicaWatch({
 		...parts,
 		onCutOff() {
-			napping.wake();
+			checkDelay.wake();
 		},
 	});
 	const watch = createPrimaryWatch({
 		...parts,
-		opinions: createSecondOpinion(shared),
+		reachabilityReports: createReachabilityReports(shared),
 		getStatus: async (address, timeoutMs) => options.failoverPeers.getStatus(address, timeoutMs),
 		getCutOffSince: now => replicas.getCutOffSince(now),
 	});
 	const planned = createPlannedChanges({
-		...parts, holds, host, lookAgain() {
-			napping.wake();
+		...parts, holds, host, recheckPrimary() {
+			checkDelay.wake();
 		},
 	});
 
@@ -127,14 +127,14 @@
 		const loss = await watch.findLoss(pollMs);
 		if (loss) {
 			await replacePrimary({
-				...parts, loss, noteOwnTerm(term) {
-					watch.noteOwnTerm(term);
+				...parts, loss, setOwnTerm(term) {
+					watch.setOwnTerm(term);
 				},
 			});
 		}
 
-		await clock.sleep(LEAST_NAP_MS, stopping.signal);
-		await napping.sleep(watch.getNapMs(pollMs));
+		await clock.sleep(MIN_CHECK_INTERVAL_MS, stopping.signal);
+		await checkDelay.sleep(watch.getPollDelayMs(pollMs));
 	};
 
 	const repairServers = async () => {
@@ -142,13 +142,13 @@
 		await clock.sleep(settings.repairMs, stopping.signal);
 	};
 
-	/** Runs a task's step over and over until the failover stops; an error of one round ends no task. */
+	/** Runs a task's step repeatedly until the failover stops; an error in one step does not end the task. */
 	const run = async (step: () => Promise<void>) => {
 		while (!stopping.signal.aborted) {
 			try {
 				await step();
 			} catch (err) {
-				log.error('met an error', {group, err});
+				log.error('a failover task failed', {group, err});
 				await clock.sleep(settings.retryMinMs, stopping.signal);
 			}
 		}
@@ -156,7 +156,7 @@
 
 	const suspectPrimary = (now: number) => {
 		watch.suspect(now);
-		napping.wake();
+		checkDelay.wake();
 	};
 
 	const member: FailoverMember = {
@@ -181,11 +181,11 @@
 	return {
 		async start() {
 			options.failoverPeers.register(group, member);
-			tasks = [watchPrimary, repairServers, async () => replicas.look(), async () => planned.relieve()].map(async step => run(step));
+			tasks = [watchPrimary, repairServers, async () => replicas.look(), async () => planned.runHandover()].map(async step => run(step));
 		},
 		async stop() {
 			stopping.abort();
-			napping.wake();
+			checkDelay.wake();
 			options.failoverPeers.unregister(group, member);
 			await Promise.all(tasks);
 		},
--- a/src/failover/failover-calls.ts
+++ b/src/failover/failover-calls.ts
@@ -1,6 +1,6 @@
 import type {EndpointStatus} from '../endpoints/endpoint.js';
 
-/** Asks a host which of some servers it can reach itself. */
+/** Asks a host which of the given servers it can reach. */
 export type ConfirmSuspicionRequest = {
 	readonly group: string;
 	/** `ip:port` of the servers the sender cannot reach. */
@@ -9,7 +9,7 @@
 	readonly probeMs: number;
 };
 
-/** What the host saw; servers that did not answer are absent. */
+/** Statuses of the servers that answered the host; the others are absent. */
 export type ConfirmSuspicionAnswer = {
 	readonly seen: ReadonlyArray<{readonly address: string; readonly status: EndpointStatus}>;
 };
@@ -17,14 +17,14 @@
 /** Asks an owner to hold back new writes of a group for a planned change of primary. */
 export type HoldWritesRequest = {
 	readonly group: string;
-	/** Names the hold, so that its release ends no other. */
+	/** Identifies the hold, so that its release ends no other one. */
 	readonly holdId: string;
-	/** The hold ends by itself after this long, in milliseconds, should the sender die. */
+	/** Time after which the hold ends without a release, in milliseconds, in case the sender dies. */
 	readonly ms: number;
 };
 
 /** Whether the owner's writes are held and none is in flight. */
-export type HoldWritesAnswer = {
+export type HoldWritesResponse = {
 	readonly held: boolean;
 };
 
@@ -34,23 +34,23 @@
 	readonly holdId: string;
 };
 
-/** Tells an owner of a new primary, so that it need not wait for its next poll. */
-export type TellPrimaryRequest = {
+/** Notifies an owner of a new primary, so that it does not have to wait for its next poll. */
+export type NotifyPrimaryRequest = {
 	readonly group: string;
 	readonly endpoint: string;
 	readonly status: EndpointStatus;
 };
 
-/** The answer to a message that asks nothing. */
-export type Noted = {
+/** Response to a notification. */
+export type Acknowledgement = {
 	readonly noted: boolean;
 };
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
 		'confirm-suspicion': {req: ConfirmSuspicionRequest; res: ConfirmSuspicionAnswer};
-		'hold-writes': {req: HoldWritesRequest; res: HoldWritesAnswer};
-		'release-writes': {req: ReleaseWritesRequest; res: Noted};
-		'tell-primary': {req: TellPrimaryRequest; res: Noted};
+		'hold-writes': {req: HoldWritesRequest; res: HoldWritesResponse};
+		'release-writes': {req: ReleaseWritesRequest; res: Acknowledgement};
+		'tell-primary': {req: NotifyPrimaryRequest; res: Acknowledgement};
 	}
 }
--- a/src/failover/failover-errors.ts
+++ b/src/failover/failover-errors.ts
@@ -1,21 +1,21 @@
 import ModernError from 'modern-errors';
 
-/** A change of primary that did not come about; the message says why. */
+/** A change of primary that failed; the message gives the reason. */
 export const FailoverError = ModernError.subclass('FailoverError', {
 	props: {code: 'failed' as FailoverErrorCode},
 });
 
-/** Why a change of primary did not come about. */
+/** Why a change of primary failed. */
 export const FailoverErrorCode = {
 	/** Fewer than a majority of the servers answered or granted the term. */
 	NoMajority: 'no-majority',
-	/** Another promoter's term came between. */
+	/** A server has already promised a higher term, or this promoter was paused for too long. */
 	TermPassed: 'term-passed',
-	/** Another host claimed the term and is left alone for a while. */
+	/** Another host claimed the term; this host defers to it for a while. */
 	Contested: 'contested',
-	/** A primary stands after all. */
+	/** The group has a primary after all. */
 	PrimaryStands: 'primary-stands',
-	/** A planned change was refused; the primary is as before, or a failover took over. */
+	/** A planned change was refused; the primary is the same as before, or failover replaces it. */
 	SwitchRefused: 'switch-refused',
 	/** Anything else. */
 	Failed: 'failed',
--- a/src/failover/failover-hooks.ts
+++ b/src/failover/failover-hooks.ts
@@ -2,13 +2,13 @@
 import type {FailoverSettings} from './failover-settings.js';
 import type {GroupFailover} from './group-failover.js';
 
-/** What a simulated system or a benchmark puts in place of the failover that ships; a daemon registers none. */
+/** Overrides of failover for simulated systems and benchmarks; a daemon registers none. */
 export type FailoverHooks = {
-	/** Settings that differ from those that ship. */
+	/** Settings that differ from the defaults. */
 	readonly settings?: Partial<FailoverSettings>;
-	/** Told of every change of primary that this host brought about. */
+	/** Called after every change of primary that this host performed. */
 	onPromoted?(promotion: Promotion): void;
-	/** Puts something between a group's owner and its failover. */
+	/** Wraps the failover that a group's owner uses. */
 	wrap?(failover: GroupFailover): GroupFailover;
 };
 
--- a/src/failover/failover-parts.ts
+++ b/src/failover/failover-parts.ts
@@ -9,11 +9,11 @@
 import type {GroupControl} from './group-control.js';
 import type {OtherOwners} from './other-owners.js';
 import type {PollTimes} from './poll-times.js';
-import type {GapParts, LossKind} from './promote-group.js';
+import type {FailoverDurations, LossKind} from './promote-group.js';
 import type {RaisedPrimary} from './raise-primary.js';
 import type {TermClaim} from './term-claim.js';
 
-/** What the tasks of one group's failover share. */
+/** Dependencies that the tasks of one group's failover share. */
 export type FailoverParts = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -24,20 +24,20 @@
 	readonly claim: TermClaim;
 	readonly others: OtherOwners;
 	readonly group: string;
-	/** The configuration in force. */
+	/** Returns the configuration in force. */
 	getCfg(): GroupConfig;
-	/** How old the last sign of life of a server may be now. */
+	/** Returns how old the last status of a server may be now. */
 	getPollTimes(): PollTimes;
-	/** Whether the host of the server at that address is leaving. */
+	/** Returns whether the host of the server at that address is leaving. */
 	isHostLeaving(address: string): boolean;
 	readonly setState: SetFailoverState;
-	/** Makes a new primary known; resolves once the other owners were told. */
-	announce(raised: RaisedPrimary, cause: PromotionCause, parts: GapParts): Promise<void>;
+	/** Logs and reports a new primary and notifies the other owners of it; resolves once these calls ended. */
+	announce(promoted: RaisedPrimary, cause: PromotionCause, durations: FailoverDurations): Promise<void>;
 	/** Aborts when the failover stops. */
 	readonly stopped: AbortSignal;
 };
 
-/** Why a primary was raised. */
+/** Why a primary was promoted. */
 export type PromotionCause = LossKind | 'planned';
 
 /** A change of primary, for audit and metrics. */
@@ -48,5 +48,5 @@
 	readonly endpoint: string;
 	readonly status: EndpointStatus;
 	readonly cause: PromotionCause;
-	readonly parts: GapParts;
+	readonly parts: FailoverDurations;
 };
--- a/src/failover/failover-peers.ts
+++ b/src/failover/failover-peers.ts
@@ -7,27 +7,27 @@
 import {detectFailure} from './failure-detector.js';
 import {ProbeResult} from './probe.js';
 
-/** Answers the failover's peer calls on this host, for every group it looks after and as a witness for the others. */
+/** Handles the failover's peer calls on this host, for the groups that it owns and, as a witness, for the others. */
 export type FailoverPeers = {
-	/** The way to the other proxies. */
+	/** The connections to the other proxies. */
 	readonly peers: Peers;
-	/** Asks a server on a connection of its own: an old one may have gone silent while the server is well. */
+	/** Requests a server's status on a fresh connection, since an old one may be silent although the server is healthy. */
 	getStatus(address: string, timeoutMs: number): Promise<EndpointStatus>;
-	/** Hands the calls that concern a group to its failover. */
+	/** Routes the calls that concern a group to its failover. */
 	register(group: string, member: FailoverMember): void;
-	/** Ends that, unless another member took the group over. */
+	/** Ends that, unless another member was registered for the group since. */
 	unregister(group: string, member: FailoverMember): void;
 };
 
-/** One group's failover as its peers reach it. */
+/** One group's failover as its peers call it. */
 export type FailoverMember = {
-	/** Asks the server at that address on the connection kept for control. */
+	/** Requests the status of the server at that address on the control connection. */
 	getStatus(address: string, timeoutMs: number): Promise<EndpointStatus>;
-	/** Another owner cannot reach the server at that address, nor can this host. */
+	/** Called where neither another host nor this one reaches the server at that address. */
 	suspectAddress(address: string): void;
 	hold(holdId: string, ms: number): Promise<boolean>;
 	release(holdId: string): void;
-	/** Another owner raised a primary. */
+	/** Called when another owner promoted a primary. */
 	observePrimary(endpoint: string, status: EndpointStatus): void;
 };
 
@@ -39,7 +39,7 @@
 	readonly settings: FailoverSettings;
 };
 
-/** Creates the answering side and registers it with the peers. */
+/** Creates the handlers and registers them with the peers. */
 export function createFailoverPeers(options: FailoverPeersOptions): FailoverPeers {
 	const {peers, endpoints, clock, settings} = options;
 	const members = new Map<string, FailoverMember>();
@@ -54,21 +54,21 @@
 		}
 	};
 
-	/** Probes a server; rejects where this process was paused meanwhile and its failure to answer says nothing. */
+	/** Probes a server; rejects where this process was paused meanwhile, so that a missing answer says nothing about the server. */
 	const probeAddress = async (group: string, address: string, ms: number): Promise<EndpointStatus | undefined> => {
 		const member = members.get(group);
 		let status: EndpointStatus | undefined;
-		const note = async (answer: Promise<EndpointStatus>) => {
+		const recordStatus = async (answer: Promise<EndpointStatus>) => {
 			status = await answer;
 		};
 
 		const result = await detectFailure({
 			clock,
 			settings,
-			headStartMs: 0,
+			freshProbeDelayMs: 0,
 			silenceMs: ms,
-			askKept: member && (async timeoutMs => note(member.getStatus(address, timeoutMs))),
-			askFresh: async timeoutMs => note(getStatus(address, timeoutMs)),
+			probeOpen: member && (async timeoutMs => recordStatus(member.getStatus(address, timeoutMs))),
+			probeFresh: async timeoutMs => recordStatus(getStatus(address, timeoutMs)),
 		});
 		return result === ProbeResult.Paused ? throwWitnessPaused(address) : status;
 	};
@@ -83,7 +83,7 @@
 	};
 
 	peers.handle('confirm-suspicion', confirmSuspicion);
-	// A host that does not look after the group sends it no writes and has nothing to hold.
+	// A host that does not own the group sends it no writes and has none to hold.
 	peers.handle('hold-writes', async req => ({held: await (members.get(req.group)?.hold(req.holdId, req.ms) ?? true)}));
 	peers.handle('release-writes', async req => {
 		members.get(req.group)?.release(req.holdId);
--- a/src/failover/failover-settings.ts
+++ b/src/failover/failover-settings.ts
@@ -1,81 +1,81 @@
-/** Times that steer detection, promotion and planned changes, in milliseconds. docs/notes/failover.md says how they were weighed. */
+/** Timing of detection, promotion and planned changes, in milliseconds. docs/notes/failover.md gives the reasons for the values. */
 export type FailoverSettings = {
-	/** The first-ranked owner asks the primary for its status when nothing was heard of it for this long. */
+	/** Age of the primary's last status at which the first-ranked owner requests another one. */
 	readonly primaryPollMs: number;
-	/** The same for owners of lower rank. */
+	/** The same age for owners of lower rank. */
 	readonly standbyPollMs: number;
-	/** How often replicas are asked for their status. */
+	/** Interval at which the status of replicas is requested. */
 	readonly replicaPollMs: number;
-	/** A group without work on this host for this long is idle, and its servers are asked less often. */
+	/** Time without work on this host after which a group is idle and its servers are polled less often. */
 	readonly idleAfterMs: number;
-	/** The three times between polls for an idle group. */
+	/** The three poll intervals for an idle group. */
 	readonly idlePrimaryPollMs: number;
 	readonly idleStandbyPollMs: number;
 	readonly idleReplicaPollMs: number;
-	/** Time a status of a server that is under no suspicion may take. */
+	/** Timeout of a status request to a server that is not suspected. */
 	readonly probeMs: number;
-	/** A primary that has not answered after this long is asked on a fresh connection too, and others are asked about it. */
-	readonly headStartMs: number;
-	/** Pause between probes of a primary that refuses. */
+	/** Time without an answer after which the primary is also probed on a fresh connection and other hosts are asked about it. */
+	readonly freshProbeDelayMs: number;
+	/** Pause between probes of a primary that refuses connections. */
 	readonly probeRetryMs: number;
 	/** A primary that refuses connections is suspect after this long. */
 	readonly refusedMs: number;
-	/** A primary that is then silent for this long is suspect; more than the longest pause of a healthy process. */
+	/** A primary that is silent on the fresh connection for this long is suspect; longer than the longest pause of a healthy process. */
 	readonly silenceMs: number;
-	/** Time another host takes to probe a silent primary for a second opinion; it outlasts a pause by itself. */
+	/** Time for which another host probes a silent primary for a reachability report; alone longer than a pause of a healthy process. */
 	readonly witnessProbeMs: number;
-	/** Time a call to a peer may take besides the work it asks for. */
+	/** Time that a peer call may take in addition to the work that it requests. */
 	readonly peerSlackMs: number;
-	/** A wait that lasted this much longer than asked means that this process was paused. */
+	/** A wait that ends this much later than requested means that this process was paused. */
 	readonly pauseSlackMs: number;
-	/** Pause before another opinion is sought where a host still reached the primary. */
+	/** Pause before reachability reports are requested again after one that did not confirm the loss. */
 	readonly contestedMs: number;
-	/** An owner waits this long per rank before it acts, so that the one before it can. */
+	/** Time per rank that an owner waits before it acts, so that the owners ranked before it act first. */
 	readonly rankDelayMs: number;
-	/** Largest random addition to the rank's delay. */
+	/** Maximum random addition to the rank's delay. */
 	readonly rankJitterMs: number;
-	/** How long a group without a primary is left to whoever raised the term last. */
+	/** How long a group without a primary is left to the host that raised the term last. */
 	readonly vacancyGraceMs: number;
-	/** Bound on the survey of the group before a promotion. */
+	/** Timeout of the status survey of the group before a promotion. */
 	readonly surveyMs: number;
-	/** Bound on claiming the term in the platform's store. */
+	/** Timeout of reading and writing the claim of a term in the platform's store. */
 	readonly claimMs: number;
-	/** How long another host's claim of the next term is left alone. */
-	readonly competitorMs: number;
-	/** Bound on fencing the group. */
+	/** Pause after meeting another promoter, through its claim or a higher term; varied at random by half. */
+	readonly competitorPauseMs: number;
+	/** Timeout of fencing the group. */
 	readonly fenceMs: number;
-	/** How long answers to the survey are awaited beyond a majority; enough for a suspect that is back to show itself on a fresh connection. */
+	/** How long answers to the survey are awaited after a majority; long enough for a suspect that recovered to answer on a fresh connection. */
 	readonly surveyStragglerMs: number;
-	/** How long grants of a fence are awaited beyond a majority. */
+	/** How long further grants of a fence are awaited after a majority. */
 	readonly stragglerMs: number;
-	/** Bound on promoting the candidate. */
+	/** Timeout of promoting the candidate. */
 	readonly promoteMs: number;
-	/** A promoter that is not done fencing within this long was paused, and stops. */
+	/** A promoter whose fencing took longer than this was paused, and stops. */
 	readonly staleFenceMs: number;
-	/** Bound on the others following the new primary. */
+	/** Timeout of the other servers' following the new primary. */
 	readonly learnMs: number;
 	/** First pause after a failed attempt; doubles up to {@link retryMaxMs}, with jitter. */
 	readonly retryMinMs: number;
 	readonly retryMaxMs: number;
-	/** A reachable primary whose entries reach no majority is cut off from its group after this long at least. */
+	/** Minimum time without progress after which a reachable primary whose entries reach no majority counts as cut off from its group, */
 	readonly stallMs: number;
-	/** … and after this many times the slowest catch-up seen in its term. */
+	/** in multiples of the slowest catch-up seen in its term, where that is longer, */
 	readonly stallFactor: number;
-	/** … or after this long where no catch-up was seen in its term. */
+	/** or in milliseconds where no catch-up was seen in its term. */
 	readonly stallUnknownMs: number;
-	/** How often replicas are asked while a majority is behind. */
+	/** Interval at which the status of replicas is requested while a majority is behind. */
 	readonly stallPollMs: number;
-	/** How often it is looked whether a server is to be sent to follow the primary, and whether the primary is to be relieved. */
+	/** Interval of the checks whether a server must be ordered to follow the primary, and whether the primary must be replaced as planned. */
 	readonly repairMs: number;
-	/** How long a replica may be behind without moving before it is sent to follow again; doubles each time it does not help. */
+	/** How long a replica may be behind without advancing before it is ordered to follow again; doubles each time that does not help. */
 	readonly repairIdleMs: number;
-	/** Longest time that writes are held back for a planned change. */
+	/** Maximum time for which writes are held for a planned change. */
 	readonly holdMs: number;
-	/** Pause before a planned change that failed is tried again. */
+	/** First pause before a failed planned change is retried; doubles with each failure, up to 16 times as long. */
 	readonly switchRetryMs: number;
 };
 
-/** The settings that ship. */
+/** The default settings. */
 export const DEFAULT_FAILOVER_SETTINGS: FailoverSettings = {
 	primaryPollMs: 200,
 	standbyPollMs: 500,
@@ -85,7 +85,7 @@
 	idleStandbyPollMs: 2000,
 	idleReplicaPollMs: 3000,
 	probeMs: 300,
-	headStartMs: 100,
+	freshProbeDelayMs: 100,
 	probeRetryMs: 40,
 	refusedMs: 100,
 	silenceMs: 600,
@@ -98,7 +98,7 @@
 	vacancyGraceMs: 600,
 	surveyMs: 300,
 	claimMs: 75,
-	competitorMs: 600,
+	competitorPauseMs: 600,
 	fenceMs: 300,
 	surveyStragglerMs: 40,
 	stragglerMs: 10,
--- a/src/failover/failover-state.ts
+++ b/src/failover/failover-state.ts
@@ -2,15 +2,15 @@
 export const FailoverPhase = {
 	/** The primary answers. */
 	Watching: 'watching',
-	/** The primary does not answer, or there is none; not yet for long enough. */
+	/** The primary does not answer, or there is none, but not yet for long enough to replace it. */
 	Suspecting: 'suspecting',
-	/** Silent here, but another host reaches it, or none could be asked. */
+	/** The primary is silent to this host, but another host reaches it, or no other host answered. */
 	Contested: 'contested',
-	/** Fewer servers answer than make a majority; nothing can be promoted. */
+	/** Fewer servers than a majority answer, so none can be promoted. */
 	NoMajority: 'no-majority',
-	/** A promotion is under way. */
+	/** A promotion is in progress. */
 	Promoting: 'promoting',
-	/** A planned change is under way. */
+	/** A planned change is in progress. */
 	Switching: 'switching',
 } as const;
 
@@ -20,7 +20,7 @@
 /** The state of a group's failover on this host, for operators and refusals. */
 export type FailoverState = {
 	readonly phase: FailoverPhase;
-	/** One sentence for a person. */
+	/** One human-readable sentence. */
 	readonly reason: string;
 	/** When the phase began, on the clock's `now`. */
 	readonly since: number;
--- a/src/failover/failure-detector.ts
+++ b/src/failover/failure-detector.ts
@@ -7,39 +7,39 @@
 export type DetectOptions = {
 	readonly clock: Clock;
 	readonly settings: Pick<FailoverSettings, 'pauseSlackMs' | 'probeRetryMs' | 'refusedMs'>;
-	/** How much later than on the connection at hand it is asked on a fresh one, in milliseconds. */
-	readonly headStartMs: number;
+	/** How much later than the probe on the open connection the one on a fresh connection starts, in milliseconds. */
+	readonly freshProbeDelayMs: number;
 	/** How long a server may be silent on the fresh connection, in milliseconds. */
 	readonly silenceMs: number;
-	/** Asks on a connection that is open already, where there is one. */
-	askKept?(timeoutMs: number): Promise<unknown>;
-	/** Asks on a connection of its own. */
-	askFresh(timeoutMs: number): Promise<unknown>;
-	/** Called once the first question is not answered at once. */
-	onDoubt?(): void;
+	/** Probes the server on a connection that is already open, if there is one. */
+	probeOpen?(timeoutMs: number): Promise<unknown>;
+	/** Probes the server on a fresh connection. */
+	probeFresh(timeoutMs: number): Promise<unknown>;
+	/** Called once the probe on the open connection failed or was not answered within `freshProbeDelayMs`. */
+	onDelayed?(): void;
 };
 
 /**
- * Seeks a sign of life of a server and tells what came of it; never rejects.
+ * Probes a server for an answer and resolves with the result; never rejects.
  *
- * It asks on two connections. The one that is open already brings the answer of a server that was merely paused as soon
- * as it goes on, without the time that connecting takes. A fresh one brings the answer of a server whose old connections
- * went silent. A server is failed only when both bring nothing: when all is silent to the end, or, since a paused
- * server does not refuse, when it refuses for a shorter while. The fresh connection always gets its whole time: what the
- * other one did not bring may be its own fault, or that of a pause of this process.
+ * It probes on two connections. The one that is already open brings the answer of a server that was merely paused as soon
+ * as it resumes, without the time for connecting. A fresh one brings the answer of a server whose old connections went
+ * silent. A server has failed only when neither is answered: when both stay silent to the end or, since a paused server
+ * does not refuse connections, when it refuses them for a shorter time. The fresh connection always gets its whole time:
+ * a missing answer on the open one may be that connection's own fault, or caused by a pause of this process.
  */
 export async function detectFailure(options: DetectOptions): Promise<ProbeResult> {
-	const {clock, settings, headStartMs, silenceMs} = options;
+	const {clock, settings, freshProbeDelayMs, silenceMs} = options;
 
 	const ask = async (timeoutMs: number, exchange: (timeoutMs: number) => Promise<unknown>) => probe({
 		clock, timeoutMs, pauseSlackMs: settings.pauseSlackMs, exchange,
 	});
 
-	const askFreshUntilEnd = async (): Promise<ProbeResult> => {
+	const probeFreshUntilEnd = async (): Promise<ProbeResult> => {
 		const startedAt = clock.now();
 		for (;;) {
 			const leftMs = Math.max(settings.probeRetryMs, startedAt + silenceMs - clock.now());
-			const result = await ask(leftMs, async timeoutMs => options.askFresh(timeoutMs));
+			const result = await ask(leftMs, async timeoutMs => options.probeFresh(timeoutMs));
 			if (result !== ProbeResult.Refused || clock.now() - startedAt >= settings.refusedMs) {
 				return result;
 			}
@@ -48,29 +48,29 @@
 		}
 	};
 
-	const {askKept} = options;
-	const kept = askKept ? ask(headStartMs + silenceMs, async timeoutMs => askKept(timeoutMs)) : Promise.resolve(ProbeResult.Refused);
-	const first = await withinMs(clock, headStartMs, kept);
-	if (!first.timedOut && isNoEvidence(first.value)) {
-		return first.value;
+	const {probeOpen} = options;
+	const openProbe = probeOpen ? ask(freshProbeDelayMs + silenceMs, async timeoutMs => probeOpen(timeoutMs)) : Promise.resolve(ProbeResult.Refused);
+	const early = await withinMs(clock, freshProbeDelayMs, openProbe);
+	if (!early.timedOut && isNoFailure(early.value)) {
+		return early.value;
 	}
 
-	options.onDoubt?.();
-	return combine([kept, askFreshUntilEnd()]);
+	options.onDelayed?.();
+	return combineResults([openProbe, probeFreshUntilEnd()]);
 }
 
-function isNoEvidence(result: ProbeResult): boolean {
+function isNoFailure(result: ProbeResult): boolean {
 	return result === ProbeResult.Answered || result === ProbeResult.Paused;
 }
 
-/** The first answer, or what all questions together amount to. */
-async function combine(questions: ReadonlyArray<Promise<ProbeResult>>): Promise<ProbeResult> {
-	const answered = questions.map(async question => (await question) === ProbeResult.Answered ? ProbeResult.Answered : Promise.reject(new Error('no answer')));
+/** Resolves with the first answer, or with the combined result of all probes where none is answered. */
+async function combineResults(probes: ReadonlyArray<Promise<ProbeResult>>): Promise<ProbeResult> {
+	const answered = probes.map(async pending => (await pending) === ProbeResult.Answered ? ProbeResult.Answered : Promise.reject(new Error('no answer')));
 	try {
 		return await Promise.any(answered);
 	} catch {
-		const results = await Promise.all(questions);
-		const weight = [ProbeResult.Paused, ProbeResult.Silent, ProbeResult.Refused];
-		return weight.find(result => results.includes(result)) ?? ProbeResult.Refused;
+		const results = await Promise.all(probes);
+		const precedence = [ProbeResult.Paused, ProbeResult.Silent, ProbeResult.Refused];
+		return precedence.find(result => results.includes(result)) ?? ProbeResult.Refused;
 	}
 }
--- a/src/failover/fence-group.ts
+++ b/src/failover/fence-group.ts
@@ -14,17 +14,17 @@
 	readonly cfg: GroupConfig;
 	readonly settings: FailoverSettings;
 	readonly term: number;
-	/** An endpoint whose grant does not count: a primary that is cut off from its group. */
+	/** An endpoint whose grant is not counted: a primary that is cut off from its group. */
 	readonly excluded?: string;
-	/** An endpoint whose grant is awaited besides the majority. */
+	/** An endpoint whose grant is awaited in addition to a majority. */
 	readonly awaited?: string;
 };
 
 /**
- * Raises the promised term at all servers at once and returns those that granted it, a majority at least.
+ * Raises the promised term at all servers concurrently and returns those that granted it, at least a majority.
  *
- * A majority of grants is the vote: no write of an older term can be confirmed any more, and no other promoter
- * can get a majority for this term. Rejects with FailoverError where no majority granted it.
+ * Once a majority granted the term, no write of an older term can be confirmed any more, and no other promoter can get
+ * a majority for this term. Rejects with FailoverError where no majority granted it.
  */
 export async function fenceGroup(options: FenceOptions): Promise<readonly FencedServer[]> {
 	const {clock, control, cfg, settings, term} = options;
@@ -48,8 +48,8 @@
 		boundMs: settings.fenceMs,
 	});
 
-	// A promoter that was paused here would promote on answers that are long out of date. The servers' terms keep that
-	// safe; stopping spares the group a second primary that nobody can confirm.
+	// A promoter that was paused here would promote on stale answers. The servers' terms keep that safe; stopping avoids
+	// a second primary whose writes no majority can confirm.
 	if (clock.now() - startedAt > settings.staleFenceMs) {
 		throwPaused(term);
 	}
--- a/src/failover/gather-answers.ts
+++ b/src/failover/gather-answers.ts
@@ -14,20 +14,20 @@
 	readonly endpoints: readonly EndpointConfig[];
 	/** Asks one server; a rejection counts as no answer. */
 	ask(endpoint: EndpointConfig): Promise<T>;
-	/** Tells whether what was answered so far suffices; then stragglers alone are awaited. */
+	/** Returns whether the answers so far suffice; from then on only stragglers are awaited. */
 	isEnough(answers: ReadonlyArray<Gathered<T>>): boolean;
-	/** How long stragglers are awaited, in milliseconds. */
+	/** How long further answers are awaited once there are enough, in milliseconds. */
 	readonly stragglerMs: number;
-	/** Bound on the whole, in milliseconds. */
+	/** Timeout of the whole, in milliseconds. */
 	readonly boundMs: number;
 };
 
-/** Asks all servers at once and returns what was answered in time, without waiting for servers that are lost. */
+/** Asks all servers concurrently and resolves with the answers that came in time, without waiting for unreachable servers. */
 export async function gatherAnswers<T>(options: GatherOptions<T>): Promise<ReadonlyArray<Gathered<T>>> {
 	const answers: Array<Gathered<T>> = [];
-	let reachEnough: () => void;
-	const enoughReached = new Promise<void>(resolve => {
-		reachEnough = resolve;
+	let resolveEnough: () => void;
+	const enough = new Promise<void>(resolve => {
+		resolveEnough = resolve;
 	});
 
 	const askOne = async (endpoint: EndpointConfig) => {
@@ -38,12 +38,12 @@
 		}
 
 		if (options.isEnough(answers)) {
-			reachEnough();
+			resolveEnough();
 		}
 	};
 
 	const awaitStragglers = async () => {
-		await enoughReached;
+		await enough;
 		await options.clock.sleep(options.stragglerMs);
 	};
 
--- a/src/failover/group-control.ts
+++ b/src/failover/group-control.ts
@@ -5,15 +5,15 @@
 import {withinMs} from '../time/deadline.js';
 import type {GroupFailoverContext} from './group-failover.js';
 
-/** Group control over an owner's control connections; every answer goes into the group's knowledge, every failure too. */
+/** Controls a group's servers over an owner's control connections; records every answer and every failure in the group's knowledge. */
 export type GroupControl = {
-	/** Once the signal aborts, the connection is given up, so that the next exchange begins on a fresh one. */
+	/** Requests a server's status. An abort of the signal destroys the connection, so that the next exchange uses a fresh one. */
 	status(endpoint: string, ms: number, signal?: AbortSignal): Promise<EndpointStatus>;
 	fence(endpoint: string, term: number, ms: number): Promise<TermAnswer>;
 	promote(endpoint: string, term: number, ms: number): Promise<TermAnswer>;
-	/** Makes a server follow the primary at that address. */
+	/** Orders a server to follow the primary at that address. */
 	follow(endpoint: string, term: number, primaryAddress: string, ms: number): Promise<TermAnswer>;
-	/** Waits until a server holds a position; answers with what it holds after `ms` at the latest. */
+	/** Waits until a server holds a position; resolves with its status then, or shortly before `ms` milliseconds passed. */
 	waitFor(endpoint: string, position: LogPosition, ms: number): Promise<EndpointStatus>;
 };
 
@@ -23,7 +23,7 @@
 	readonly context: Pick<GroupFailoverContext, 'control' | 'knowledge'>;
 };
 
-/** Part of a wait's time kept for the answer's way back, in milliseconds. */
+/** Part of a wait's time that is reserved for the answer's transmission, in milliseconds. */
 const ANSWER_RESERVE_MS = 50;
 
 /** Creates the control of one group. */
@@ -36,7 +36,7 @@
 		const endsAt = clock.now() + ms;
 
 		const attempt = context.control(endpoint, async connection => {
-			// A promoter that was given up on must not reach the server with its old order once a connection opens at last.
+			// An exchange that has already timed out must not send its outdated order once a connection opens.
 			if (clock.now() >= endsAt) {
 				return throwNoAnswer(endpoint, 'a control exchange that began too late');
 			}
@@ -59,33 +59,33 @@
 	const getOwnStatus = (status: EndpointStatus) => status;
 
 	return {
-		status: async (endpoint, ms, signal) => run(endpoint, ms, async (connection, left) => askStatus(connection, left, signal), getOwnStatus),
-		fence: async (endpoint, term, ms) => run(endpoint, ms, async (connection, left) => connection.fence(term, left), getTermStatus),
-		promote: async (endpoint, term, ms) => run(endpoint, ms, async (connection, left) => connection.promote(term, left), getTermStatus),
+		status: async (endpoint, ms, signal) => run(endpoint, ms, async (connection, remainingMs) => askStatus(connection, remainingMs, signal), getOwnStatus),
+		fence: async (endpoint, term, ms) => run(endpoint, ms, async (connection, remainingMs) => connection.fence(term, remainingMs), getTermStatus),
+		promote: async (endpoint, term, ms) => run(endpoint, ms, async (connection, remainingMs) => connection.promote(term, remainingMs), getTermStatus),
 		follow: async (endpoint, term, primaryAddress, ms) => run(
 			endpoint,
 			ms,
-			async (connection, left) => connection.follow(term, primaryAddress, left),
+			async (connection, remainingMs) => connection.follow(term, primaryAddress, remainingMs),
 			getTermStatus,
 		),
 		waitFor: async (endpoint, position, ms) => run(
 			endpoint,
 			ms,
-			async (connection, left) => connection.waitFor(position, Math.max(0, left - ANSWER_RESERVE_MS), left),
+			async (connection, remainingMs) => connection.waitFor(position, Math.max(0, remainingMs - ANSWER_RESERVE_MS), remainingMs),
 			getOwnStatus,
 		),
 	};
 }
 
 async function askStatus(connection: EndpointConnection, ms: number, signal: AbortSignal | undefined): Promise<EndpointStatus> {
-	const giveUp = () => {
+	const destroyConnection = () => {
 		connection.destroy();
 	};
 
-	signal?.addEventListener('abort', giveUp, {once: true});
+	signal?.addEventListener('abort', destroyConnection, {once: true});
 	try {
 		return await connection.status(ms);
 	} finally {
-		signal?.removeEventListener('abort', giveUp);
+		signal?.removeEventListener('abort', destroyConnection);
 	}
 }
--- a/src/failover/other-owners.ts
+++ b/src/failover/other-owners.ts
@@ -7,16 +7,16 @@
 import {throwSwitchRefused} from './failover-errors.js';
 import type {FailoverSettings} from './failover-settings.js';
 
-/** This host's place among the group's owners, and what it asks of the others. */
+/** This host's rank among the group's owners, and its requests to the others. */
 export type OtherOwners = {
-	/** This host's rank, 0 first; behind all owners where it is none. */
+	/** Returns this host's rank, from 0; a host that is not an owner ranks after all owners. */
 	getRank(): number;
-	/** Holds the group's writes at every other owner that can be reached; rejects with FailoverError where one does not. */
+	/** Holds the group's writes at every other owner that can be reached; rejects with FailoverError where one of them cannot hold them. */
 	hold(holdId: string, ms: number): Promise<void>;
-	/** Ends a hold everywhere; never rejects. */
+	/** Ends a hold at every other owner; never rejects. */
 	release(holdId: string): Promise<void>;
-	/** Tells of a new primary; never rejects. */
-	tellPrimary(endpoint: string, status: EndpointStatus): Promise<void>;
+	/** Notifies the other owners of a new primary; never rejects. */
+	notifyPrimary(endpoint: string, status: EndpointStatus): Promise<void>;
 };
 
 /** What {@link createOtherOwners} needs. */
@@ -27,11 +27,11 @@
 	readonly owning: Owning;
 	readonly settings: FailoverSettings;
 	readonly group: string;
-	/** How many hosts look after the group. */
+	/** Returns how many hosts own the group. */
 	getOwnerCount(): number;
 };
 
-/** Creates the view of the other owners of one group. */
+/** Creates the requests to the other owners of one group. */
 export function createOtherOwners(options: OtherOwnersOptions): OtherOwners {
 	const {clock, peers, hosts, owning, settings, group} = options;
 
@@ -43,7 +43,7 @@
 			const {held} = await peers.call(host.address, 'hold-writes', {group, holdId, ms}, ms + settings.peerSlackMs);
 			return held;
 		} catch (err) {
-			// An owner that cannot be reached is most likely gone; a write it might still send is refused by its term.
+			// An owner that cannot be reached is most likely down; a write that it might still send is refused because of its term.
 			return isPeerError(err) && !err.sent;
 		}
 	};
@@ -64,7 +64,7 @@
 		async release(holdId) {
 			await Promise.allSettled(getOthers().map(async host => peers.call(host.address, 'release-writes', {group, holdId}, settings.peerSlackMs)));
 		},
-		async tellPrimary(endpoint, status) {
+		async notifyPrimary(endpoint, status) {
 			await Promise.allSettled(getOthers().map(async host => peers.call(host.address, 'tell-primary', {group, endpoint, status}, settings.peerSlackMs)));
 		},
 	};
--- a/src/failover/planned-changes.ts
+++ b/src/failover/planned-changes.ts
@@ -5,12 +5,12 @@
 import {switchPrimary} from './switch-primary.js';
 import type {WriteHolds} from './write-holds.js';
 
-/** Changes the primary of one group as operators and leaving hosts ask for it. */
+/** Changes the primary of one group as operators request it and as draining or leaving endpoints require it. */
 export type PlannedChanges = {
-	/** Makes that endpoint primary within `ms`; rejects with FailoverError. */
+	/** Makes that endpoint primary within `ms` milliseconds; rejects with FailoverError where that fails. */
 	change(target: string, ms: number): Promise<void>;
-	/** Relieves a primary that is drained, stopped or leaving, and waits until it is time to look again. */
-	relieve(): Promise<void>;
+	/** Replaces a primary that is drained, stopped or leaving; resolves when the next check is due. */
+	runHandover(): Promise<void>;
 };
 
 /** What {@link createPlannedChanges} needs. */
@@ -18,19 +18,19 @@
 	readonly holds: WriteHolds;
 	/** Name of this host. */
 	readonly host: string;
-	/** Has the primary looked at once more, after a change that failed half-way. */
-	lookAgain(): void;
+	/** Schedules another check of the primary after a change that failed part-way. */
+	recheckPrimary(): void;
 };
 
-/** After this many refusals in turn the pause between two tries grows no more. */
-const MOST_DOUBLINGS = 4;
+/** Number of consecutive failures after which the pause between two attempts no longer doubles. */
+const MAX_DOUBLINGS = 4;
 
 /** Creates the planned changes of one group. */
 export function createPlannedChanges(options: PlannedChangesOptions): PlannedChanges {
 	const {clock, random, log, group, settings, knowledge, others, setState} = options;
 	let switching = false;
 	let changes = 0;
-	let refusals = 0;
+	let failures = 0;
 
 	const run = async (target: string, ms: number) => {
 		changes++;
@@ -40,9 +40,9 @@
 			target,
 			ms,
 			holdId: `${options.host} ${group} ${changes} ${random.fraction()}`,
-			async onRaised(raised) {
-				const {fenceMs, promoteMs, learnMs} = raised;
-				await options.announce(raised, 'planned', {
+			async onPromoted(promoted) {
+				const {fenceMs, promoteMs, learnMs} = promoted;
+				await options.announce(promoted, 'planned', {
 					detectMs: 0, claimMs: 0, fenceMs, promoteMs, learnMs,
 				});
 			},
@@ -59,7 +59,7 @@
 		try {
 			await run(target, ms);
 		} catch (err) {
-			options.lookAgain();
+			options.recheckPrimary();
 			throw isFailoverError(err) && err.code !== FailoverErrorCode.SwitchRefused ? throwSwitchRefused(err.message, err) : err;
 		} finally {
 			switching = false;
@@ -67,8 +67,8 @@
 		}
 	};
 
-	/** Relieves the primary where that is asked for; tells whether it may be left as it is now. */
-	const relieveOnce = async (): Promise<boolean> => {
+	/** Replaces the primary where that is required; resolves with false where it was required but not done. */
+	const handOverIfRequired = async (): Promise<boolean> => {
 		const succession = others.getRank() === 0 && !switching ? chooseSuccessor({...options, cfg: options.getCfg()}) : undefined;
 		if (!succession) {
 			return true;
@@ -76,7 +76,7 @@
 
 		const primary = succession.primary.name;
 		if (!succession.successor) {
-			log.warn('found no replica to relieve the primary', {group, primary});
+			log.warn('found no replica that can take over from the primary', {group, primary});
 			return false;
 		}
 
@@ -88,23 +88,23 @@
 				throw err;
 			}
 
-			log.warn('could not relieve the primary', {group, primary, reason: err.message});
+			log.warn('could not replace the primary as planned', {group, primary, reason: err.message});
 			return false;
 		}
 	};
 
 	return {
 		change,
-		async relieve() {
-			if (await relieveOnce()) {
-				refusals = 0;
+		async runHandover() {
+			if (await handOverIfRequired()) {
+				failures = 0;
 				await clock.sleep(settings.repairMs, options.stopped);
 				return;
 			}
 
-			// Each try holds the group's writes for a while; tries that fail grow rare.
-			await clock.sleep(settings.switchRetryMs * (2 ** refusals), options.stopped);
-			refusals = Math.min(refusals + 1, MOST_DOUBLINGS);
+			// Each attempt holds the group's writes for a while, so the pause doubles with each failed one.
+			await clock.sleep(settings.switchRetryMs * (2 ** failures), options.stopped);
+			failures = Math.min(failures + 1, MAX_DOUBLINGS);
 		},
 	};
 }
--- a/src/failover/poll-times.ts
+++ b/src/failover/poll-times.ts
@@ -1,12 +1,12 @@
 import type {FailoverSettings} from './failover-settings.js';
 
-/** How old the last sign of life of a group's servers may be, in milliseconds. */
+/** How old the last status of a group's servers may be before it is requested again, in milliseconds. */
 export type PollTimes = {
 	readonly primaryMs: number;
 	readonly replicaMs: number;
 };
 
-/** What the times depend on. */
+/** What the poll times depend on. */
 export type PollSituation = {
 	/** Rank of this host among the group's owners, from 0. */
 	readonly rank: number;
@@ -15,10 +15,11 @@
 };
 
 /**
- * The times between polls.
+ * Returns the poll times of a group.
  *
- * Statements bring the servers' status as well, so a busy group is polled hardly ever. A group without any would cost its
- * owners a node's whole budget for control; nobody waits for it, and its first statement raises suspicion by itself.
+ * Answers to statements carry the servers' status too, so a busy group is hardly ever polled. At the same rate, groups
+ * without statements would use up a node's whole budget for control. They are polled less often: no caller is waiting for
+ * them, and their first statement raises a suspicion by itself.
  */
 export function getPollTimes(settings: FailoverSettings, {rank, idleMs = 0}: PollSituation): PollTimes {
 	const isFirst = rank === 0;
--- a/src/failover/primary-watch.ts
+++ b/src/failover/primary-watch.ts
@@ -5,33 +5,33 @@
 import {detectFailure} from './failure-detector.js';
 import {gatherAnswers} from './gather-answers.js';
 import {ProbeResult} from './probe.js';
-import {type Loss, LossKind} from './promote-group.js';
-import type {SecondOpinion} from './second-opinion.js';
+import {type PrimaryLoss, LossKind} from './promote-group.js';
+import type {ReachabilityReports} from './reachability-reports.js';
 
-/** Finds out whether a group lost its primary. */
+/** Detects whether a group lost its primary. */
 export type PrimaryWatch = {
-	/** Looks once, `pollMs` being how old the last sign of life may be; resolves with a loss only when it is confirmed. */
-	findLoss(pollMs: number): Promise<Loss | undefined>;
-	/** How long there is nothing to look for, in milliseconds: until the last sign of life will be `pollMs` old. */
-	getNapMs(pollMs: number): number;
-	/** Notes that traffic found the primary silent at `now`; the next look asks it. */
+	/** Checks once; the primary's last status may be `pollMs` milliseconds old. Resolves with a loss only when it is confirmed. */
+	findLoss(pollMs: number): Promise<PrimaryLoss | undefined>;
+	/** Returns the time until the next check is due, in milliseconds: when the primary's last status will be `pollMs` old. */
+	getPollDelayMs(pollMs: number): number;
+	/** Records that traffic found the primary silent at `now`; the next check probes it. */
 	suspect(now: number): void;
-	/** Notes a term that this host raised without success, which nobody else will bring to a primary. */
-	noteOwnTerm(term: number): void;
+	/** Records a term that this host raised without promoting a primary at it; no other host will promote one at it either. */
+	setOwnTerm(term: number): void;
 };
 
 /** What {@link createPrimaryWatch} needs. */
 export type PrimaryWatchOptions = Pick<FailoverParts, 'clock' | 'control' | 'knowledge' | 'settings' | 'log' | 'getCfg' | 'setState'> & {
-	readonly opinions: SecondOpinion;
-	/** Asks a server on a connection of its own. */
+	readonly reachabilityReports: ReachabilityReports;
+	/** Requests a server's status on a fresh connection. */
 	getStatus(address: string, timeoutMs: number): Promise<EndpointStatus>;
-	/** When the primary was last seen to be followed, where it is cut off from its group. */
+	/** Returns since when no replica has followed the primary where it is cut off from its group, otherwise undefined. */
 	getCutOffSince(now: number): number | undefined;
 };
 
 /** Creates the watch of one group's primary. */
 export function createPrimaryWatch(options: PrimaryWatchOptions): PrimaryWatch {
-	const {clock, control, knowledge, opinions, settings, log, setState} = options;
+	const {clock, control, knowledge, reachabilityReports, settings, log, setState} = options;
 	let suspectedAt = -Infinity;
 	let ownTerm = 0;
 	let contested = false;
@@ -44,56 +44,56 @@
 
 	const isPrimarySince = (term: number) => (status: EndpointStatus) => status.role === EndpointRole.Primary && status.term >= term;
 
-	const investigate = async (primary: EndpointConfig): Promise<Loss | undefined> => {
+	const probePrimary = async (primary: EndpointConfig): Promise<PrimaryLoss | undefined> => {
 		const term = knowledge.highestTerm;
 		const since = knowledge.get(primary.name)?.seenAt ?? clock.now();
-		let opinion: ReturnType<SecondOpinion['ask']> | undefined;
+		let report: ReturnType<ReachabilityReports['request']> | undefined;
 
-		const kept = new AbortController();
+		const openProbeAbort = new AbortController();
 		const result = await detectFailure({
 			clock,
 			settings,
-			headStartMs: settings.headStartMs,
+			freshProbeDelayMs: settings.freshProbeDelayMs,
 			silenceMs: settings.silenceMs,
-			askKept: async ms => control.status(primary.name, ms, kept.signal),
-			async askFresh(ms) {
+			probeOpen: async ms => control.status(primary.name, ms, openProbeAbort.signal),
+			async probeFresh(ms) {
 				knowledge.observe(primary.name, await options.getStatus(primary.address, ms), clock.now());
 			},
-			onDoubt() {
-				// Asked at the first doubt, so that the other host's own probing runs beside this one's.
+			onDelayed() {
+				// Requested at the first delay, so that the other hosts probe the server while this one does.
 				if (!contested) {
 					setState(FailoverPhase.Suspecting, `${primary.name} does not answer`);
 				}
 
-				opinion = opinions.ask([primary.address], isPrimarySince(term));
+				report = reachabilityReports.request([primary.address], isPrimarySince(term));
 			},
 		});
 
-		// Where the fresh connection brought the answer, the kept one went silent and would hold up what comes after.
-		kept.abort();
+		// Where the answer came on the fresh connection, the open one is silent and would delay the exchanges that follow on it.
+		openProbeAbort.abort();
 		const failed = result === ProbeResult.Refused || result === ProbeResult.Silent;
-		if (!failed || !opinion || knowledge.getPrimary()?.name !== primary.name) {
+		if (!failed || !report || knowledge.getPrimary()?.name !== primary.name) {
 			contested = false;
 			setState(FailoverPhase.Watching, `${primary.name} answers, or another endpoint is primary`);
 			return undefined;
 		}
 
-		const {confirmed, heard} = await opinion;
+		const {confirmed, reporters} = await report;
 		contested = !confirmed;
 		if (confirmed) {
-			log.warn('lost the primary', {endpoint: primary.name, term, confirmedBy: heard});
+			log.warn('lost the primary', {endpoint: primary.name, term, confirmedBy: reporters});
 			return {
 				kind: LossKind.Unreachable, endpoint: primary.name, term, since, confirmedAt: clock.now(),
 			};
 		}
 
-		const why = heard.length > 0 ? `${heard.join(', ')} still reaches it` : 'no other host could be asked';
-		setState(FailoverPhase.Contested, `${primary.name} does not answer here, but ${why}`);
+		const detail = reporters.length > 0 ? `${reporters.join(', ')} still reaches it` : 'no other host could be asked';
+		setState(FailoverPhase.Contested, `${primary.name} does not answer here, but ${detail}`);
 		await clock.sleep(settings.contestedMs);
 		return undefined;
 	};
 
-	const checkPrimary = async (primary: EndpointConfig, pollMs: number): Promise<Loss | undefined> => {
+	const checkPrimary = async (primary: EndpointConfig, pollMs: number): Promise<PrimaryLoss | undefined> => {
 		vacancy = undefined;
 		const cutOffSince = options.getCutOffSince(clock.now());
 		if (cutOffSince !== undefined) {
@@ -107,10 +107,10 @@
 			return undefined;
 		}
 
-		return investigate(primary);
+		return probePrimary(primary);
 	};
 
-	const noteVacancy = () => {
+	const recordVacancy = () => {
 		const now = clock.now();
 		const {highestTerm} = knowledge;
 		vacancy ??= {term: highestTerm, at: now, since: now};
@@ -121,7 +121,7 @@
 		return vacancy;
 	};
 
-	const checkVacancy = async (): Promise<Loss | undefined> => {
+	const checkVacancy = async (): Promise<PrimaryLoss | undefined> => {
 		const {endpoints} = options.getCfg();
 		const answers = await gatherAnswers({
 			clock,
@@ -135,14 +135,14 @@
 			return undefined;
 		}
 
-		const {term, at, since} = noteVacancy();
+		const {term, at, since} = recordVacancy();
 		const majority = getMajority(options.getCfg());
 		if (answers.length < majority) {
 			setState(FailoverPhase.NoMajority, `no primary, and ${answers.length} of ${endpoints.length} servers answer`);
 			return undefined;
 		}
 
-		// Whoever raised the term last is most likely about to promote a server; raising it again would undo that.
+		// The host that raised the term last is most likely about to promote a server; raising the term again would undo that.
 		setState(FailoverPhase.Suspecting, `no server is primary at term ${term}`);
 		if (term > 0 && term !== ownTerm && clock.now() - at < settings.vacancyGraceMs) {
 			return undefined;
@@ -150,7 +150,7 @@
 
 		const unseen = endpoints.filter(({name}) => !answers.some(({endpoint}) => endpoint.name === name));
 		if (unseen.length > 0) {
-			const {confirmed} = await opinions.ask(unseen.map(({address}) => address), isPrimarySince(term));
+			const {confirmed} = await reachabilityReports.request(unseen.map(({address}) => address), isPrimarySince(term));
 			if (!confirmed) {
 				setState(FailoverPhase.Contested, 'another host sees a primary, or none could be asked');
 				return undefined;
@@ -167,9 +167,9 @@
 			const primary = knowledge.getPrimary();
 			return primary ? checkPrimary(primary, pollMs) : checkVacancy();
 		},
-		// Guards against a nap of a whole period that began when the last sign of life was nearly as old: a loss just after
-		// its beginning would be looked for two periods late.
-		getNapMs(pollMs) {
+		// A wait of a whole period that begins when the last status is nearly a period old would check for a loss soon after
+		// its start up to two periods late.
+		getPollDelayMs(pollMs) {
 			const primary = knowledge.getPrimary();
 			const known = primary && knowledge.get(primary.name);
 			return known?.failures === 0 ? Math.max(0, known.seenAt + pollMs - clock.now()) : pollMs;
@@ -177,7 +177,7 @@
 		suspect(now) {
 			suspectedAt = now;
 		},
-		noteOwnTerm(term) {
+		setOwnTerm(term) {
 			ownTerm = term;
 		},
 	};
--- a/src/failover/probe.ts
+++ b/src/failover/probe.ts
@@ -3,11 +3,11 @@
 /** How a probe of a server ended. */
 export const ProbeResult = {
 	Answered: 'answered',
-	/** It failed before its time was up: the connection was refused, reset or closed. */
+	/** It failed before its timeout: the connection was refused, reset or closed. */
 	Refused: 'refused',
-	/** Its time passed without an answer. */
+	/** It timed out without an answer. */
 	Silent: 'silent',
-	/** It took far longer than its time: this process was paused, so that the silence says nothing of the server. */
+	/** It ended long after its timeout: this process was paused, so a missing answer says nothing about the server. */
 	Paused: 'paused',
 } as const;
 
@@ -18,13 +18,13 @@
 export type ProbeOptions = {
 	readonly clock: Clock;
 	readonly timeoutMs: number;
-	/** Excess over the timeout from which on the process is held to have been paused. */
+	/** Excess over the timeout above which this process counts as paused, in milliseconds. */
 	readonly pauseSlackMs: number;
-	/** The exchange; rejects when it fails or its time is up. */
+	/** Runs the exchange; rejects when it fails or times out. */
 	exchange(timeoutMs: number): Promise<unknown>;
 };
 
-/** Asks a server for a sign of life; never rejects. */
+/** Probes a server once and resolves with the result; never rejects. */
 export async function probe(options: ProbeOptions): Promise<ProbeResult> {
 	const {clock, timeoutMs} = options;
 	const startedAt = clock.now();
@@ -37,11 +37,11 @@
 }
 
 /**
- * Tells kinds of failure apart by the time they took.
+ * Classifies a failure by the time that it took.
  *
  * After a pause of this process (garbage collection, a stopped virtual machine) its timers fire before it reads the
- * answers that wait in its sockets, so that healthy servers look silent. The pause shows as a timeout that fired
- * late; such a failure is no evidence.
+ * answers that wait in its sockets, so that healthy servers appear silent. Such a pause is detected by the timeout's
+ * firing late; the failure then says nothing about the server.
  */
 function classifyFailure(tookMs: number, timeoutMs: number, pauseSlackMs: number): ProbeResult {
 	if (tookMs > timeoutMs + pauseSlackMs) {
--- a/src/failover/promote-group.ts
+++ b/src/failover/promote-group.ts
@@ -11,7 +11,7 @@
 
 /** Why a group needs another primary. */
 export const LossKind = {
-	/** Neither this host nor another reaches the primary. */
+	/** Neither this host nor those that it asked reach the primary. */
 	Unreachable: 'unreachable',
 	/** No server shows itself primary at the highest term. */
 	Vacant: 'vacant',
@@ -22,24 +22,24 @@
 /** One of the kinds in {@link LossKind}. */
 export type LossKind = typeof LossKind[keyof typeof LossKind];
 
-/** A loss of the primary as it was detected. */
-export type Loss = {
+/** A detected loss of the primary. */
+export type PrimaryLoss = {
 	readonly kind: LossKind;
 	/** The endpoint lost; absent for `vacant`. */
 	readonly endpoint?: string;
-	/** The highest term seen then. */
+	/** The highest term seen when the loss was detected. */
 	readonly term: number;
-	/** When all was last well, on the clock's `now`. */
+	/** When the group was last known to be healthy, on the clock's `now`. */
 	readonly since: number;
-	/** When it was confirmed. */
+	/** When the loss was confirmed, on the clock's `now`. */
 	readonly confirmedAt: number;
 };
 
-/** The parts of the gap during which no write could land, in milliseconds. */
-export type GapParts = {
-	/** From the last sign that all was well to the decision to promote. */
+/** Durations of the steps of a failover, during which no write could succeed, in milliseconds. */
+export type FailoverDurations = {
+	/** From the time when the group was last known to be healthy to the decision to promote. */
 	readonly detectMs: number;
-	/** Surveying the group and claiming the term. */
+	/** Collecting the servers' statuses and claiming the term. */
 	readonly claimMs: number;
 	readonly fenceMs: number;
 	readonly promoteMs: number;
@@ -55,12 +55,12 @@
 	readonly claim: TermClaim;
 	readonly cfg: GroupConfig;
 	readonly settings: FailoverSettings;
-	readonly loss: Loss;
+	readonly loss: PrimaryLoss;
 	isHostLeaving(address: string): boolean;
 };
 
-/** One attempt to give the group a new primary; rejects with FailoverError where it does not come about. */
-export async function promoteGroup(options: PromoteOptions): Promise<RaisedPrimary & {parts: GapParts}> {
+/** Makes one attempt to promote a new primary; rejects with FailoverError where it fails. */
+export async function promoteGroup(options: PromoteOptions): Promise<RaisedPrimary & {parts: FailoverDurations}> {
 	const {clock, knowledge, claim, settings, loss} = options;
 	const startedAt = clock.now();
 
@@ -70,38 +70,38 @@
 	const term = await claim.claim(reading, knowledge.highestTerm + 1, timeLeftMs);
 	const claimedAt = clock.now();
 
-	const raised = await raisePrimary({
+	const promoted = await raisePrimary({
 		...options,
 		term,
 		suspect: loss.endpoint,
 		excluded: loss.kind === LossKind.CutOff ? loss.endpoint : undefined,
 	});
 
-	const {fenceMs, promoteMs, learnMs} = raised;
+	const {fenceMs, promoteMs, learnMs} = promoted;
 	const parts = {
 		detectMs: startedAt - loss.since, claimMs: claimedAt - startedAt, fenceMs, promoteMs, learnMs,
 	};
-	return {...raised, parts};
+	return {...promoted, parts};
 }
 
 /**
- * Asks all servers for their status before any of them is fenced.
+ * Requests the status of all servers before any of them is fenced.
  *
- * Without it a host on the smaller side of a partition would raise terms that it cannot use, over and over, and each
- * raise takes a replica away from the primary until the next promotion.
+ * Without this a host on the minority side of a partition would repeatedly raise terms that it cannot use, and each
+ * one detaches a replica from the primary until the next promotion.
  */
 async function surveyGroup(options: PromoteOptions): Promise<ReadonlyArray<Gathered<EndpointStatus>>> {
 	const {clock, control, cfg, settings, loss} = options;
 	const endpoints = cfg.endpoints.filter(({name}) => loss.kind !== LossKind.CutOff || name !== loss.endpoint);
-	// Two tries: the first may meet a control connection that went silent on its own.
-	const tryMs = settings.surveyMs / 2;
-	// A suspicion of some time ago may be out of date: then the suspect gets the whole time to show itself.
+	// Two attempts: the first may use a control connection that is silent although the server is healthy.
+	const attemptMs = settings.surveyMs / 2;
+	// A suspicion that was not confirmed just now may be out of date: then the survey waits up to its whole time for the suspect.
 	const isRecent = loss.kind !== LossKind.Unreachable || clock.now() - loss.confirmedAt <= settings.surveyStragglerMs;
 
 	return gatherAnswers({
 		clock,
 		endpoints,
-		ask: async ({name}) => control.status(name, tryMs).catch(async () => control.status(name, tryMs)),
+		ask: async ({name}) => control.status(name, attemptMs).catch(async () => control.status(name, attemptMs)),
 		isEnough: gathered => gathered.length >= getMajority(cfg) && (isRecent || gathered.some(({endpoint}) => endpoint.name === loss.endpoint)),
 		stragglerMs: settings.surveyStragglerMs,
 		boundMs: settings.surveyMs,
@@ -109,11 +109,11 @@
 }
 
 function checkSurvey(options: PromoteOptions, answers: ReadonlyArray<Gathered<EndpointStatus>>): void {
-	// Guards against deposing a primary that another host raised while the suspect was awaited: the servers' answers are
-	// from before it. It showed as two promotions 200 ms apart, the second one holding up filings again.
-	const raised = options.knowledge.getPrimary();
-	if (raised && options.knowledge.highestTerm > options.loss.term) {
-		throwPrimaryStands(raised.name);
+	// Another host may have promoted a primary while the survey waited for the suspect; the servers' answers are from before
+	// that. Without this check it was deposed at once: two promotions 200 ms apart, the second one stopping writes again.
+	const promoted = options.knowledge.getPrimary();
+	if (promoted && options.knowledge.highestTerm > options.loss.term) {
+		throwPrimaryStands(promoted.name);
 	}
 
 	const primary = answers.find(({answer}) => answer.role === EndpointRole.Primary && answer.term >= options.knowledge.highestTerm);
--- a/src/failover/promotion-note.ts
+++ b/src/failover/promotion-note.ts
@@ -2,7 +2,7 @@
 import {DecisionKind, type Change} from '../audit/change.js';
 import type {Promotion} from './failover-parts.js';
 
-/** Makes the audit entry of a promotion: it changes nothing of the group but its trail. */
+/** Creates the change that records a promotion in the audit trail and leaves the group's state as it is. */
 export function createPromotionNote({endpoint, term, cause}: Promotion): Change<GroupState> {
 	return {
 		what: `${endpoint} is primary of term ${term} (${cause})`,
--- a/src/failover/raise-primary.ts
+++ b/src/failover/raise-primary.ts
@@ -9,7 +9,7 @@
 /** What {@link raisePrimary} needs. */
 export type RaiseOptions = Omit<FenceOptions, 'awaited'> & CandidatePreference;
 
-/** A primary that was raised. */
+/** A primary that was promoted. */
 export type RaisedPrimary = {
 	readonly endpoint: EndpointConfig;
 	readonly status: EndpointStatus;
@@ -18,13 +18,13 @@
 	readonly fenceMs: number;
 	/** Time that promoting took, in milliseconds. */
 	readonly promoteMs: number;
-	/** Time until a majority held the new primary's first entry, in milliseconds; from then on writes can be acknowledged. */
+	/** Time from the promotion until a majority held the new primary's first entry, in milliseconds; from then on writes can be acknowledged. */
 	readonly learnMs: number;
-	/** False where the majority was not seen to follow in time. */
+	/** Whether a majority was seen to follow the new primary in time. */
 	readonly followed: boolean;
 };
 
-/** Fences the group at a term, promotes the server with the highest log and has the others follow it; rejects with FailoverError. */
+/** Fences the group at a term, promotes the server with the highest log and orders the others to follow it; rejects with FailoverError. */
 export async function raisePrimary(options: RaiseOptions): Promise<RaisedPrimary> {
 	const {clock, term} = options;
 	const startedAt = clock.now();
@@ -33,7 +33,7 @@
 	const candidate = chooseCandidate(fenced, options) ?? throwNotPromoted('no server', term);
 	const status = await promote(options, candidate);
 	const promotedAt = clock.now();
-	const followed = await haveOthersFollow(options, candidate.endpoint, status);
+	const followed = await orderOthersToFollow(options, candidate.endpoint, status);
 
 	return {
 		endpoint: candidate.endpoint,
@@ -54,7 +54,7 @@
 	try {
 		({status} = await control.promote(name, term, settings.promoteMs));
 	} catch (err) {
-		status = await settleLostPromotion(options, name, err);
+		status = await resolveLostPromotion(options, name, err);
 	}
 
 	if (status.term > term) {
@@ -65,12 +65,12 @@
 }
 
 /**
- * Asks the candidate itself what became of an order to promote whose answer was lost.
+ * Requests the candidate's status after the answer to its promotion was lost.
  *
  * Never promotes another server at the same term instead: the order may have taken effect, or still may, and two
- * primaries of one term could both have writes confirmed. Without an answer the next attempt takes a higher term.
+ * primaries of one term could both have writes confirmed. Without an answer the next attempt uses a higher term.
  */
-async function settleLostPromotion(options: RaiseOptions, candidate: string, cause: unknown): Promise<EndpointStatus> {
+async function resolveLostPromotion(options: RaiseOptions, candidate: string, cause: unknown): Promise<EndpointStatus> {
 	try {
 		return await options.control.status(candidate, options.settings.promoteMs);
 	} catch {
@@ -78,7 +78,7 @@
 	}
 }
 
-async function haveOthersFollow(options: RaiseOptions, primary: EndpointConfig, status: EndpointStatus): Promise<boolean> {
+async function orderOthersToFollow(options: RaiseOptions, primary: EndpointConfig, status: EndpointStatus): Promise<boolean> {
 	const {clock, control, cfg, settings, term} = options;
 	const needed = getMajority(cfg) - 1;
 
@@ -103,10 +103,10 @@
 		boundMs: settings.learnMs,
 	});
 
-	// A promoter that slept between fence and promote may have raised a server that a later term has left behind.
-	const passed = answers.find(({answer}) => answer.status.term > term);
-	if (passed) {
-		throwTermPassed(term, passed.answer.status.term);
+	// A promoter that was paused between fence and promotion may have promoted a server whose term is already superseded.
+	const superseding = answers.find(({answer}) => answer.status.term > term);
+	if (superseding) {
+		throwTermPassed(term, superseding.answer.status.term);
 	}
 
 	return countFollowers(answers) >= needed;
--- a/src/failover/second-opinion.ts
+++ b/src/failover/reachability-reports.ts
@@ -6,39 +6,39 @@
 import type {ConfirmSuspicionAnswer} from './failover-calls.js';
 import type {FailoverSettings} from './failover-settings.js';
 
-/** What other hosts say of servers that this one cannot reach. */
-export type Opinion = {
-	/** True once another host answered that it cannot reach them either, or where there is no other host at all. */
+/** What other hosts report about servers that this one cannot reach. */
+export type ReachabilityReport = {
+	/** Whether other hosts answered and none of them disproved the suspicion, or there is no other proxy at all. */
 	readonly confirmed: boolean;
-	/** Who was heard, for the log. */
-	readonly heard: readonly string[];
-	/** What the others saw, by address. */
+	/** Names of the hosts that answered, for the log. */
+	readonly reporters: readonly string[];
+	/** Statuses that the other hosts received, with the servers' addresses. */
 	readonly seen: ConfirmSuspicionAnswer['seen'];
 };
 
-/** What {@link createSecondOpinion} needs. */
-export type SecondOpinionOptions = {
+/** What {@link createReachabilityReports} needs. */
+export type ReachabilityReportsOptions = {
 	readonly clock: Clock;
 	readonly peers: Peers;
 	readonly hosts: Hosts;
 	readonly owning: Owning;
 	readonly settings: FailoverSettings;
 	readonly group: string;
-	/** How many hosts look after the group. */
+	/** Returns how many hosts own the group. */
 	getOwnerCount(): number;
 };
 
-/** Asks hosts in other availability zones whether they reach servers that are silent here. */
-export type SecondOpinion = {
-	/** Asks about the servers at these addresses; `refutes` tells whether a status shows that the suspicion is wrong. */
-	ask(addresses: readonly string[], refutes: (status: EndpointStatus) => boolean): Promise<Opinion>;
+/** Asks other hosts, first those in other availability zones, whether they reach servers that are silent to this one. */
+export type ReachabilityReports = {
+	/** Requests a report on the servers at these addresses; `refutes` returns whether a status disproves the suspicion. */
+	request(addresses: readonly string[], refutes: (status: EndpointStatus) => boolean): Promise<ReachabilityReport>;
 };
 
-/** How many hosts that are no owners are asked. */
-const MOST_WITNESSES = 2;
+/** How many hosts that are not owners of the group are asked. */
+const MAX_WITNESSES = 2;
 
-/** Creates the asker of one group. */
-export function createSecondOpinion(options: SecondOpinionOptions): SecondOpinion {
+/** Creates the reachability reports of one group. */
+export function createReachabilityReports(options: ReachabilityReportsOptions): ReachabilityReports {
 	const {clock, peers, hosts, owning, settings} = options;
 
 	const isElsewhere = (host: PlatformHost) => host.name !== hosts.self.name && host.availabilityZone !== hosts.self.availabilityZone;
@@ -77,33 +77,33 @@
 	const isAlone = () => hosts.getAll().every(host => host.role !== 'proxy' || host.name === hosts.self.name);
 
 	return {
-		async ask(addresses, refutes) {
+		async request(addresses, refutes) {
 			if (isAlone()) {
-				return {confirmed: true, heard: [], seen: []};
+				return {confirmed: true, reporters: [], seen: []};
 			}
 
-			// Where another owner reaches the primary, requests can go through it: its word counts. Others are asked at the
-			// same time, for the case that no owner answers, so that the death of one does not hold up the group.
+			// Where another owner reaches the primary, requests can go through that owner, so its report takes precedence. Other
+			// hosts are asked at the same time in case no owner answers, so that a dead owner does not delay the failover.
 			const owners = getOwners();
 			const askingWitnesses = askAll(getWitnesses(owners), addresses);
 			const fromOwners = await askAll(owners, addresses);
 			const answers = fromOwners.length > 0 ? fromOwners : await askingWitnesses;
 
-			// A host that nobody answers is most likely cut off itself and must not depose a healthy primary.
+			// A host that receives no answer at all is most likely cut off itself and must not depose a healthy primary.
 			const seen = answers.flatMap(({answer}) => answer.seen);
 			const confirmed = answers.length > 0 && !seen.some(({status}) => refutes(status));
-			return {confirmed, heard: answers.map(({host}) => host), seen};
+			return {confirmed, reporters: answers.map(({host}) => host), seen};
 		},
 	};
 }
 
-/** Picks a few hosts, one from each availability zone before a second of any. */
+/** Picks up to {@link MAX_WITNESSES} hosts, one from each availability zone before a second one from any. */
 function pickAcrossZones(usable: readonly PlatformHost[]): readonly PlatformHost[] {
 	const zones = new Map<string, number>();
 	const ranked = usable.map(host => {
-		const turn = zones.get(host.availabilityZone) ?? 0;
-		zones.set(host.availabilityZone, turn + 1);
-		return {host, turn};
+		const rankInZone = zones.get(host.availabilityZone) ?? 0;
+		zones.set(host.availabilityZone, rankInZone + 1);
+		return {host, rankInZone};
 	});
-	return ranked.toSorted((left, right) => left.turn - right.turn).slice(0, MOST_WITNESSES).map(({host}) => host);
+	return ranked.toSorted((left, right) => left.rankInZone - right.rankInZone).slice(0, MAX_WITNESSES).map(({host}) => host);
 }
--- a/src/failover/repair-group.ts
+++ b/src/failover/repair-group.ts
@@ -8,9 +8,9 @@
 import type {FailoverSettings} from './failover-settings.js';
 import type {GroupControl} from './group-control.js';
 
-/** Sends servers that came back, or that follow nobody, to follow the present primary. */
+/** Orders servers that restarted or follow no primary to follow the current one. */
 export type GroupRepair = {
-	/** Looks at every server once; owners of lower rank leave a server to the others for a while. */
+	/** Checks every server once; owners of lower rank wait longer before they act. */
 	run(rank: number): Promise<void>;
 };
 
@@ -24,58 +24,58 @@
 	getCfg(): GroupConfig;
 };
 
-/** A server that is behind the primary and where it stood. */
-type Idle = {
+/** A server that is behind the primary, with the position at which it stopped. */
+type StalledServer = {
 	readonly term: number;
 	readonly log: LogPosition;
 	readonly since: number;
-	readonly patienceMs: number;
+	readonly delayMs: number;
 };
 
-/** Longest pause between two orders to follow that did not help, in milliseconds. */
-const MOST_PATIENCE_MS = 60_000;
+/** Longest pause between two unsuccessful orders to follow, in milliseconds. */
+const MAX_REPAIR_DELAY_MS = 60_000;
 
-/** Creates the repair of one group. It never raises a term: `follow` carries that of the present primary. */
+/** Creates the repair of one group. It never raises a term: `follow` carries the current primary's. */
 export function createGroupRepair(options: GroupRepairOptions): GroupRepair {
 	const {clock, control, knowledge, settings, log} = options;
-	const idle = new Map<string, Idle>();
+	const stalled = new Map<string, StalledServer>();
 
-	const getPatienceMs = (status: EndpointStatus, primary: EndpointStatus, rank: number) => {
-		// A server of a lower term, or without the primary's first entry, follows nobody or somebody else; any other one lags.
-		const astray = status.term < primary.term || status.log.term < primary.term;
-		return (astray ? 0 : settings.repairIdleMs) + (rank * settings.rankDelayMs);
+	const getInitialDelayMs = (status: EndpointStatus, primary: EndpointStatus, rank: number) => {
+		// A server of a lower term, or without the primary's first entry, follows no primary or another one; any other server lags.
+		const isUnattached = status.term < primary.term || status.log.term < primary.term;
+		return (isUnattached ? 0 : settings.repairIdleMs) + (rank * settings.rankDelayMs);
 	};
 
-	/** Tells whether a server has stood still behind the primary for too long. */
+	/** Returns whether a server has been behind the primary without advancing for too long. */
 	const isStuck = (name: string, status: EndpointStatus, primary: EndpointStatus, rank: number) => {
 		if (status.term === primary.term && compareLogPositions(status.log, primary.log) >= 0) {
-			idle.delete(name);
+			stalled.delete(name);
 			return false;
 		}
 
 		const now = clock.now();
-		let known = idle.get(name);
+		let known = stalled.get(name);
 		if (known?.term !== primary.term || compareLogPositions(known.log, status.log) !== 0) {
 			known = {
-				term: primary.term, log: status.log, since: now, patienceMs: getPatienceMs(status, primary, rank),
+				term: primary.term, log: status.log, since: now, delayMs: getInitialDelayMs(status, primary, rank),
 			};
-			idle.set(name, known);
+			stalled.set(name, known);
 		}
 
-		if (now - known.since < known.patienceMs) {
+		if (now - known.since < known.delayMs) {
 			return false;
 		}
 
-		// A replica that merely lags looks the same; each order that does not help is followed by a longer pause.
-		const patienceMs = Math.min(MOST_PATIENCE_MS, Math.max(settings.repairIdleMs, known.patienceMs * 2));
-		idle.set(name, {...known, since: now, patienceMs});
+		// A replica that merely lags looks the same, so the pause doubles after each order that does not help.
+		const delayMs = Math.min(MAX_REPAIR_DELAY_MS, Math.max(settings.repairIdleMs, known.delayMs * 2));
+		stalled.set(name, {...known, since: now, delayMs});
 		return true;
 	};
 
 	const repair = async (endpoint: EndpointConfig, primary: EndpointConfig, term: number) => {
 		try {
 			const answer = await control.follow(endpoint.name, term, primary.address, settings.learnMs);
-			log.info(answer.granted ? 'had a server follow the primary' : 'was refused by a server sent to follow', {
+			log.info(answer.granted ? 'ordered a server to follow the primary' : 'a server refused the order to follow the primary', {
 				endpoint: endpoint.name, primary: primary.name, term,
 			});
 		} catch (err) {
@@ -83,7 +83,7 @@
 				throw err;
 			}
 
-			log.debug('could not reach a server sent to follow', {endpoint: endpoint.name});
+			log.debug('could not reach a server to order it to follow the primary', {endpoint: endpoint.name});
 		}
 	};
 
@@ -101,8 +101,8 @@
 			}
 
 			const others = options.getCfg().endpoints.filter(({name, order}) => name !== primary.name && order !== EndpointOrder.Stop);
-			const lost = others.filter(endpoint => needsRepair(endpoint, status, rank));
-			await Promise.all(lost.map(async endpoint => repair(endpoint, primary, status.term)));
+			const needingRepair = others.filter(endpoint => needsRepair(endpoint, status, rank));
+			await Promise.all(needingRepair.map(async endpoint => repair(endpoint, primary, status.term)));
 		},
 	};
 }
--- a/src/failover/replace-primary.ts
+++ b/src/failover/replace-primary.ts
@@ -1,42 +1,42 @@
 import {FailoverErrorCode, isFailoverError} from './failover-errors.js';
 import type {FailoverParts} from './failover-parts.js';
 import {FailoverPhase} from './failover-state.js';
-import {type Loss, LossKind, promoteGroup} from './promote-group.js';
+import {type PrimaryLoss, LossKind, promoteGroup} from './promote-group.js';
 
 /** What {@link replacePrimary} needs. */
 export type ReplaceOptions = FailoverParts & {
-	readonly loss: Loss;
-	/** Called with a term that was raised in vain. */
-	noteOwnTerm(term: number): void;
+	readonly loss: PrimaryLoss;
+	/** Called with the highest term after an attempt that promoted no primary at it. */
+	setOwnTerm(term: number): void;
 };
 
-/** Attempts at one loss before it is looked at afresh. */
-const MOST_TRIES = 5;
+/** Attempts to replace the primary before its loss has to be confirmed again. */
+const MAX_ATTEMPTS = 5;
 
 /**
- * Answers a confirmed loss: waits for this host's turn and promotes, again after a pause where that fails.
+ * Handles a confirmed loss: waits for this host's turn and promotes a new primary; retries after a pause where that fails.
  *
- * Ends with a new primary, whoever raised it, or after a few attempts, so that the loss is then confirmed anew.
+ * Resolves once there is a new primary, whichever host promoted it, or after a few attempts, so that the loss is confirmed again.
  */
 export async function replacePrimary(options: ReplaceOptions): Promise<void> {
 	const {setState, stopped} = options;
 	const current = {...options, loss: await waitForTurn(options)};
 
-	for (let tries = 0; tries < MOST_TRIES && !stopped.aborted && !isReplaced(current); tries++) {
+	for (let attempt = 0; attempt < MAX_ATTEMPTS && !stopped.aborted && !isReplaced(current); attempt++) {
 		setState(FailoverPhase.Promoting, `replacing a primary that is ${current.loss.kind}`);
-		if (await tryPromote(current, tries)) {
+		if (await tryPromote(current, attempt)) {
 			return;
 		}
 	}
 }
 
 /**
- * The first-ranked owner acts at once; the others leave it the time to, each by a different delay.
+ * Waits for this host's turn: the first-ranked owner acts at once, each of the others after a delay that grows with its rank.
  *
- * They go on asking the lost primary meanwhile. Where it brings no answer to the end, the loss returned is confirmed as of
- * now, and the survey need not give the suspect its whole time once more.
+ * Meanwhile they poll the lost primary. Where it never answers, the returned loss is confirmed as of now, and the status
+ * survey does not have to wait for the suspect's answer once more.
  */
-async function waitForTurn(options: ReplaceOptions): Promise<Loss> {
+async function waitForTurn(options: ReplaceOptions): Promise<PrimaryLoss> {
 	const {clock, others, settings, random, loss, stopped} = options;
 	const rank = others.getRank();
 	if (rank === 0) {
@@ -44,13 +44,13 @@
 	}
 
 	const turnMs = (rank * settings.rankDelayMs) + (random.fraction() * settings.rankJitterMs);
-	const asking = loss.kind === LossKind.Unreachable && loss.endpoint ? askOn(options, loss.endpoint, clock.now() + turnMs) : true;
-	const [, answered] = await Promise.all([clock.sleep(turnMs, stopped), asking]);
+	const polling = loss.kind === LossKind.Unreachable && loss.endpoint ? pollUntilAnswer(options, loss.endpoint, clock.now() + turnMs) : true;
+	const [, answered] = await Promise.all([clock.sleep(turnMs, stopped), polling]);
 	return answered ? loss : {...loss, confirmedAt: clock.now()};
 }
 
-/** Asks a server until it answers, or until the time; tells whether it did. */
-async function askOn({clock, control, settings, stopped}: ReplaceOptions, endpoint: string, endsAt: number): Promise<boolean> {
+/** Polls a server until it answers or until `endsAt`; resolves with whether it answered. */
+async function pollUntilAnswer({clock, control, settings, stopped}: ReplaceOptions, endpoint: string, endsAt: number): Promise<boolean> {
 	while (clock.now() < endsAt && !stopped.aborted) {
 		try {
 			await control.status(endpoint, endsAt - clock.now());
@@ -63,7 +63,7 @@
 	return false;
 }
 
-/** Tells whether there is a primary again: another one, or the lost one itself. */
+/** Returns whether there is a primary again: another one, or the lost one itself. */
 function isReplaced({knowledge, loss}: ReplaceOptions): boolean {
 	const primary = knowledge.getPrimary();
 	if (!primary || loss.kind === LossKind.Vacant || knowledge.highestTerm > loss.term) {
@@ -73,32 +73,32 @@
 	return loss.kind === LossKind.Unreachable && knowledge.get(primary.name)?.failures === 0;
 }
 
-/** Makes one attempt and tells whether it settled the loss; pauses where it did not. */
-async function tryPromote(options: ReplaceOptions, tries: number): Promise<boolean> {
+/** Makes one attempt; resolves with whether the group has a primary again, after a pause where it has none. */
+async function tryPromote(options: ReplaceOptions, attempt: number): Promise<boolean> {
 	const {clock, log, group, loss, stopped} = options;
 	try {
-		const raised = await promoteGroup({...options, cfg: options.getCfg()});
-		await options.announce(raised, loss.kind, raised.parts);
+		const promoted = await promoteGroup({...options, cfg: options.getCfg()});
+		await options.announce(promoted, loss.kind, promoted.parts);
 		return true;
 	} catch (err) {
 		if (!isFailoverError(err)) {
 			throw err;
 		}
 
-		log.warn('did not raise a primary', {group, reason: err.message});
-		noteFailure(options, err.code, err.message);
+		log.warn('did not promote a new primary', {group, reason: err.message});
+		recordFailure(options, err.code, err.message);
 		if (err.code === FailoverErrorCode.PrimaryStands) {
 			return true;
 		}
 
-		await clock.sleep(getPauseMs(options, err.code, tries), stopped);
+		await clock.sleep(getPauseMs(options, err.code, attempt), stopped);
 		return false;
 	}
 }
 
-function noteFailure({knowledge, noteOwnTerm, setState}: ReplaceOptions, code: FailoverErrorCode, reason: string): void {
+function recordFailure({knowledge, setOwnTerm, setState}: ReplaceOptions, code: FailoverErrorCode, reason: string): void {
 	if (code === FailoverErrorCode.NoMajority || code === FailoverErrorCode.Failed) {
-		noteOwnTerm(knowledge.highestTerm);
+		setOwnTerm(knowledge.highestTerm);
 	}
 
 	const phases: Partial<Record<FailoverErrorCode, FailoverPhase>> = {
@@ -109,13 +109,13 @@
 }
 
 /**
- * How long to leave the group alone after a failed attempt.
+ * Returns the pause after a failed attempt, in milliseconds.
  *
- * Two promoters that answered each other's terms at once would raise them for ever: whoever meets another one pauses
- * for longer than a whole promotion takes, each for a different time.
+ * Two promoters that each reacted to the other's term at once would raise terms without end. A promoter that meets
+ * another one therefore pauses for longer than a whole promotion usually takes, and each for a different time.
  */
-function getPauseMs({settings, random}: ReplaceOptions, code: FailoverErrorCode, tries: number): number {
+function getPauseMs({settings, random}: ReplaceOptions, code: FailoverErrorCode, attempt: number): number {
 	const competing = code === FailoverErrorCode.Contested || code === FailoverErrorCode.TermPassed;
-	const pauseMs = competing ? settings.competitorMs : Math.min(settings.retryMaxMs, settings.retryMinMs * (2 ** tries));
+	const pauseMs = competing ? settings.competitorPauseMs : Math.min(settings.retryMaxMs, settings.retryMinMs * (2 ** attempt));
 	return pauseMs * (0.5 + random.fraction());
 }
--- a/src/failover/replica-watch.ts
+++ b/src/failover/replica-watch.ts
@@ -4,22 +4,22 @@
 import type {FailoverParts} from './failover-parts.js';
 import {createStallDetector} from './stall-detector.js';
 
-/** Keeps what is known of a group's replicas fresh, and finds a primary that they no longer hear. */
+/** Keeps the known status of a group's replicas current, and detects a primary whose entries no longer reach them. */
 export type ReplicaWatch = {
-	/** Asks the replicas of which nothing was heard of late, and waits until it is time to look again. */
+	/** Polls the replicas whose last status is too old; resolves when the next poll is due. */
 	look(): Promise<void>;
-	/** When the primary was last seen to be followed, once it is held to be cut off from its group. */
+	/** Returns since when no replica has followed the primary where it is cut off from its group, otherwise undefined. */
 	getCutOffSince(now: number): number | undefined;
 };
 
 /** What {@link createReplicaWatch} needs. */
 export type ReplicaWatchOptions = Pick<FailoverParts, 'clock' | 'control' | 'knowledge' | 'settings' | 'getCfg' | 'getPollTimes' | 'stopped'> & {
-	/** Called at each look that finds the primary cut off from its group. */
+	/** Called after each poll that finds the primary cut off from its group. */
 	onCutOff(): void;
 };
 
-/** Shortest pause between two looks, in milliseconds. */
-const LEAST_PAUSE_MS = 20;
+/** Minimum pause between two polls, in milliseconds. */
+const MIN_POLL_INTERVAL_MS = 20;
 
 /** Creates the watch of one group's replicas. */
 export function createReplicaWatch(options: ReplicaWatchOptions): ReplicaWatch {
@@ -28,9 +28,9 @@
 
 	const isDue = ({name, order}: EndpointConfig) => {
 		const known = knowledge.get(name);
-		const heardMs = known?.status && known.failures === 0 ? clock.now() - known.seenAt : Infinity;
+		const silentMs = known?.status && known.failures === 0 ? clock.now() - known.seenAt : Infinity;
 		const dueMs = stall.behind ? settings.stallPollMs : options.getPollTimes().replicaMs;
-		return order !== EndpointOrder.Stop && name !== knowledge.getPrimary()?.name && heardMs >= dueMs;
+		return order !== EndpointOrder.Stop && name !== knowledge.getPrimary()?.name && silentMs >= dueMs;
 	};
 
 	const poll = async () => {
@@ -38,7 +38,7 @@
 		await Promise.allSettled(due.map(async ({name}) => control.status(name, settings.probeMs)));
 	};
 
-	const noteStall = () => {
+	const recordPositions = () => {
 		const cfg = getCfg();
 		const primary = knowledge.getPrimary();
 		const status = primary && knowledge.get(primary.name)?.status;
@@ -52,17 +52,17 @@
 			.map(known => known?.failures === 0 ? known.status : undefined)
 			.filter(replica => replica !== undefined)
 			.filter(replica => replica.term === status.term);
-		stall.note({primary: status, replicas: answering, majority: getMajority(cfg)}, clock.now());
+		stall.record({primary: status, replicas: answering, majority: getMajority(cfg)}, clock.now());
 	};
 
 	const getCutOffSince = (now: number) => {
-		// Guards against deposing a new primary for what its predecessor was found guilty of: until the next look the
-		// detector still tells of the old term. It showed as a second promotion half a second after the first.
+		// Until the next poll the detector still reports on the old term. Without this check a new primary was deposed because
+		// its predecessor had been cut off: a second promotion half a second after the first.
 		if (stall.term !== knowledge.highestTerm) {
 			return undefined;
 		}
 
-		// With durability `primary` acknowledged writes may be on the primary alone; deposing it while it answers would lose them.
+		// With durability `primary`, acknowledged writes may be on the primary alone; deposing it while it answers would lose them.
 		return getCfg().durability === Durability.Majority ? stall.getCutOffSince(now) : undefined;
 	};
 
@@ -70,13 +70,13 @@
 		getCutOffSince,
 		async look() {
 			await poll();
-			noteStall();
-			const leftMs = stall.getPatienceLeftMs(clock.now());
+			recordPositions();
+			const leftMs = stall.getMsUntilCutOff(clock.now());
 			if (getCutOffSince(clock.now()) !== undefined) {
 				options.onCutOff();
 			}
 
-			const pauseMs = leftMs > 0 ? Math.max(LEAST_PAUSE_MS, Math.min(settings.stallPollMs, leftMs)) : settings.stallPollMs;
+			const pauseMs = leftMs > 0 ? Math.max(MIN_POLL_INTERVAL_MS, Math.min(settings.stallPollMs, leftMs)) : settings.stallPollMs;
 			await clock.sleep(pauseMs, stopped);
 		},
 	};
--- a/src/failover/stall-detector.ts
+++ b/src/failover/stall-detector.ts
@@ -2,108 +2,108 @@
 import {compareLogPositions, holdsLogPosition, type LogPosition} from '../terms/log-position.js';
 import type {FailoverSettings} from './failover-settings.js';
 
-/** What one look at a group's servers shows. */
-export type StallView = {
+/** Statuses of a group's servers from one poll. */
+export type GroupSnapshot = {
 	readonly primary: EndpointStatus;
 	/** Statuses of the other servers that answer. */
 	readonly replicas: readonly EndpointStatus[];
-	/** How many endpoints make a majority. */
+	/** Number of endpoints in a majority. */
 	readonly majority: number;
 };
 
 /**
- * Finds a primary that is cut off from its group although this host reaches it.
+ * Detects a primary that is cut off from its group although this host reaches it.
  *
- * Writes to such a primary run and are never confirmed, and no poll fails. It shows as entries that no majority ever
- * holds while a majority answers and stands still. A replica that lags far behind looks alike for a while, so the
- * patience follows the slowest catch-up seen in the term.
+ * Writes to such a primary run and are never confirmed, and no poll fails. It is detected by entries that no majority
+ * ever holds while a majority answers and does not advance. A replica that lags far behind looks the same for a while, so
+ * the timeout grows with the slowest catch-up seen in the term.
  */
 export type StallDetector = {
-	/** Takes a look into account. */
-	note(view: StallView, now: number): void;
-	/** True while a majority is behind the primary. */
+	/** Records the statuses from one poll. */
+	record(snapshot: GroupSnapshot, now: number): void;
+	/** Whether an entry of the primary is not yet held by a majority. */
 	readonly behind: boolean;
-	/** The term of the primary that was looked at last, 0 before the first look. */
+	/** The primary's term in the last poll, 0 before the first one. */
 	readonly term: number;
-	/** When the primary was last seen to be followed, once it is held to be cut off. */
+	/** Returns since when no replica has followed the primary once it counts as cut off, otherwise undefined. */
 	getCutOffSince(now: number): number | undefined;
-	/** How long until the primary will be held to be cut off unless a replica moves, in milliseconds; Infinity where it is not behind. */
-	getPatienceLeftMs(now: number): number;
+	/** Returns the time until the primary counts as cut off unless a replica advances, in milliseconds; Infinity while a majority holds all. */
+	getMsUntilCutOff(now: number): number;
 };
 
-type Mark = {
-	/** The primary's position that no majority held. */
+/** A position of the primary that no majority held when it was recorded. */
+type UnconfirmedPosition = {
 	readonly log: LogPosition;
 	readonly at: number;
-	/** When a replica last moved. */
-	movedAt: number;
-	/** The furthest replica. */
-	furthest: LogPosition;
-	/** Whether a majority without the primary answers. */
+	/** When a replica last advanced. */
+	advancedAt: number;
+	/** The highest position of a replica. */
+	highestLog: LogPosition;
+	/** Whether a majority answers without the primary. */
 	majorityAnswers: boolean;
 };
 
-/** Creates a detector that has seen nothing. */
+/** Creates a detector without any recorded statuses. */
 export function createStallDetector(settings: Pick<FailoverSettings, 'stallMs' | 'stallFactor' | 'stallUnknownMs'>): StallDetector {
-	let mark: Mark | undefined;
+	let unconfirmed: UnconfirmedPosition | undefined;
 	let term = 0;
 	let slowestMs: number | undefined;
 
 	const startTerm = (next: number) => {
 		term = next;
-		mark = undefined;
+		unconfirmed = undefined;
 		slowestMs = undefined;
 	};
 
-	const getPatienceMs = () => slowestMs === undefined ? settings.stallUnknownMs : Math.max(settings.stallMs, settings.stallFactor * slowestMs);
+	const getTimeoutMs = () => slowestMs === undefined ? settings.stallUnknownMs : Math.max(settings.stallMs, settings.stallFactor * slowestMs);
 
-	const noteProgress = (replicas: readonly EndpointStatus[], now: number) => {
-		const furthest = getFurthest(replicas);
-		if (mark && compareLogPositions(furthest, mark.furthest) > 0) {
-			mark.furthest = furthest;
-			mark.movedAt = now;
+	const recordProgress = (replicas: readonly EndpointStatus[], now: number) => {
+		const highestLog = getHighestLog(replicas);
+		if (unconfirmed && compareLogPositions(highestLog, unconfirmed.highestLog) > 0) {
+			unconfirmed.highestLog = highestLog;
+			unconfirmed.advancedAt = now;
 		}
 	};
 
 	return {
-		note({primary, replicas, majority}, now) {
+		record({primary, replicas, majority}, now) {
 			if (primary.term !== term) {
 				startTerm(primary.term);
 			}
 
 			const isHeld = (log: LogPosition) => 1 + replicas.filter(status => holdsLogPosition(status.log, log)).length >= majority;
-			if (mark && isHeld(mark.log)) {
-				slowestMs = Math.max(slowestMs ?? 0, now - mark.at);
-				mark = undefined;
+			if (unconfirmed && isHeld(unconfirmed.log)) {
+				slowestMs = Math.max(slowestMs ?? 0, now - unconfirmed.at);
+				unconfirmed = undefined;
 			}
 
-			if (!mark && !isHeld(primary.log)) {
-				mark = {
-					log: primary.log, at: now, movedAt: now, furthest: getFurthest(replicas), majorityAnswers: false,
+			if (!unconfirmed && !isHeld(primary.log)) {
+				unconfirmed = {
+					log: primary.log, at: now, advancedAt: now, highestLog: getHighestLog(replicas), majorityAnswers: false,
 				};
 			}
 
-			noteProgress(replicas, now);
-			if (mark) {
-				mark.majorityAnswers = replicas.length >= majority;
+			recordProgress(replicas, now);
+			if (unconfirmed) {
+				unconfirmed.majorityAnswers = replicas.length >= majority;
 			} else {
 				slowestMs ??= 0;
 			}
 		},
 		get behind() {
-			return mark !== undefined;
+			return unconfirmed !== undefined;
 		},
 		get term() {
 			return term;
 		},
 		getCutOffSince(now) {
-			// Where no majority answers without the primary, another one would be no better off.
-			return mark?.majorityAnswers && now - mark.movedAt >= getPatienceMs() ? mark.movedAt : undefined;
+			// Where no majority answers without the primary, another primary could not have its writes confirmed either.
+			return unconfirmed?.majorityAnswers && now - unconfirmed.advancedAt >= getTimeoutMs() ? unconfirmed.advancedAt : undefined;
 		},
-		getPatienceLeftMs: now => mark ? Math.max(0, mark.movedAt + getPatienceMs() - now) : Infinity,
+		getMsUntilCutOff: now => unconfirmed ? Math.max(0, unconfirmed.advancedAt + getTimeoutMs() - now) : Infinity,
 	};
 }
 
-function getFurthest(replicas: readonly EndpointStatus[]): LogPosition {
+function getHighestLog(replicas: readonly EndpointStatus[]): LogPosition {
 	return replicas.map(({log}) => log).toSorted(compareLogPositions).at(-1) ?? {term: 0, position: 0};
 }
--- a/src/failover/switch-primary.ts
+++ b/src/failover/switch-primary.ts
@@ -22,22 +22,22 @@
 	readonly others: OtherOwners;
 	readonly cfg: GroupConfig;
 	readonly settings: FailoverSettings;
-	/** Name of the endpoint that is to be primary. */
+	/** Name of the endpoint to promote. */
 	readonly target: string;
 	/** Time for the whole change, in milliseconds. */
 	readonly ms: number;
-	/** Names this change among all of all hosts. */
+	/** Identifies this change among the changes of all hosts. */
 	readonly holdId: string;
 	isHostLeaving(address: string): boolean;
-	/** Called once a primary was raised, while writes are still held. */
-	onRaised(raised: RaisedPrimary): Promise<void>;
+	/** Called once a primary was promoted, while writes are still held. */
+	onPromoted(promoted: RaisedPrimary): Promise<void>;
 };
 
 /**
- * Makes another endpoint primary without failing a request; rejects with FailoverError where it does not come about.
+ * Makes another endpoint primary without failing a request; rejects with FailoverError where the change fails.
  *
- * Writes wait at the owners while the target takes over. The wait ends in any case: with the new primary, with the old
- * one where the change is refused, and by the owners' own clocks where this host dies.
+ * The owners hold writes while the target takes over. The hold always ends: with the new primary, with the old one where
+ * the change is refused, and by a timer at each owner where this host dies.
  */
 export async function switchPrimary(options: SwitchOptions): Promise<RaisedPrimary | undefined> {
 	const {clock, knowledge, others, holds, settings, holdId} = options;
@@ -57,7 +57,7 @@
 
 	const heldUntil = clock.now() + holdMs;
 	try {
-		await holdEverywhere(options, holdMs);
+		await holdAllWrites(options, holdMs);
 		const status = await catchUp(options, primary, target, heldUntil - clock.now());
 		return await takeOver(options, target, status, heldUntil);
 	} finally {
@@ -76,7 +76,7 @@
 	return endpoint;
 }
 
-async function holdEverywhere(options: SwitchOptions, ms: number): Promise<void> {
+async function holdAllWrites(options: SwitchOptions, ms: number): Promise<void> {
 	const {holds, others, holdId} = options;
 	const [held] = await Promise.all([holds.hold(holdId, ms), others.hold(holdId, ms)]);
 	if (!held) {
@@ -84,7 +84,7 @@
 	}
 }
 
-/** Waits until the target holds all that the primary holds now; returns the primary's status. */
+/** Waits until the target holds every entry that the primary holds now; resolves with the primary's status. */
 async function catchUp(options: SwitchOptions, primary: EndpointConfig, target: EndpointConfig, ms: number): Promise<EndpointStatus> {
 	const {clock, control, settings} = options;
 	const endsAt = clock.now() + ms;
@@ -111,15 +111,15 @@
 
 async function takeOver(options: SwitchOptions, target: EndpointConfig, old: EndpointStatus, heldUntil: number): Promise<RaisedPrimary> {
 	const {clock, claim, settings, knowledge} = options;
-	const reading = await claim.read(settings.claimMs);
-	const term = await claim.claim(reading, Math.max(old.term, knowledge.highestTerm) + 1, settings.claimMs);
+	const claimReading = await claim.read(settings.claimMs);
+	const term = await claim.claim(claimReading, Math.max(old.term, knowledge.highestTerm) + 1, settings.claimMs);
 
-	// Fencing late would meet writes that the owners let in again; the old primary is untouched so far and simply goes on.
+	// A late fence would meet writes that the owners admit again after the hold. The old primary is not fenced yet and goes on.
 	if (clock.now() + settings.promoteMs > heldUntil) {
 		throwSwitchRefused('the time for which writes are held ran out');
 	}
 
-	const raised = await raisePrimary({...options, term, preferred: target.name});
-	await options.onRaised(raised);
-	return raised.endpoint.name === target.name ? raised : throwSwitchRefused(`${raised.endpoint.name} held more than ${target.name} and stays primary`);
+	const promoted = await raisePrimary({...options, term, preferred: target.name});
+	await options.onPromoted(promoted);
+	return promoted.endpoint.name === target.name ? promoted : throwSwitchRefused(`${promoted.endpoint.name} held more than ${target.name} and stays primary`);
 }
--- a/src/failover/term-claim.ts
+++ b/src/failover/term-claim.ts
@@ -4,7 +4,7 @@
 import type {Log} from '../log/log.js';
 import {throwContested} from './failover-errors.js';
 
-/** Checks a claim as it is kept in the platform's store. */
+/** Schema of a claim as stored in the platform's store. */
 const claimSchema = z.object({
 	/** The term claimed. */
 	term: z.int().min(0),
@@ -12,21 +12,21 @@
 	host: z.string(),
 });
 
-/** What was read of the group's claim. */
+/** Result of reading the group's claim; not available where the store could not be read. */
 export type ClaimReading =
 	| {readonly available: true; readonly object: PlatformObject | undefined}
 	| {readonly available: false};
 
 /**
- * Claims terms of one group in the platform's store, so that promoters of one group seldom meet.
+ * Claims terms of one group in the platform's store, so that two promoters of one group seldom compete.
  *
- * A courtesy, not a lock: the fences decide. So it is bounded, and a store that is down, slow or loses its answer only
- * means that the promoter goes on without the claim.
+ * A claim is advisory and no lock: the fences decide. It is therefore bounded in time, and where the store is down, slow
+ * or loses its answer the promoter goes on without the claim.
  */
 export type TermClaim = {
-	/** Reads the present claim; never rejects. */
+	/** Reads the current claim; never rejects. */
 	read(timeoutMs: number): Promise<ClaimReading>;
-	/** Claims a term not under `atLeast` and returns the term to use; rejects with FailoverError where another host has just claimed one. */
+	/** Claims a term of at least `atLeast` and returns the term to use; rejects with FailoverError where another host has just claimed one. */
 	claim(reading: ClaimReading, atLeast: number, timeoutMs: number): Promise<number>;
 };
 
@@ -42,15 +42,15 @@
 /** Creates the claims of one group by this host. */
 export function createTermClaim(options: TermClaimOptions): TermClaim {
 	const {platform, log, group, host} = options;
-	/** Version of another host's claim that was left alone once already. */
-	let leftAlone = 0;
+	/** Version of another host's claim to which this host has deferred once already. */
+	let deferredVersion = 0;
 
-	const leaveAlone = (object: PlatformObject, term: number, claimant: string) => {
-		if (object.version === leftAlone) {
+	const deferOnce = (object: PlatformObject, term: number, claimant: string) => {
+		if (object.version === deferredVersion) {
 			return;
 		}
 
-		leftAlone = object.version;
+		deferredVersion = object.version;
 		throwContested(term, claimant);
 	};
 
@@ -64,7 +64,7 @@
 				throwContested(term, 'another host');
 			}
 
-			// The answer may have been lost after the claim took effect; then it is this host's own, which holds up nobody.
+			// The answer may have been lost after the claim was stored; that claim is this host's own and does not delay its next attempt.
 			log.warn('went on without a claim: the platform gave no answer', {term});
 		}
 	};
@@ -84,12 +84,12 @@
 			}
 
 			const {object} = reading;
-			const present = claimSchema.safeParse(object?.value).data;
-			if (object && present && present.term >= atLeast && present.host !== host) {
-				leaveAlone(object, present.term, present.host);
+			const current = claimSchema.safeParse(object?.value).data;
+			if (object && current && current.term >= atLeast && current.host !== host) {
+				deferOnce(object, current.term, current.host);
 			}
 
-			const term = Math.max(atLeast, (present?.term ?? 0) + 1);
+			const term = Math.max(atLeast, (current?.term ?? 0) + 1);
 			await put(term, object?.version ?? 0, timeoutMs);
 			return term;
 		},
--- a/src/failover/write-holds.ts
+++ b/src/failover/write-holds.ts
@@ -1,11 +1,11 @@
 import type {Clock} from '../time/clock.js';
 import type {GroupFailoverContext} from './group-failover.js';
 
-/** Holds back the writes of one group on this host while its primary is changed as planned. */
+/** Holds the writes of one group on this host during a planned change of its primary. */
 export type WriteHolds = {
-	/** Holds writes for `ms` at most; tells whether all in flight had ended in that time. */
+	/** Holds writes for up to `ms` milliseconds; resolves with whether all writes in flight ended in that time. */
 	hold(holdId: string, ms: number): Promise<boolean>;
-	/** Ends a hold at once. */
+	/** Ends a hold immediately. */
 	release(holdId: string): void;
 };
 
@@ -15,17 +15,17 @@
 
 	return {
 		async hold(holdId, ms) {
-			const ending = new AbortController();
-			holds.set(holdId, ending);
+			const releasing = new AbortController();
+			holds.set(holdId, releasing);
 			const endsAt = clock.now() + ms;
-			const letWritesIn = await context.holdWrites(ms);
+			const resumeWrites = await context.holdWrites(ms);
 			const leftMs = endsAt - clock.now();
-			const held = leftMs > 0 && !ending.signal.aborted;
+			const held = leftMs > 0 && !releasing.signal.aborted;
 
-			// Whoever asked for the hold may die before it releases it: the writes are let in again by this host's own clock.
-			void clock.sleep(leftMs, ending.signal).then(() => {
+			// The host that requested the hold may die before it releases it, so this host also ends the hold by its own timer.
+			void clock.sleep(leftMs, releasing.signal).then(() => {
 				holds.delete(holdId);
-				letWritesIn();
+				resumeWrites();
 			});
 			return held;
 		},
--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -62,10 +62,10 @@
 
 	// Guards against a caller left unsure by a commit whose answer was lost: the transaction's key tells at any
 	// owner whether it is committed, and a tombstone there keeps it from being committed later.
-	const settleCommit = async (step: Step, answer: OwnerResponse | undefined): Promise<OwnerResponse> => {
-		const settled = await tries.resolve(step.asked, step.group, step.asked.deadlineAt);
-		if (settled.answer.outcome === Outcome.Done || settled.answer.refusal?.code === RefusalCode.Resolved) {
-			return settled.answer;
+	const resolveCommit = async (step: Step, answer: OwnerResponse | undefined): Promise<OwnerResponse> => {
+		const resolved = await tries.resolve(step.asked, step.group, step.asked.deadlineAt);
+		if (resolved.answer.outcome === Outcome.Done || resolved.answer.refusal?.code === RefusalCode.Resolved) {
+			return resolved.answer;
 		}
 
 		return {outcome: Outcome.Unknown, refusal: answer?.refusal ?? createUnknownRefusal('the host that held the transaction is gone')};
@@ -112,7 +112,7 @@
 			const answer = await callHost(step, async (host, remainingMs) => ownerClient.call(host, 'commit', {
 				group: step.id.group, requestId: step.id.requestId, remainingMs: remainingMs / 2,
 			}));
-			const end = answer?.outcome === Outcome.Done ? answer : await settleCommit(step, answer);
+			const end = answer?.outcome === Outcome.Done ? answer : await resolveCommit(step, answer);
 			return answerOnce(step.asked, step.id, end);
 		},
 		async rollback(transactionId, header) {
--- a/src/transactions/create-transactions.ts
+++ b/src/transactions/create-transactions.ts
@@ -35,13 +35,13 @@
 };
 
 /** A transaction without a statement for this long is rolled back, in milliseconds. */
-const IDLE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 
 /** A transaction open for this long is rolled back, in milliseconds. */
-const LONGEST_MS = 120_000;
+const MAX_DURATION_MS = 120_000;
 
 /** Time between looks for abandoned transactions, in milliseconds. */
-const LOOK_MS = 1000;
+const SWEEP_INTERVAL_MS = 1000;
 
 /** Digest under which a transaction's key stands; its statements come later. */
 const TRANSACTION_DIGEST = 'transaction';
@@ -55,7 +55,7 @@
 	 * Commits that the primary has taken and no majority has confirmed. Guards against a stop that takes the host for idle:
 	 * the confirmation would break off, and the caller's host have to find the commit out through another owner.
 	 */
-	let settling = 0;
+	let resolving = 0;
 
 	const openAt = async (owner: GroupOwner, call: BeginCall, deadlineAt: number): Promise<OwnerResponse> => {
 		// From here the transaction is inside the gate, and leaves it where it ends.
@@ -198,13 +198,13 @@
 			return refuseLost(transaction, new Error('the group is no longer looked after here'));
 		}
 
-		settling++;
+		resolving++;
 		try {
 			return await owner.writes.settle({
 				primary, term, answer, sentAt,
 			}, deadlineAt);
 		} finally {
-			settling--;
+			resolving--;
 		}
 	};
 
@@ -219,17 +219,17 @@
 	const endAbandoned = (now: number) => {
 		for (const transaction of open.getAll()) {
 			const isLost = !transaction.connection.usable;
-			const isOver = isLost || now - transaction.lastUsedAt > IDLE_MS || now - transaction.startedAt > LONGEST_MS;
-			if (isOver && !transaction.busy) {
+			const isAbandoned = isLost || now - transaction.lastUsedAt > IDLE_TIMEOUT_MS || now - transaction.startedAt > MAX_DURATION_MS;
+			if (isAbandoned && !transaction.busy) {
 				open.end(transaction, false);
 			}
 		}
 	};
 
-	const lookOn = async () => {
+	const sweepAbandoned = async () => {
 		while (!stopping.signal.aborted) {
 			endAbandoned(clock.now());
-			await clock.sleep(LOOK_MS, stopping.signal);
+			await clock.sleep(SWEEP_INTERVAL_MS, stopping.signal);
 		}
 	};
 
@@ -238,13 +238,13 @@
 		run: async call => use(call.requestId, async transaction => runOn(transaction, call, clock.now() + call.remainingMs)),
 		commit: async call => use(call.requestId, async transaction => commitOn(transaction, clock.now() + call.remainingMs)),
 		rollback: async call => use(call.requestId, async transaction => rollBackOn(transaction, clock.now() + call.remainingMs)),
-		getOpenCount: () => open.getAll().length + settling,
+		getOpenCount: () => open.getAll().length + resolving,
 		async start() {
 			peers.handle('begin', transactions.begin);
 			peers.handle('run', transactions.run);
 			peers.handle('commit', transactions.commit);
 			peers.handle('rollback', transactions.rollback);
-			void lookOn();
+			void sweepAbandoned();
 		},
 		async stop() {
 			stopping.abort();
--- a/tests/failover/decisions-tests.ts
+++ b/tests/failover/decisions-tests.ts
@@ -60,7 +60,7 @@
 			};
 
 			const result = detectFailure({
-				clock, settings: DEFAULT_FAILOVER_SETTINGS, headStartMs: 100, silenceMs: 600, askKept: ask(kept), askFresh: ask(fresh),
+				clock, settings: DEFAULT_FAILOVER_SETTINGS, freshProbeDelayMs: 100, silenceMs: 600, probeOpen: ask(kept), probeFresh: ask(fresh),
 			});
 			expect(await clock.runUntil(result)).to.equal(expected);
 			expect(clock.now() - startedAt).to.equal(expectedMs);
@@ -85,7 +85,7 @@
 		it(title, () => {
 			const detector = createStallDetector(DEFAULT_FAILOVER_SETTINGS);
 			for (const [at, primary, ...replicas] of looks) {
-				detector.note({primary: createStatus(1, primary), replicas: replicas.map(position => createStatus(1, position)), majority: 2}, at);
+				detector.record({primary: createStatus(1, primary), replicas: replicas.map(position => createStatus(1, position)), majority: 2}, at);
 			}
 
 			expect(detector.getCutOffSince(now)).to.equal(expected);
@@ -103,8 +103,8 @@
 	it('tells when its patience will end', () => {
 		const detector = createStallDetector(DEFAULT_FAILOVER_SETTINGS);
 		const note = (position: number, now: number) => {
-			detector.note({primary: createStatus(1, position), replicas: [createStatus(1, 5), createStatus(1, 5)], majority: 2}, now);
-			return detector.getPatienceLeftMs(now);
+			detector.record({primary: createStatus(1, position), replicas: [createStatus(1, 5), createStatus(1, 5)], majority: 2}, now);
+			return detector.getMsUntilCutOff(now);
 		};
 
 		expect([note(5, 0), note(6, 1000), note(6, 2500), note(6, 4000)]).to.deep.equal([Infinity, 2000, 500, 0]);
--- a/tests/failover/primary-watch-tests.ts
+++ b/tests/failover/primary-watch-tests.ts
@@ -39,11 +39,11 @@
 				log: createSilentLog(),
 				getCfg: () => cfg,
 				setState() {}, // eslint-disable-line @typescript-eslint/no-empty-function
-				opinions: {ask: async () => ({confirmed: false, heard: [], seen: []})},
+				reachabilityReports: {request: async () => ({confirmed: false, reporters: [], seen: []})},
 				getStatus: async () => status,
 				getCutOffSince: () => undefined,
 			});
-			expect(watch.getNapMs(200)).to.equal(expected);
+			expect(watch.getPollDelayMs(200)).to.equal(expected);
 		});
 	};
 
