--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -12,7 +12,7 @@
 import type {TriesResult} from '../routing/try-owners.js';
 import {formatTransactionId, parseTransactionId, type TransactionId} from './transaction-id.js';
 
-/** What the entry's way for transactions is made from. */
+/** Options of {@link createTransactionEntry}. */
 export type TransactionEntryOptions = {
 	readonly asker: RequestReceiver;
 	readonly answers: EntryAnswers;
@@ -29,24 +29,24 @@
 
 type StepParts = Pick<ReceivedRequest, 'asked' | 'class'> & {readonly deadlineMs: number};
 
-/** Creates the entry's way for transactions; each step goes to the host that the transaction's id names. */
+/** Creates the entry's handling of transactions; each step is sent to the host named in the transaction's id. */
 export function createTransactionEntry(options: TransactionEntryOptions): Pick<Entry, 'begin' | 'run' | 'commit' | 'rollback'> {
 	const {
-		asker, answers, tries, ownerClient, hosts,
+		asker: receiver, answers, tries, ownerClient, hosts,
 	} = options;
 
 	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerAnswer => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
 
 	const openStep = (transactionId: string, header: string | undefined, parts: StepParts): Step | CallerAnswer => {
 		const id = parseTransactionId(transactionId);
-		const asking = asker.receive(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
-		const {asked} = asking;
+		const received = receiver.receive(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
+		const {asked} = received;
 		if (!id) {
 			return answers.refuse(asked, createUnknownRefusal('this is no transaction id of this system'));
 		}
 
-		const judgement = asker.validate(asking);
-		return 'refusal' in judgement ? answers.refuse(asked, judgement.refusal) : {asked, group: judgement.group, id};
+		const validation = receiver.validate(received);
+		return 'refusal' in validation ? answers.refuse(asked, validation.refusal) : {asked, group: validation.group, id};
 	};
 
 	const answerOnce = (asked: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerAnswer => {
@@ -60,8 +60,8 @@
 		return host ? call(host, deadlineAt - startedAt) : undefined;
 	};
 
-	// Guards against a caller left unsure by a commit whose answer was lost: the transaction's key tells at any
-	// owner whether it is committed, and a tombstone there keeps it from being committed later.
+	// Where the answer to a commit is lost, the transaction's key shows at any owner whether it is committed, and a
+	// tombstone there keeps it from being committed later. Otherwise the caller would not learn the outcome.
 	const resolveCommit = async (step: Step, answer: OwnerResponse | undefined): Promise<OwnerResponse> => {
 		const resolved = await tries.resolve(step.asked, step.group, step.asked.deadlineAt);
 		if (resolved.answer.outcome === Outcome.Done || resolved.answer.refusal?.code === RefusalCode.Resolved) {
@@ -73,14 +73,14 @@
 
 	return {
 		async begin(name, req, header) {
-			const asking = asker.receive(name, header, {...req, asked: 'begin', attempt: 1});
-			const {asked} = asking;
-			const judgement = asker.validate(asking);
-			if ('refusal' in judgement) {
-				return answers.refuse(asked, judgement.refusal);
+			const received = receiver.receive(name, header, {...req, asked: 'begin', attempt: 1});
+			const {asked} = received;
+			const validation = receiver.validate(received);
+			if ('refusal' in validation) {
+				return answers.refuse(asked, validation.refusal);
 			}
 
-			const {group} = judgement;
+			const {group} = validation;
 			let holder = hosts.self.name;
 			const end = await tries.sendToOwners(asked, group, asked.deadlineAt, async (host, {remainingMs}) => {
 				holder = host.name;
--- a/src/transactions/create-transactions.ts
+++ b/src/transactions/create-transactions.ts
@@ -11,13 +11,13 @@
 import {createOpenTransactions, type OpenTransaction} from './open-transaction.js';
 import type {BeginCall, EndCall, RunCall} from './transaction-calls.js';
 
-/** Holds the transactions of the groups that this host looks after. */
+/** Holds the open transactions of the groups that this host owns. */
 export type Transactions = Service & {
 	begin(call: BeginCall): Promise<OwnerResponse>;
 	run(call: RunCall): Promise<OwnerResponse>;
 	commit(call: EndCall): Promise<OwnerResponse>;
 	rollback(call: EndCall): Promise<OwnerResponse>;
-	/** How many are open, or committed and not yet settled. */
+	/** Returns how many transactions are open, or committed with an outcome that is not yet resolved. */
 	getOpenCount(): number;
 };
 
@@ -27,7 +27,7 @@
 	}
 }
 
-/** What the transactions are made from. */
+/** Options of {@link createTransactions}. */
 export type TransactionsOptions = {
 	readonly clock: Clock;
 	readonly owners: OwnersService;
@@ -40,25 +40,25 @@
 /** A transaction open for this long is rolled back, in milliseconds. */
 const MAX_DURATION_MS = 120_000;
 
-/** Time between looks for abandoned transactions, in milliseconds. */
+/** Interval of the sweep for abandoned transactions, in milliseconds. */
 const SWEEP_INTERVAL_MS = 1000;
 
-/** Digest under which a transaction's key stands; its statements come later. */
+/** Digest stored with a transaction's key, since its statements are not known when it begins. */
 const TRANSACTION_DIGEST = 'transaction';
 
-/** Creates the holder of open transactions. */
+/** Creates the transactions of one host. */
 export function createTransactions(options: TransactionsOptions): Transactions {
 	const {clock, owners, peers} = options;
 	const open = createOpenTransactions();
 	const stopping = new AbortController();
 	/**
-	 * Commits that the primary has taken and no majority has confirmed. Guards against a stop that takes the host for idle:
-	 * the confirmation would break off, and the caller's host have to find the commit out through another owner.
+	 * Number of commits that the primary has run and no majority has confirmed yet. They count as open, since a host that
+	 * stopped as idle would abort the confirmation, and the caller's host would have to find the outcome at another owner.
 	 */
 	let resolving = 0;
 
 	const openAt = async (owner: GroupOwner, call: BeginCall, deadlineAt: number): Promise<OwnerResponse> => {
-		// From here the transaction is inside the gate, and leaves it where it ends.
+		// From here on the transaction is inside the write gate, which it leaves when it ends.
 		const primary = await owner.writes.enterAtPrimary(deadlineAt);
 		if (!primary) {
 			return refuseNoPrimary(owner);
@@ -76,14 +76,14 @@
 			}));
 		}
 
-		// Guards against a transaction that waited for its connection while the primary was told to leave.
+		// The primary may have been ordered to drain, or begun to leave, while the transaction waited for its connection.
 		if (!owner.parts.mayTakeWork(primary.endpoint, clock.now())) {
 			primary.parts.pool.release(connection);
 			owner.parts.writeGate.leave();
 			return openAt(owner, call, deadlineAt);
 		}
 
-		// Guards against two submissions of one id: the second would take the first's place and end its connection.
+		// The same id may be submitted twice; the second transaction would replace the first one and destroy its connection.
 		if (open.get(call.requestId)) {
 			primary.parts.pool.release(connection);
 			owner.parts.writeGate.leave();
@@ -116,8 +116,8 @@
 				return answerOpen(transaction);
 			}
 
-			// The key stood already. Guards against a caller that is told "done" and takes a transaction for open that
-			// another submission of the id has ended: its commit would seem to succeed without its statements.
+			// The key existed already, so another submission of the id may have ended the transaction. A caller that got "done"
+			// would take the transaction for open, and its commit would seem to succeed without its statements.
 			open.end(transaction, false);
 			const end = await owner.writes.settle({
 				primary: transaction.primary, term, answer, sentAt,
@@ -145,7 +145,7 @@
 		return transaction;
 	};
 
-	const use = async (requestId: string, work: (transaction: OpenTransaction) => Promise<OwnerResponse>) => {
+	const withTransaction = async (requestId: string, work: (transaction: OpenTransaction) => Promise<OwnerResponse>) => {
 		const found = find(requestId);
 		if ('outcome' in found) {
 			return found;
@@ -214,8 +214,8 @@
 		return answerOpen(transaction);
 	};
 
-	// Guards against a caller that left in mid-transaction: its connection, scarce as it is, would be held for ever. One
-	// that was lost counts as lent until then, and the primary's other callers would wait for nothing.
+	// A caller that disappears during a transaction would hold one of the few connections for ever. A lost connection counts
+	// as in use until its transaction ends, and other callers of the primary would wait for it in vain.
 	const endAbandoned = (now: number) => {
 		for (const transaction of open.getAll()) {
 			const isLost = !transaction.connection.usable;
@@ -235,9 +235,9 @@
 
 	const transactions: Transactions = {
 		begin: async call => owners.withOwner(call.group, async owner => openAt(owner, call, clock.now() + call.remainingMs)),
-		run: async call => use(call.requestId, async transaction => runOn(transaction, call, clock.now() + call.remainingMs)),
-		commit: async call => use(call.requestId, async transaction => commitOn(transaction, clock.now() + call.remainingMs)),
-		rollback: async call => use(call.requestId, async transaction => rollBackOn(transaction, clock.now() + call.remainingMs)),
+		run: async call => withTransaction(call.requestId, async transaction => runOn(transaction, call, clock.now() + call.remainingMs)),
+		commit: async call => withTransaction(call.requestId, async transaction => commitOn(transaction, clock.now() + call.remainingMs)),
+		rollback: async call => withTransaction(call.requestId, async transaction => rollBackOn(transaction, clock.now() + call.remainingMs)),
 		getOpenCount: () => open.getAll().length + resolving,
 		async start() {
 			peers.handle('begin', transactions.begin);
--- a/src/transactions/open-transaction.ts
+++ b/src/transactions/open-transaction.ts
@@ -2,7 +2,7 @@
 import type {EndpointConfig} from '../groups/group-config.js';
 import type {EndpointParts, GroupParts} from '../owners/group-parts.js';
 
-/** A transaction whose connection this host holds, from BEGIN to its end. */
+/** A transaction whose connection this host holds from `BEGIN` to its end. */
 export type OpenTransaction = {
 	readonly requestId: string;
 	readonly group: GroupParts;
@@ -15,20 +15,20 @@
 	lastUsedAt: number;
 	/** True while a statement is in flight. */
 	busy: boolean;
-	/** Takes the transaction off the endpoint's running work. */
+	/** Removes the transaction from the endpoint's running work. */
 	endWork(): void;
 };
 
-/** The transactions open on this host. */
+/** The open transactions of this host. */
 export type OpenTransactions = {
 	get(requestId: string): OpenTransaction | undefined;
 	add(transaction: OpenTransaction): void;
-	/** Ends a transaction: its connection goes back to the pool where `clean`, and is destroyed otherwise. */
+	/** Ends a transaction and releases its connection to the pool; the connection is destroyed first unless `clean`. */
 	end(transaction: OpenTransaction, clean: boolean): void;
 	getAll(): readonly OpenTransaction[];
 };
 
-/** Creates an empty set. */
+/** Creates an empty set of open transactions. */
 export function createOpenTransactions(): OpenTransactions {
 	const open = new Map<string, OpenTransaction>();
 
@@ -42,8 +42,8 @@
 				return;
 			}
 
-			// Guards against statements of two transactions on one connection: unless the server has said that the
-			// transaction ended, the connection still belongs to it, and the next borrower would run inside it.
+			// Unless the server confirmed that the transaction ended, it may still be open on this connection, and statements of
+			// the next user of the connection would run inside it.
 			if (!clean) {
 				transaction.connection.destroy();
 			}
--- a/src/transactions/transaction-calls.ts
+++ b/src/transactions/transaction-calls.ts
@@ -4,14 +4,14 @@
 /** Opens a transaction at an owner. */
 export type BeginCall = {
 	readonly group: string;
-	/** Request key of the whole transaction. */
+	/** Idempotency key of the whole transaction. */
 	readonly requestId: string;
 	readonly class: WorkClass;
 	readonly remainingMs: number;
 	readonly configVersion: number;
 };
 
-/** Runs a statement within a transaction of that owner. */
+/** Runs a statement in a transaction that the owner holds. */
 export type RunCall = {
 	readonly group: string;
 	readonly requestId: string;
@@ -21,7 +21,7 @@
 	readonly remainingMs: number;
 };
 
-/** Ends a transaction of that owner. */
+/** Commits or rolls back a transaction that the owner holds. */
 export type EndCall = {
 	readonly group: string;
 	readonly requestId: string;
--- a/src/transactions/transaction-id.ts
+++ b/src/transactions/transaction-id.ts
@@ -1,4 +1,4 @@
-/** What a transaction's id tells any proxy: its request key, its group, and the host that holds its connection. */
+/** The parts of a transaction's id: its request id, its group, and the host that holds its connection. */
 export type TransactionId = {
 	readonly requestId: string;
 	readonly group: string;
@@ -7,12 +7,12 @@
 
 const SEPARATOR = '.';
 
-/** Writes the id that a caller uses. */
+/** Formats the id that the caller uses. */
 export function formatTransactionId({requestId, group, host}: TransactionId): string {
 	return [requestId, group, host].join(SEPARATOR);
 }
 
-/** Reads a caller's id, undefined where it is none. */
+/** Parses a caller's id; returns undefined where it is malformed. */
 export function parseTransactionId(id: string): TransactionId | undefined {
 	const [requestId, group, ...host] = id.split(SEPARATOR);
 	if (!requestId || !group || host.length === 0) {
