--- a/tests/failover/calm-hour-tests.ts
+++ b/tests/failover/calm-hour-tests.ts
@@ -5,35 +5,35 @@
 const HOUR_MS = 3_600_000;
 
 /** The longest pause of a healthy process, in milliseconds. */
-const LONGEST_PAUSE_MS = 500;
+const MAX_PAUSE_MS = 500;
 
-/** Runs something over and over until the bench's clock reaches `endsAt`. */
+/** Repeats a step until the bench's clock reaches `endsAt`. */
 async function repeat(bench: FailoverBench, endsAt: number, step: () => Promise<void>): Promise<void> {
 	while (bench.clock.now() < endsAt) {
 		await step();
 	}
 }
 
-describe('an hour without a loss', () => {
-	it('passes without a promotion through jitter and pauses of hosts and servers', async () => {
-		// Sessions stall for no reason: a proxy collects garbage for half a second and takes the primary for lost, or the
-		// primary does, or both in turn, while answers of one link take fifty times longer than those of another.
+describe('an hour without a loss of the primary', () => {
+	it('has no promotion despite jitter and pauses of hosts and servers', async () => {
+		// A healthy primary is replaced: a proxy or the primary, or both in turn, pause for half a second for garbage
+		// collection, while answers on one link take fifty times longer than on another.
 		const bench = await createFailoverBench();
 		const random = createSeededRandom(7);
-		const between = (least: number, most: number) => least + (random.fraction() * (most - least));
+		const between = (min: number, max: number) => min + (random.fraction() * (max - min));
 		const pick = <T>(from: readonly T[]) => from[Math.floor(random.fraction() * from.length)]!;
 		const endsAt = bench.clock.now() + HOUR_MS;
 		let pauses = 0;
 
 		const pauseHosts = bench.hosts.map(async host => repeat(bench, endsAt, async () => {
 			await bench.clock.sleep(between(1000, 20_000));
-			await host.pause(between(50, LONGEST_PAUSE_MS));
+			await host.pause(between(50, MAX_PAUSE_MS));
 			pauses++;
 		}));
 		const pauseServers = bench.servers.map(async server => repeat(bench, endsAt, async () => {
 			await bench.clock.sleep(between(1000, 20_000));
 			server.faults.freeze();
-			await bench.clock.sleep(between(50, LONGEST_PAUSE_MS));
+			await bench.clock.sleep(between(50, MAX_PAUSE_MS));
 			server.faults.thaw();
 			pauses++;
 		}));
--- a/tests/failover/cut-off-owner-tests.ts
+++ b/tests/failover/cut-off-owner-tests.ts
@@ -10,10 +10,10 @@
 	}
 }
 
-describe('second opinion', () => {
-	it('keeps an owner that is cut off from the primary from deposing it', async () => {
-		// All writes of a group stop for a moment for no reason, again and again: one host lost its way to a healthy
-		// primary, reaches the replicas and raises another one, which a host on the other side deposes in turn.
+describe('reachability report', () => {
+	it('prevents an owner that is cut off from the primary from deposing it', async () => {
+		// Writes of a group stop briefly again and again: one host loses its connection to a healthy primary, still reaches
+		// the replicas and promotes one, which a host on the other side deposes in turn.
 		for (const cutOff of [0, 1]) {
 			const bench = await createFailoverBench();
 			bench.hosts[cutOff]!.endpoints.getLink('10.0.0.1:5432').cut();
@@ -27,7 +27,7 @@
 		}
 	});
 
-	it('keeps an owner that reaches neither the primary nor any other host from acting', async () => {
+	it('prevents an owner that reaches neither the primary nor any other host from promoting', async () => {
 		const bench = await createFailoverBench();
 		bench.hosts[0]!.endpoints.getLink('10.0.0.1:5432').cut();
 		cutPeers(bench, 0);
@@ -39,8 +39,8 @@
 	});
 
 	const doWitnessTest = (title: string, owners: number, prepare: (bench: FailoverBench) => void) => {
-		it(`takes a host's word that is no owner where ${title}`, async () => {
-			// The group stays without a primary: the one owner beside the first is dead as well, or there never was one.
+		it(`is taken from a host that is not an owner where ${title}`, async () => {
+			// The group stays without a primary: its second owner is dead as well, or it has only one.
 			const bench = await createFailoverBench({owners});
 			prepare(bench);
 			bench.getServer('db-1').kill();
@@ -54,7 +54,7 @@
 		bench.network.kill(bench.hosts[1]!.address);
 	});
 
-	it('lets the second owner act when the first one dies together with the primary', async () => {
+	it('lets the second owner promote when the first one dies together with the primary', async () => {
 		const bench = await createFailoverBench();
 		bench.hosts[0]!.pauseNow();
 		bench.getServer('db-1').kill();
@@ -64,21 +64,21 @@
 		await bench.stop();
 	});
 
-	it('has the side with the majority promote when primary and one owner are cut off together', async () => {
-		// The primary still believes that it leads, and so does the owner beside it; neither may have a write acknowledged.
+	it('lets the majority side promote when the primary and one owner are cut off together', async () => {
+		// The cut-off primary and the owner on its side still take it for the primary; neither may acknowledge a write.
 		const bench = await createFailoverBench();
-		const [inside, outside] = bench.hosts;
-		bench.getServer('db-1').faults.cut(['10.0.0.2:5432', '10.0.0.3:5432', outside!.name, bench.hosts[2]!.name]);
-		inside!.endpoints.getLink('10.0.0.2:5432').cut();
-		inside!.endpoints.getLink('10.0.0.3:5432').cut();
+		const [minorityOwner, majorityOwner] = bench.hosts;
+		bench.getServer('db-1').faults.cut(['10.0.0.2:5432', '10.0.0.3:5432', majorityOwner!.name, bench.hosts[2]!.name]);
+		minorityOwner!.endpoints.getLink('10.0.0.2:5432').cut();
+		minorityOwner!.endpoints.getLink('10.0.0.3:5432').cut();
 		cutPeers(bench, 0);
-		const write = inside!.write();
+		const write = minorityOwner!.write();
 		await bench.until(() => bench.getPromotions().length > 0, 4000);
 
-		expect(outside!.promotions).to.have.length(1);
+		expect(majorityOwner!.promotions).to.have.length(1);
 		expect(await bench.clock.runUntil(write)).to.equal(false);
-		expect(await bench.clock.runUntil(inside!.write())).to.equal(false);
-		expect(await bench.clock.runUntil(outside!.write())).to.equal(true);
+		expect(await bench.clock.runUntil(minorityOwner!.write())).to.equal(false);
+		expect(await bench.clock.runUntil(majorityOwner!.write())).to.equal(true);
 		await bench.stop();
 	});
 });
@@ -89,7 +89,7 @@
 	};
 
 	it('is replaced although every host reaches it', async () => {
-		// Filings run and are never acknowledged: the primary answers every poll, and no replica hears of what it wrote.
+		// Writes run and are never acknowledged: the primary answers every poll, but its entries reach no replica.
 		const bench = await createFailoverBench();
 		expect(await bench.clock.runUntil(bench.hosts[0]!.write())).to.equal(true);
 		cutFromGroup(bench);
@@ -103,7 +103,7 @@
 		await bench.stop();
 	});
 
-	it('is not found in a group whose replicas merely lag', async () => {
+	it('is not detected in a group whose replicas merely lag', async () => {
 		const bench = await createFailoverBench();
 		for (const server of bench.servers) {
 			server.setReplicationLag(1200);
--- a/tests/failover/decisions-tests.ts
+++ b/tests/failover/decisions-tests.ts
@@ -33,34 +33,34 @@
 		});
 	};
 
-	doTest('takes the furthest log', [['a', 1, 5], ['b', 1, 6]], {}, 'b');
-	doTest('takes the later term before the longer tail', [['a', 1, 900], ['b', 2, 6]], {}, 'b');
-	doTest('takes a drained server rather than lose an entry', [['a', 1, 5], ['b', 1, 6, EndpointOrder.Drain, true]], {preferred: 'a'}, 'b');
-	doTest('passes over a drained server of equal log', [['a', 1, 5, EndpointOrder.Drain], ['b', 1, 5]], {}, 'b');
-	doTest('passes over a stopped server of equal log', [['a', 1, 5, EndpointOrder.Stop], ['b', 1, 5]], {}, 'b');
-	doTest('passes over a server that says it is leaving', [['a', 1, 5, EndpointOrder.Serve, true], ['b', 1, 5]], {}, 'b');
-	doTest('passes over a server whose host is leaving', [['a', 1, 5], ['b', 1, 5]], {leavingHost: 'a'}, 'b');
-	doTest('passes over the suspect of equal log', [['a', 1, 5], ['b', 1, 5]], {suspect: 'a'}, 'b');
-	doTest('takes the wanted server of equal log', [['a', 1, 5], ['b', 1, 5]], {preferred: 'b'}, 'b');
+	doTest('takes the highest log', [['a', 1, 5], ['b', 1, 6]], {}, 'b');
+	doTest('takes the log of a later term before a longer one of an earlier term', [['a', 1, 900], ['b', 2, 6]], {}, 'b');
+	doTest('takes a drained server rather than losing an entry', [['a', 1, 5], ['b', 1, 6, EndpointOrder.Drain, true]], {preferred: 'a'}, 'b');
+	doTest('skips a drained server of equal log', [['a', 1, 5, EndpointOrder.Drain], ['b', 1, 5]], {}, 'b');
+	doTest('skips a stopped server of equal log', [['a', 1, 5, EndpointOrder.Stop], ['b', 1, 5]], {}, 'b');
+	doTest('skips a server that reports that it is leaving', [['a', 1, 5, EndpointOrder.Serve, true], ['b', 1, 5]], {}, 'b');
+	doTest('skips a server whose host is leaving', [['a', 1, 5], ['b', 1, 5]], {leavingHost: 'a'}, 'b');
+	doTest('skips the suspect of equal log', [['a', 1, 5], ['b', 1, 5]], {suspect: 'a'}, 'b');
+	doTest('takes the preferred server of equal log', [['a', 1, 5], ['b', 1, 5]], {preferred: 'b'}, 'b');
 });
 
 describe('failure detector', () => {
-	/** When a question is answered (positive) or refused (negative), in milliseconds; undefined: never. */
-	type Ending = number | undefined;
+	/** Time until a probe is answered (positive) or refused (negative), in milliseconds; undefined: never. */
+	type ProbeEnd = number | undefined;
 
-	const doTest = (title: string, kept: Ending, fresh: Ending, expected: ProbeResult, expectedMs: number) => {
+	const doTest = (title: string, open: ProbeEnd, fresh: ProbeEnd, expected: ProbeResult, expectedMs: number) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
 			const startedAt = clock.now();
-			const ask = (ending: Ending) => async (timeoutMs: number) => {
-				await clock.sleep(Math.min(timeoutMs, Math.abs(ending ?? Infinity)));
-				if (ending === undefined || ending < 0 || ending > timeoutMs) {
+			const ask = (end: ProbeEnd) => async (timeoutMs: number) => {
+				await clock.sleep(Math.min(timeoutMs, Math.abs(end ?? Infinity)));
+				if (end === undefined || end < 0 || end > timeoutMs) {
 					throw new Error('no answer');
 				}
 			};
 
 			const result = detectFailure({
-				clock, settings: DEFAULT_FAILOVER_SETTINGS, freshProbeDelayMs: 100, silenceMs: 600, probeOpen: ask(kept), probeFresh: ask(fresh),
+				clock, settings: DEFAULT_FAILOVER_SETTINGS, freshProbeDelayMs: 100, silenceMs: 600, probeOpen: ask(open), probeFresh: ask(fresh),
 			});
 			expect(await clock.runUntil(result)).to.equal(expected);
 			expect(clock.now() - startedAt).to.equal(expectedMs);
@@ -69,22 +69,22 @@
 
 	const {Answered, Refused, Silent} = ProbeResult;
 	doTest('takes the answer of a healthy server', 3, undefined, Answered, 3);
-	doTest('takes the answer of a server that was paused for long', 520, undefined, Answered, 520);
+	doTest('takes the answer of a server after a long pause', 520, undefined, Answered, 520);
 	doTest('takes the answer on a fresh connection where the old one is silent', undefined, 16, Answered, 116);
 	doTest('takes the answer on a fresh connection where the old one is cut', -1, 16, Answered, 17);
-	doTest('waits to the end for a silent server', undefined, undefined, Silent, 700);
-	doTest('waits to the end for a server that is silent and then refuses', undefined, -3, Silent, 700);
-	doTest('waits to the end for a server that resets and then is silent', -1, undefined, Silent, 601);
-	doTest('is done sooner with a server that refuses', -1, -3, Refused, 133);
+	doTest('waits the whole time for a silent server', undefined, undefined, Silent, 700);
+	doTest('waits the whole time for a server that is silent and then refuses', undefined, -3, Silent, 700);
+	doTest('waits the whole time for a server that resets and then is silent', -1, undefined, Silent, 601);
+	doTest('ends earlier for a server that refuses', -1, -3, Refused, 133);
 });
 
 describe('stall detector', () => {
-	type Look = [at: number, primary: number, ...replicas: number[]];
+	type Poll = [at: number, primary: number, ...replicas: number[]];
 
-	const doTest = (title: string, looks: Look[], now: number, expected: number | undefined) => {
+	const doTest = (title: string, polls: Poll[], now: number, expected: number | undefined) => {
 		it(title, () => {
 			const detector = createStallDetector(DEFAULT_FAILOVER_SETTINGS);
-			for (const [at, primary, ...replicas] of looks) {
+			for (const [at, primary, ...replicas] of polls) {
 				detector.record({primary: createStatus(1, primary), replicas: replicas.map(position => createStatus(1, position)), majority: 2}, at);
 			}
 
@@ -92,15 +92,15 @@
 		});
 	};
 
-	doTest('finds nothing while a majority holds all', [[0, 5, 5, 5], [5000, 5, 5, 1]], 9000, undefined);
-	doTest('finds a primary that nobody follows', [[0, 5, 5, 5], [1000, 6, 5, 5], [2000, 6, 5, 5]], 3000, 1000);
-	doTest('has patience', [[0, 5, 5, 5], [1000, 6, 5, 5], [2000, 6, 5, 5]], 2900, undefined);
-	doTest('finds nothing while a replica moves', [[0, 5, 5, 5], [1000, 9, 5, 5], [2500, 9, 6, 5]], 3500, undefined);
-	doTest('has four times the patience of the slowest catch-up', [[0, 5, 5, 5], [1000, 6, 5, 5], [2500, 6, 6, 6], [3000, 7, 6, 6]], 8000, undefined);
-	doTest('has the longest patience where it saw no catch-up yet', [[0, 6, 5, 5]], 9000, undefined);
-	doTest('finds nothing where no other majority answers', [[0, 5, 5, 5], [1000, 6, 5]], 9000, undefined);
+	doTest('detects nothing while a majority holds all entries', [[0, 5, 5, 5], [5000, 5, 5, 1]], 9000, undefined);
+	doTest('detects a primary that no replica follows', [[0, 5, 5, 5], [1000, 6, 5, 5], [2000, 6, 5, 5]], 3000, 1000);
+	doTest('detects nothing before the minimum timeout', [[0, 5, 5, 5], [1000, 6, 5, 5], [2000, 6, 5, 5]], 2900, undefined);
+	doTest('detects nothing while a replica advances', [[0, 5, 5, 5], [1000, 9, 5, 5], [2500, 9, 6, 5]], 3500, undefined);
+	doTest('waits four times as long as the slowest catch-up took', [[0, 5, 5, 5], [1000, 6, 5, 5], [2500, 6, 6, 6], [3000, 7, 6, 6]], 8000, undefined);
+	doTest('waits longest where it has seen no catch-up yet', [[0, 6, 5, 5]], 9000, undefined);
+	doTest('detects nothing where no majority answers without the primary', [[0, 5, 5, 5], [1000, 6, 5]], 9000, undefined);
 
-	it('tells when its patience will end', () => {
+	it('returns the time until the primary counts as cut off', () => {
 		const detector = createStallDetector(DEFAULT_FAILOVER_SETTINGS);
 		const note = (position: number, now: number) => {
 			detector.record({primary: createStatus(1, position), replicas: [createStatus(1, 5), createStatus(1, 5)], majority: 2}, now);
@@ -127,10 +127,10 @@
 		});
 	};
 
-	doTest('takes an answer, however late, for a sign of life', 900, false, ProbeResult.Answered);
-	doTest('tells a refusal by its coming early', 20, true, ProbeResult.Refused);
-	doTest('tells silence by the whole time passing', 300, true, ProbeResult.Silent);
-	doTest('tells a pause of its own process by the timeout coming late', 351, true, ProbeResult.Paused);
+	doTest('counts an answer as such however late it comes', 900, false, ProbeResult.Answered);
+	doTest('recognizes a refusal by its early failure', 20, true, ProbeResult.Refused);
+	doTest('recognizes silence by a failure at the timeout', 300, true, ProbeResult.Silent);
+	doTest('recognizes a pause of its own process by a late timeout', 351, true, ProbeResult.Paused);
 });
 
 describe('fence', () => {
@@ -139,7 +139,7 @@
 	const doTest = (title: string, servers: Array<Server | undefined>, expected: string, pauseMs = 0) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
-			// A pause shows as a wait that ends long after its time.
+			// A pause makes a sleep end long after its time.
 			let pausedMs = 0;
 			const pausingClock = {
 				...clock, now: () => clock.now() + pausedMs, async sleep(ms: number, signal?: AbortSignal) {
@@ -166,10 +166,10 @@
 		});
 	};
 
-	doTest('takes a majority of grants', [[true, 2], [true, 2], undefined], '2 granted');
-	doTest('takes no refusal for a grant', [[true, 2], [false, 2], undefined], 'term 2 was passed: a server has promised 2');
-	doTest('takes no minority', [[true, 2], undefined, undefined], '1 of the group\'s servers granted the term, 2 are needed');
-	// A promoter sleeps with a majority of grants in its sockets; meanwhile another one raises a primary. Woken, it would
-	// raise a second one at a server that the later promoter did not reach.
-	doTest('is given up after a pause', [[true, 2], [true, 2], undefined], 'the promoter of term 2 was paused and stops', 1500);
+	doTest('succeeds with a majority of grants', [[true, 2], [true, 2], undefined], '2 granted');
+	doTest('does not count a refusal as a grant', [[true, 2], [false, 2], undefined], 'term 2 was passed: a server has promised 2');
+	doTest('fails with a minority of grants', [[true, 2], undefined, undefined], '1 of the group\'s servers granted the term, 2 are needed');
+	// A promoter is paused with a majority of grants in its sockets while another host promotes a primary. When it resumes,
+	// it would promote a second one at a server that the other host did not reach.
+	doTest('fails after a pause', [[true, 2], [true, 2], undefined], 'the promoter of term 2 was paused and stops', 1500);
 });
--- a/tests/failover/failover-bench.ts
+++ b/tests/failover/failover-bench.ts
@@ -13,7 +13,7 @@
 import {createVirtualClock, type VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 import {createTestHost, type TestHost} from './test-host.js';
 
-/** A group of three servers in three availability zones, and proxy hosts that look after it, on a virtual clock. */
+/** A group of three servers in three availability zones and the proxy hosts that own it, on a virtual clock. */
 export type FailoverBench = {
 	readonly clock: VirtualClock;
 	readonly seed: number;
@@ -22,7 +22,7 @@
 	readonly settings: FailoverSettings;
 	readonly network: PeerNetwork;
 	readonly store: ObjectStore;
-	/** Faults of the platform for all hosts. */
+	/** Injects faults of the platform for all hosts. */
 	readonly platformGate: FaultGate;
 	readonly proxies: readonly PlatformHost[];
 	readonly servers: readonly DatabaseServer[];
@@ -30,38 +30,38 @@
 	readonly hosts: readonly TestHost[];
 	/** The configuration in force everywhere; may be replaced. */
 	group: VersionedGroup;
-	/** The server that leads at the highest term promised anywhere. */
+	/** Returns the server that is primary at the highest term that any server promised. */
 	getPrimary(): DatabaseServer | undefined;
 	getServer(endpoint: string): DatabaseServer;
-	/** Every primary that any host raised, in order of term. */
+	/** Returns every promotion by any host, in order of term. */
 	getPromotions(): ReadonlyArray<{readonly term: number; readonly endpoint: string}>;
 	stop(): Promise<void>;
-	/** Moves the time in small steps until the condition holds; tells how long that took, fails after `limitMs`. */
+	/** Advances the clock in small steps until the condition holds; resolves with the time that took, and fails after `limitMs`, both in milliseconds. */
 	until(condition: () => boolean, limitMs: number, stepMs?: number): Promise<number>;
-	/** Changes an endpoint's order, as an operator would. */
+	/** Changes an endpoint's order as an operator does. */
 	order(endpoint: string, order: EndpointOrder): void;
 };
 
-/** What a bench may be told. */
+/** Options of {@link createFailoverBench}. */
 export type BenchOptions = {
 	readonly seed?: number;
-	/** Whether the servers begin without a term. */
+	/** Whether the servers start without a term. */
 	readonly fresh?: boolean;
 	/** A server that is down from the start. */
 	readonly missing?: string;
 	readonly owners?: number;
 	readonly hostCount?: number;
-	/** Settings that differ from those that ship. */
+	/** Settings that differ from the defaults. */
 	readonly settings?: Partial<FailoverSettings>;
 	readonly log?: Log;
 };
 
 const ZONES = ['lozenets', 'mladost', 'druzhba'];
 
-/** One way between availability zones, in milliseconds. */
+/** One-way latency between availability zones, in milliseconds. */
 const LATENCY_MS = 1.5;
 
-/** Starts a bench and lets it settle. */
+/** Starts a bench and advances its clock until the group is stable. */
 export async function createFailoverBench(options: BenchOptions = {}): Promise<FailoverBench> {
 	const {seed = 1, fresh = false, owners = 2, hostCount = 3} = options;
 	const clock = createVirtualClock();
@@ -103,7 +103,7 @@
 		async until(condition, limitMs, stepMs = 1) {
 			const startedAt = clock.now();
 			while (!condition()) {
-				expect(clock.now() - startedAt, 'time until what was awaited').to.be.below(limitMs);
+				expect(clock.now() - startedAt, 'time until the condition holds').to.be.below(limitMs);
 				await clock.advance(stepMs);
 			}
 
@@ -126,7 +126,7 @@
 		bench.getServer(options.missing).kill();
 	}
 
-	// The platform adds no latency and hosts read their list at once, so that ranks are known before the first step.
+	// The platform adds no latency and hosts read the list of hosts immediately, so ranks are known before the first step.
 	const started = await Promise.all(proxies.map(async (_, i) => clock.runUntil(createTestHost(bench, i))));
 	bench.hosts = started.toSorted((left, right) => left.rank - right.rank);
 	await clock.advance(3000);
--- a/tests/failover/pausable-clock.ts
+++ b/tests/failover/pausable-clock.ts
@@ -1,21 +1,21 @@
 import type {Clock} from '../../src/time/clock.js';
 
-/** The clock of one process that can be paused: its timers fire late, all at once, when it goes on. */
+/** The clock of a process that can be paused: timers that become due meanwhile fire together when it resumes. */
 export type PausableClock = Clock & {
 	pause(): void;
 	resume(): void;
 };
 
-/** Creates a process's clock over the one of the world. */
-export function createPausableClock(world: Clock): PausableClock {
+/** Creates the clock of one process over the clock that all processes share. */
+export function createPausableClock(shared: Clock): PausableClock {
 	let paused = false;
 	const overdue: Array<() => void> = [];
 
 	return {
-		now: () => world.now(),
-		wall: () => world.wall(),
+		now: () => shared.now(),
+		wall: () => shared.wall(),
 		async sleep(ms, signal) {
-			await world.sleep(ms, signal);
+			await shared.sleep(ms, signal);
 			if (paused) {
 				await new Promise<void>(resolve => {
 					overdue.push(resolve);
--- a/tests/failover/planned-change-tests.ts
+++ b/tests/failover/planned-change-tests.ts
@@ -3,7 +3,7 @@
 import {EndpointOrder} from '../../src/groups/group-config.js';
 import {createFailoverBench, type FailoverBench} from './failover-bench.js';
 
-/** Writes at both owners without a pause until stopped, and counts how the writes ended. */
+/** Writes continuously at both owners until stopped, and counts acknowledged and failed writes. */
 function startWrites(bench: FailoverBench) {
 	const ended = {acknowledged: 0, failed: 0};
 	let running = true;
@@ -37,13 +37,13 @@
 }
 
 describe('planned change of primary', () => {
-	const doChangeTest = (title: string, ask: (bench: FailoverBench) => void, expected: string[]) => {
+	const doChangeTest = (title: string, requestChange: (bench: FailoverBench) => void, expected: string[]) => {
 		it(`fails no write when ${title}`, async () => {
-			// A planned stop in the middle of the day fails filings that were on their way to the old primary.
+			// A planned change fails writes that are in flight to the old primary.
 			const bench = await createFailoverBench();
 			const writes = startWrites(bench);
 			await bench.clock.advance(500);
-			ask(bench);
+			requestChange(bench);
 			await bench.until(() => bench.getPromotions().length > 0, 10_000);
 			await bench.clock.advance(1000);
 			await writes.stop();
@@ -51,8 +51,8 @@
 			expect(writes.ended.failed).to.equal(0);
 			expect(writes.ended.acknowledged).to.be.above(400);
 			expect(expected).to.include(bench.getPromotions()[0]!.endpoint);
-			const held = new Set(bench.servers.map(server => server.member.log.end.position));
-			expect([...held]).to.deep.equal([writes.ended.acknowledged + 2]);
+			const positions = new Set(bench.servers.map(server => server.member.log.end.position));
+			expect([...positions]).to.deep.equal([writes.ended.acknowledged + 2]);
 			await bench.stop();
 		});
 	};
@@ -67,7 +67,7 @@
 		bench.order('db-2', EndpointOrder.Drain);
 		bench.order('db-1', EndpointOrder.Stop);
 	}, ['db-3']);
-	doChangeTest('the primary says that it is leaving', bench => {
+	doChangeTest('the primary reports that it is leaving', bench => {
 		bench.getServer('db-1').setLeaving(true);
 	}, ['db-2', 'db-3']);
 
@@ -99,10 +99,10 @@
 	doRefusalTest('the target is drained', bench => {
 		bench.order('db-3', EndpointOrder.Drain);
 	}, 'db-3', /db-3 is drained, stopped or leaving/v);
-	doRefusalTest('there is no such endpoint', () => undefined, 'db-9', /the group has no endpoint db-9/v);
+	doRefusalTest('the target does not exist', () => undefined, 'db-9', /the group has no endpoint db-9/v);
 
-	it('lets writes in again at the other owner when the host that asked for the change dies', async () => {
-		// Filings hang at a healthy owner: the host that had them held back is gone and will never release them.
+	it('ends the hold of writes at the other owner when the host that requested the change dies', async () => {
+		// Writes wait for ever at a healthy owner: the host that requested the hold is dead and never releases it.
 		const bench = await createFailoverBench();
 		const [first, second] = bench.hosts;
 		void first!.failover.switchTo('db-3', 5000).catch(() => undefined);
--- a/tests/failover/poll-times-tests.ts
+++ b/tests/failover/poll-times-tests.ts
@@ -19,9 +19,9 @@
 });
 
 describe('idle time of a group', () => {
-	it('counts from the last beginning once nothing runs, and not while one long request does', () => {
-		// A report runs for a minute on an otherwise quiet group; were the group taken for idle, a primary that died
-		// under it would be found a second late.
+	it('counts from the last start of a request once none runs, and is 0 while one does', () => {
+		// A request runs for a minute on a group that is otherwise idle. If the group counted as idle, the loss of its
+		// primary during the request would be detected a second late.
 		const running = createRunningWork();
 		expect(running.getIdleMs(0)).to.equal(Infinity);
 		const end = running.begin('hall-a-1', {what: 'read', requestId: 'report', since: 1000});
--- a/tests/failover/primary-loss-tests.ts
+++ b/tests/failover/primary-loss-tests.ts
@@ -4,7 +4,7 @@
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {createFailoverBench, type FailoverBench} from './failover-bench.js';
 
-/** Waits until a write lands again and returns the time without one. */
+/** Waits until a write is acknowledged again; resolves with the time until then, in milliseconds. */
 async function measureGap(bench: FailoverBench): Promise<number> {
 	const startedAt = bench.clock.now();
 	const host = bench.hosts[0]!;
@@ -17,20 +17,20 @@
 }
 
 describe('loss of the primary', () => {
-	// Filings stall: the primary's process is gone, its network is cut, or it hangs. Nothing but the proxies can raise
-	// another one, and each second without it may cost a client its priority date.
-	const doLossTest = (title: string, lose: (primary: DatabaseServer) => void, mostMs: number) => {
-		it(`raises another primary when the first one is ${title}`, async () => {
+	// No write succeeds after the primary's process dies, hangs or is cut off, until a proxy promotes another server. The
+	// limits bound that time.
+	const doLossTest = (title: string, lose: (primary: DatabaseServer) => void, maxMs: number) => {
+		it(`promotes another primary when the first one is ${title}`, async () => {
 			for (const seed of [1, 2, 3, 4, 5, 6, 7]) {
 				const bench = await createFailoverBench({seed});
 				await bench.clock.advance(seed * 37);
 				lose(bench.getServer('db-1'));
 
-				expect(await measureGap(bench)).to.be.below(mostMs);
+				expect(await measureGap(bench)).to.be.below(maxMs);
 				expect(bench.getPrimary()?.address).not.to.equal(bench.getServer('db-1').address);
 				expect(bench.getPromotions()).to.have.length(1);
 				const {parts} = bench.hosts.flatMap(host => host.promotions)[0]!;
-				expect(Object.values(parts).reduce((sum, ms) => sum + ms, 0)).to.be.below(mostMs + 250);
+				expect(Object.values(parts).reduce((sum, ms) => sum + ms, 0)).to.be.below(maxMs + 250);
 				await bench.stop();
 			}
 		});
@@ -46,7 +46,7 @@
 		primary.faults.cut();
 	}, 1300);
 
-	it('gives a fresh group its first primary, also while one server is missing', async () => {
+	it('promotes the first primary of a new group, also while one server is down', async () => {
 		for (const missing of [undefined, 'db-1', 'db-3']) {
 			const bench = await createFailoverBench({fresh: true, missing});
 			expect(bench.getPromotions()).to.have.length(1);
@@ -55,9 +55,9 @@
 		}
 	});
 
-	it('never acknowledges a write of a frozen primary that thaws after the promotion', async () => {
-		// A filing is acknowledged and then gone. The primary freezes with the write on its way, another one is raised,
-		// the frozen one thaws still believing that it leads, and runs the write at its old term.
+	it('never acknowledges a write of a frozen primary that resumes after the promotion', async () => {
+		// An acknowledged write is lost: the primary freezes with the write in flight, another server is promoted, and the
+		// old primary resumes, still takes itself for the primary and runs the write at its old term.
 		const bench = await createFailoverBench();
 		const old = bench.getServer('db-1');
 		expect(await bench.clock.runUntil(bench.hosts[1]!.write())).to.equal(true);
@@ -73,9 +73,9 @@
 		await bench.stop();
 	});
 
-	it('takes a divergent old primary back as a replica without raising a term', async () => {
-		// A read shows a night that never was. A cut-off primary keeps entries that nobody else has; when it comes back,
-		// they must go, and the group must not change its primary again for its sake.
+	it('makes a divergent old primary a replica again without raising a term', async () => {
+		// A read returns a row that was never acknowledged: a cut-off primary keeps entries that no other server has. When it
+		// is reachable again they must be discarded, and the group must not change its primary again because of it.
 		const bench = await createFailoverBench();
 		const old = bench.getServer('db-1');
 		old.faults.cut(['10.0.0.2:5432', '10.0.0.3:5432']);
@@ -84,7 +84,7 @@
 		await bench.until(() => bench.getPromotions().length > 0, 3000);
 		const divergent = old.member.getStatus();
 		expect(await bench.clock.runUntil(bench.hosts[0]!.write())).to.equal(true);
-		// Later, and restarted, so that no order sent to it during the promotion still arrives.
+		// The old primary is restarted later, so that no order sent to it during the promotion still arrives.
 		await bench.clock.advance(1000);
 		old.kill();
 		old.faults.heal();
@@ -97,8 +97,8 @@
 		await bench.stop();
 	});
 
-	it('promotes nothing and raises no term without a majority, says so, and goes on when one is back', async () => {
-		// An acknowledged filing vanishes: one server alone is promoted although another one, that is away, holds more.
+	it('promotes no server and raises no term without a majority, reports that, and promotes one once a majority is back', async () => {
+		// An acknowledged write is lost: the only reachable server is promoted although another one, which is down, holds more.
 		const bench = await createFailoverBench();
 		bench.getServer('db-1').kill();
 		bench.getServer('db-2').kill();
@@ -113,8 +113,8 @@
 		await bench.stop();
 	});
 
-	it('leaves a primary alone whose network flaps', async () => {
-		// Sessions stall at every flap: the primary is deposed each time, for a cut that is over sooner than the change.
+	it('does not replace a primary whose network flaps', async () => {
+		// Writes stop at every flap: the primary is deposed each time because of a cut that ends sooner than the change.
 		const bench = await createFailoverBench();
 		for (let flap = 0; flap < 40; flap++) {
 			bench.getServer('db-1').faults.cut();
@@ -128,8 +128,8 @@
 		await bench.stop();
 	});
 
-	it('leaves a primary alone that comes back after the suspicion was confirmed', async () => {
-		// Sessions stall once more for nothing: the host that was to promote was itself held up after it had decided.
+	it('does not replace a primary that answers again after its loss was confirmed', async () => {
+		// A healthy primary is replaced: the host that was to promote was itself delayed after its decision.
 		const bench = await createFailoverBench();
 		bench.getServer('db-1').faults.freeze();
 		await bench.until(() => bench.hosts[0]!.failover.getState().phase === FailoverPhase.Promoting, 3000);
@@ -141,7 +141,7 @@
 		await bench.stop();
 	});
 
-	it('ends with one primary when every new one is lost soon after', async () => {
+	it('ends with one primary when each new one is lost soon after its promotion', async () => {
 		const bench = await createFailoverBench();
 		for (let round = 1; round <= 4; round++) {
 			const lost = bench.getPrimary()!;
--- a/tests/failover/primary-watch-tests.ts
+++ b/tests/failover/primary-watch-tests.ts
@@ -8,10 +8,10 @@
 import {createSilentLog} from '../../src/log/silent-log.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-describe('nap between two looks at the primary', () => {
-	// Filings stall for up to 400 ms before anybody asks the primary: the nap began just before the last sign of life was
-	// 200 ms old, and lasted another 200.
-	const doTest = (title: string, heardMsAgo: number | undefined, fails: boolean, expected: number) => {
+describe('delay until the next check of the primary', () => {
+	// A lost primary was probed up to 400 ms late: the delay began just before its last status was 200 ms old, and lasted
+	// another 200 ms.
+	const doTest = (title: string, statusAgeMs: number | undefined, fails: boolean, expected: number) => {
 		it(title, () => {
 			const clock = createVirtualClock();
 			const cfg = groupConfigSchema.parse({
@@ -23,8 +23,8 @@
 			const status: EndpointStatus = {
 				term: 1, log: {term: 1, position: 1}, role: EndpointRole.Primary, leaving: false,
 			};
-			if (heardMsAgo !== undefined) {
-				knowledge.observe('a', status, clock.now() - heardMsAgo);
+			if (statusAgeMs !== undefined) {
+				knowledge.observe('a', status, clock.now() - statusAgeMs);
 			}
 
 			if (fails) {
@@ -47,9 +47,9 @@
 		});
 	};
 
-	doTest('ends when the sign of life has its age', 150, false, 50);
-	doTest('lasts a period after a sign just now', 0, false, 200);
-	doTest('is none where the sign is too old', 201, false, 0);
-	doTest('lasts a period where the primary failed, which was looked into', 150, true, 200);
-	doTest('lasts a period where no primary is known', undefined, false, 200);
+	doTest('ends when the last status reaches the poll interval', 150, false, 50);
+	doTest('is a whole interval after a status just now', 0, false, 200);
+	doTest('is zero where the last status is too old', 201, false, 0);
+	doTest('is a whole interval where the last poll of the primary failed', 150, true, 200);
+	doTest('is a whole interval where no primary is known', undefined, false, 200);
 });
--- a/tests/failover/promoters-tests.ts
+++ b/tests/failover/promoters-tests.ts
@@ -5,10 +5,10 @@
 import {Outage, type PlatformFaults} from '../../src/stand-ins/platform/platform-faults.js';
 import {createFailoverBench, type FailoverBench} from './failover-bench.js';
 
-/** The worst gap allowed, in milliseconds. */
-const LONGEST_GAP_MS = 3000;
+/** Maximum time until a promotion, in milliseconds. */
+const MAX_GAP_MS = 3000;
 
-/** Owners whose views of the ranks differ both believe that it is their turn. */
+/** Without a delay by rank two owners act at the same time, as they do where their views of the ranks differ. */
 const SAME_TURN = {rankDelayMs: 0, rankJitterMs: 0};
 
 async function expectOnePrimary(bench: FailoverBench): Promise<void> {
@@ -21,11 +21,11 @@
 	}
 }
 
-describe('promoters that meet', () => {
-	const doMeetTest = (title: string, faults: Partial<PlatformFaults>, mostTerm: number) => {
+describe('competing promoters', () => {
+	const doCompetingTest = (title: string, faults: Partial<PlatformFaults>, maxTerm: number) => {
 		it(`end with one primary ${title}`, async () => {
-			// Filings stall for minutes: two owners act at once, each fences one server, neither has a majority, both try
-			// the next term at the same moment, and so on. Each is nearer to another server, so that the split is exact.
+			// Writes fail for minutes: two owners act at once, each fences one server, neither has a majority, both try the
+			// next term at the same moment, and so on. Each is nearer to a different server, so that the split is exact.
 			for (const seed of [1, 2, 3, 4, 5]) {
 				const bench = await createFailoverBench({seed, settings: SAME_TURN});
 				Object.assign(bench.platformGate.faults, faults);
@@ -36,33 +36,33 @@
 					host.failover.suspect('db-1', bench.clock.now());
 				}
 
-				await bench.until(() => bench.getPromotions().length > 0, LONGEST_GAP_MS);
+				await bench.until(() => bench.getPromotions().length > 0, MAX_GAP_MS);
 				await expectOnePrimary(bench);
 
 				const terms = bench.getPromotions().map(({term}) => term);
 				expect(new Set(terms).size).to.equal(terms.length);
-				expect(Math.max(...terms)).to.be.at.most(mostTerm);
+				expect(Math.max(...terms)).to.be.at.most(maxTerm);
 				await bench.stop();
 			}
 		});
 	};
 
-	doMeetTest('by the claim', {}, 2);
-	doMeetTest('without the platform, by pauses of different length', {outage: Outage.Refusing}, 6);
+	doCompetingTest('because of the claim', {}, 2);
+	doCompetingTest('without the platform, because of pauses of different length', {outage: Outage.Refusing}, 6);
 });
 
-describe('promoter that is paused', () => {
+describe('paused promoter', () => {
 	const doPauseTest = (title: string, isReached: (bench: FailoverBench) => boolean, promotions: number) => {
-		it(`${title} leaves the group to another one`, async () => {
-			// An acknowledged filing vanishes: the first owner sleeps in the middle of a promotion, the second one raises
-			// a primary at a higher term, and the first one goes on where it was.
+		it(`leaves the group to another promoter when paused ${title}`, async () => {
+			// An acknowledged write is lost: the first owner is paused during a promotion, the second one promotes a primary
+			// at a higher term, and the first one resumes where it was paused.
 			const bench = await createFailoverBench();
 			const [first, second] = bench.hosts;
 			bench.getServer('db-1').kill();
-			await bench.until(() => isReached(bench), LONGEST_GAP_MS, 0.5);
+			await bench.until(() => isReached(bench), MAX_GAP_MS, 0.5);
 			first!.pauseNow();
 			if (promotions === 0) {
-				// So that the second owner chooses another server than the first one, to whom all logs are equal.
+				// Makes the second owner choose another server than the first one, although all logs are equal.
 				bench.order('db-2', EndpointOrder.Drain);
 			}
 
@@ -83,18 +83,18 @@
 	doPauseTest('before the claim', ({hosts}) => hosts[0]!.failover.getState().phase === 'promoting', 0);
 	doPauseTest('after the claim', ({store}) => store.get(ObjectKind.Claim, 'filings') !== undefined, 0);
 	doPauseTest('after the fence', ({servers}) => servers[1]!.member.getStatus().term === 2, 0);
-	// Its primary stands: the pause comes after the fact, and the second owner finds it.
+	// Its primary stays: the pause comes after the promotion, and the second owner detects that primary.
 	doPauseTest('after the promotion', ({servers}) => servers[1]!.member.isPrimaryAt(2), 1);
 });
 
 describe('promotion and the platform', () => {
 	const doPlatformTest = (title: string, faults: Partial<PlatformFaults>) => {
 		it(`does not wait for a platform that is ${title}`, async () => {
-			// Filings stall for as long as the platform's outage lasts, although every server and proxy is well.
+			// Writes fail for as long as the platform's outage lasts, although the servers and proxies could promote a primary.
 			const bench = await createFailoverBench();
 			Object.assign(bench.platformGate.faults, faults);
 			bench.getServer('db-1').kill();
-			await bench.until(() => bench.getPromotions().length > 0, LONGEST_GAP_MS);
+			await bench.until(() => bench.getPromotions().length > 0, MAX_GAP_MS);
 
 			expect(bench.hosts[0]!.promotions[0]!.parts.claimMs).to.be.at.most(bench.settings.claimMs + 1);
 			await expectOnePrimary(bench);
@@ -105,43 +105,43 @@
 	doPlatformTest('down', {outage: Outage.Refusing});
 	doPlatformTest('silent', {outage: Outage.Silent});
 	doPlatformTest('slow', {requestDelayMs: 2000, answerDelayMs: 2000});
-	doPlatformTest('slow only to answer', {answerDelayMs: 120});
+	doPlatformTest('slow only in its answers', {answerDelayMs: 120});
 
-	it('goes on, and again later, when the answer to its claim is lost', async () => {
-		// The claim took effect; a promoter that took it for another host's would wait for itself.
+	it('succeeds now and at the next loss when the answer to its claim is lost', async () => {
+		// The claim was stored; a promoter that took it for another host's would defer to itself.
 		const bench = await createFailoverBench();
 		bench.platformGate.faults.lostAnswers = 1;
 		bench.getServer('db-1').kill();
-		await bench.until(() => bench.getPromotions().length === 1, LONGEST_GAP_MS);
+		await bench.until(() => bench.getPromotions().length === 1, MAX_GAP_MS);
 		expect(bench.store.get(ObjectKind.Claim, 'filings')?.value).to.deep.equal({term: 2, host: bench.hosts[0]!.name});
 		bench.getServer('db-1').restart();
 		await bench.clock.advance(3000);
 		bench.getPrimary()!.kill();
 
-		expect(await bench.until(() => bench.getPromotions().length === 2, LONGEST_GAP_MS)).to.be.below(500);
+		expect(await bench.until(() => bench.getPromotions().length === 2, MAX_GAP_MS)).to.be.below(500);
 		await expectOnePrimary(bench);
 		await bench.stop();
 	});
 
 	const doLostAnswerTest = (kind: ExchangeKind) => {
-		it(`raises one primary a term when a server's answer to ${kind} is lost`, async () => {
-			// A filing is acknowledged and gone: the order to promote took effect, its answer was lost, another server was
-			// promoted at the same term, and each of the two had a write confirmed under the same position.
+		it(`promotes at most one primary per term when a server's answer to ${kind} is lost`, async () => {
+			// An acknowledged write is lost: the order to promote took effect, its answer was lost, another server was
+			// promoted at the same term, and each of the two had a write confirmed at the same position.
 			const bench = await createFailoverBench();
-			const leaders = new Set<string>();
+			const primaries = new Set<string>();
 			bench.getServer('db-2').faults.dropAnswers(1, kind);
 			bench.getServer('db-1').kill();
 			await bench.until(() => {
 				for (const {member} of bench.servers) {
 					const {term} = member.getStatus();
-					leaders.add(member.isPrimaryAt(term) ? `${term} ${member.address}` : '');
+					primaries.add(member.isPrimaryAt(term) ? `${term} ${member.address}` : '');
 				}
 
 				return bench.getPromotions().length > 0;
-			}, LONGEST_GAP_MS);
+			}, MAX_GAP_MS);
 			await expectOnePrimary(bench);
 
-			const terms = [...leaders].filter(Boolean).map(leader => leader.split(' ')[0]);
+			const terms = [...primaries].filter(Boolean).map(primary => primary.split(' ')[0]);
 			expect(new Set(terms).size).to.equal(terms.length);
 			await bench.stop();
 		});
--- a/tests/failover/test-host.ts
+++ b/tests/failover/test-host.ts
@@ -17,11 +17,11 @@
 import type {FailoverBench} from './failover-bench.js';
 import {createPausableClock} from './pausable-clock.js';
 
-/** One proxy host that looks after the group, with just enough of an owner to drive its failover. */
+/** One proxy host of the group, with the parts of an owner that its failover needs. */
 export type TestHost = {
 	readonly name: string;
 	readonly address: string;
-	/** Place among the group's owners, 0 first. */
+	/** Rank among the group's owners, from 0; Infinity for a host that is not an owner. */
 	readonly rank: number;
 	readonly knowledge: GroupKnowledge;
 	readonly failover: ObservableGroupFailover;
@@ -30,9 +30,9 @@
 	readonly promotions: Promotion[];
 	/** Writes at the primary this host knows; resolves true only once a majority confirmed the write under its term. */
 	write(timeoutMs?: number): Promise<boolean>;
-	/** Whether writes are held back on this host. */
+	/** Returns whether writes are held on this host. */
 	isHeld(): boolean;
-	/** Stops the process and lets it go on, as garbage collection does: timers fire before answers are read. */
+	/** Pauses the process and resumes it, as garbage collection does: timers fire before answers are read. */
 	pause(ms: number): Promise<void>;
 	pauseNow(): void;
 	resume(): Promise<void>;
@@ -41,15 +41,15 @@
 
 const CONNECT_MS = 150;
 
-/** Control connections of one host: one a server, kept while usable, one exchange at a time. */
+/** Creates the control connections of one host: one per server, reused while usable, with one exchange at a time. */
 function createControl(endpoints: InMemoryEndpoints, getAddress: (endpoint: string) => string) {
 	const connections = new Map<string, EndpointConnection>();
 	const queues = new Map<string, Promise<unknown>>();
 
 	const getConnection = async (endpoint: string) => {
-		const present = connections.get(endpoint);
-		if (present?.usable) {
-			return present;
+		const existing = connections.get(endpoint);
+		if (existing?.usable) {
+			return existing;
 		}
 
 		const opened = await endpoints.getEndpoint(getAddress(endpoint)).connect(CONNECT_MS);
@@ -65,14 +65,14 @@
 	};
 }
 
-/** Writes held back and in flight on one host. */
+/** Creates the gate that counts the writes in flight on one host and holds new ones. */
 function createWriteGate() {
 	let holds = 0;
 	let inFlight = 0;
 	const isHeld = () => holds > 0;
 	const isBusy = () => inFlight > 0;
 	const waiting: Array<() => void> = [];
-	const wakeAll = () => {
+	const resolveWaiting = () => {
 		for (const wake of waiting.splice(0)) {
 			wake();
 		}
@@ -92,7 +92,7 @@
 
 			return () => {
 				holds--;
-				wakeAll();
+				resolveWaiting();
 			};
 		},
 		async pass<T>(work: () => Promise<T>): Promise<T> {
@@ -105,7 +105,7 @@
 				return await work();
 			} finally {
 				inFlight--;
-				wakeAll();
+				resolveWaiting();
 			}
 		},
 	};
@@ -208,7 +208,7 @@
 	};
 
 	const rank = owning.getOwners('filings', bench.group.cfg.owners, clock.now()).findIndex(owner => owner.name === name);
-	// A host that does not own the group only answers as a witness.
+	// A host that does not own the group only answers peer calls as a witness.
 	if (rank !== -1) {
 		await failover.start();
 	}
--- a/tests/transactions/transaction-id-tests.ts
+++ b/tests/transactions/transaction-id-tests.ts
@@ -3,7 +3,7 @@
 
 describe('transaction id', () => {
 	const doTest = (text: string, expected: unknown) => {
-		it(`reads ${text === '' ? 'nothing' : text}`, () => {
+		it(`parses ${text === '' ? 'an empty id' : text}`, () => {
 			const id = parseTransactionId(text);
 			expect(id).to.deep.equal(expected);
 			expect(id && formatTransactionId(id)).to.equal(expected ? text : undefined);
