--- a/src/failover/promote-group.ts
+++ b/src/failover/promote-group.ts
@@ -60,7 +60,7 @@
 };
 
 /** Makes one attempt to promote a new primary; rejects with FailoverError where it fails. */
-export async function promoteGroup(options: PromoteOptions): Promise<RaisedPrimary & {parts: FailoverDurations}> {
+export async function promoteGroup(options: PromoteOptions): Promise<RaisedPrimary & {stepDurations: FailoverDurations}> {
 	const {clock, knowledge, claim, settings, loss} = options;
 	const startedAt = clock.now();
 
@@ -78,10 +78,10 @@
 	});
 
 	const {fenceMs, promoteMs, learnMs} = promoted;
-	const parts = {
+	const stepDurations = {
 		detectMs: startedAt - loss.since, claimMs: claimedAt - startedAt, fenceMs, promoteMs, learnMs,
 	};
-	return {...promoted, parts};
+	return {...promoted, stepDurations};
 }
 
 /**
--- a/src/failover/replace-primary.ts
+++ b/src/failover/replace-primary.ts
@@ -78,7 +78,7 @@
 	const {clock, log, group, loss, stopped} = options;
 	try {
 		const promoted = await promoteGroup({...options, cfg: options.getCfg()});
-		await options.announce(promoted, loss.kind, promoted.parts);
+		await options.announce(promoted, loss.kind, promoted.stepDurations);
 		return true;
 	} catch (err) {
 		if (!isFailoverError(err)) {
--- a/src/failover/replica-watch.ts
+++ b/src/failover/replica-watch.ts
@@ -33,7 +33,7 @@
 		return order !== EndpointOrder.Stop && name !== knowledge.getPrimary()?.name && silentMs >= dueMs;
 	};
 
-	const poll = async () => {
+	const pollDue = async () => {
 		const due = getCfg().endpoints.filter(endpoint => isDue(endpoint));
 		await Promise.allSettled(due.map(async ({name}) => control.status(name, settings.probeMs)));
 	};
@@ -69,7 +69,7 @@
 	return {
 		getCutOffSince,
 		async look() {
-			await poll();
+			await pollDue();
 			recordPositions();
 			const leftMs = stall.getMsUntilCutOff(clock.now());
 			if (getCutOffSince(clock.now()) !== undefined) {
