--- a/src/failover/choose-successor.ts
+++ b/src/failover/choose-successor.ts
@@ -4,7 +4,7 @@
 import {compareLogPositions, LOG_START} from '../terms/log-position.js';
 import {isServing} from './choose-candidate.js';
 
-/** What {@link chooseSuccessor} needs. */
+/** Options of {@link chooseSuccessor}. */
 export type SuccessorOptions = {
 	readonly knowledge: GroupKnowledge;
 	readonly cfg: GroupConfig;
--- a/src/failover/create-group-failover.ts
+++ b/src/failover/create-group-failover.ts
@@ -22,7 +22,7 @@
 import {createInterruptibleSleep} from './interruptible-sleep.js';
 import {createWriteHolds} from './write-holds.js';
 
-/** What {@link createGroupFailover} needs. */
+/** Options of {@link createGroupFailover}. */
 export type GroupFailoverOptions = {
 	readonly context: GroupFailoverContext;
 	readonly clock: Clock;
--- a/src/failover/failover-peers.ts
+++ b/src/failover/failover-peers.ts
@@ -31,7 +31,7 @@
 	observePrimary(endpoint: string, status: EndpointStatus): void;
 };
 
-/** What {@link createFailoverPeers} needs. */
+/** Options of {@link createFailoverPeers}. */
 export type FailoverPeersOptions = {
 	readonly peers: Peers;
 	readonly endpoints: Endpoints;
--- a/src/failover/failover-settings.ts
+++ b/src/failover/failover-settings.ts
@@ -22,7 +22,7 @@
 	readonly refusedMs: number;
 	/** A primary that is silent on the fresh connection for this long is suspect; longer than the longest pause of a healthy process. */
 	readonly silenceMs: number;
-	/** Time for which another host probes a silent primary for a reachability report; alone longer than a pause of a healthy process. */
+	/** Time for which another host probes a silent primary for a reachability report; on its own longer than the longest pause of a healthy process. */
 	readonly witnessProbeMs: number;
 	/** Time that a peer call may take in addition to the work that it requests. */
 	readonly peerSlackMs: number;
@@ -52,16 +52,16 @@
 	readonly promoteMs: number;
 	/** A promoter whose fencing took longer than this was paused, and stops. */
 	readonly staleFenceMs: number;
-	/** Timeout of the other servers' following the new primary. */
+	/** Timeout for the other servers to follow the new primary. */
 	readonly learnMs: number;
 	/** First pause after a failed attempt; doubles up to {@link retryMaxMs}, with jitter. */
 	readonly retryMinMs: number;
 	readonly retryMaxMs: number;
-	/** Minimum time without progress after which a reachable primary whose entries reach no majority counts as cut off from its group, */
+	/** Minimum time without progress after which a reachable primary whose entries reach no majority counts as cut off from its group. */
 	readonly stallMs: number;
-	/** in multiples of the slowest catch-up seen in its term, where that is longer, */
+	/** The same time as a multiple of the slowest catch-up seen in the primary's term; the longer of the two applies. */
 	readonly stallFactor: number;
-	/** or in milliseconds where no catch-up was seen in its term. */
+	/** The same time where no catch-up was seen in the primary's term. */
 	readonly stallUnknownMs: number;
 	/** Interval at which the status of replicas is requested while a majority is behind. */
 	readonly stallPollMs: number;
--- a/src/failover/failover-state.ts
+++ b/src/failover/failover-state.ts
@@ -4,7 +4,7 @@
 	Watching: 'watching',
 	/** The primary does not answer, or there is none, but not yet for long enough to replace it. */
 	Suspecting: 'suspecting',
-	/** The primary is silent to this host, but another host reaches it, or no other host answered. */
+	/** The primary does not answer this host, but another host reaches it, or no other host answered. */
 	Contested: 'contested',
 	/** Fewer servers than a majority answer, so none can be promoted. */
 	NoMajority: 'no-majority',
--- a/src/failover/failure-detector.ts
+++ b/src/failover/failure-detector.ts
@@ -3,7 +3,7 @@
 import type {FailoverSettings} from './failover-settings.js';
 import {probe, ProbeResult} from './probe.js';
 
-/** What {@link detectFailure} needs. */
+/** Options of {@link detectFailure}. */
 export type DetectOptions = {
 	readonly clock: Clock;
 	readonly settings: Pick<FailoverSettings, 'pauseSlackMs' | 'probeRetryMs' | 'refusedMs'>;
--- a/src/failover/fence-group.ts
+++ b/src/failover/fence-group.ts
@@ -7,7 +7,7 @@
 import {gatherAnswers, type Gathered} from './gather-answers.js';
 import type {GroupControl} from './group-control.js';
 
-/** What {@link fenceGroup} needs. */
+/** Options of {@link fenceGroup}. */
 export type FenceOptions = {
 	readonly clock: Clock;
 	readonly control: GroupControl;
--- a/src/failover/gather-answers.ts
+++ b/src/failover/gather-answers.ts
@@ -8,7 +8,7 @@
 	readonly answer: T;
 };
 
-/** What {@link gatherAnswers} needs. */
+/** Options of {@link gatherAnswers}. */
 export type GatherOptions<T> = {
 	readonly clock: Clock;
 	readonly endpoints: readonly EndpointConfig[];
--- a/src/failover/group-control.ts
+++ b/src/failover/group-control.ts
@@ -17,7 +17,7 @@
 	waitFor(endpoint: string, position: LogPosition, ms: number): Promise<EndpointStatus>;
 };
 
-/** What {@link createGroupControl} needs. */
+/** Options of {@link createGroupControl}. */
 export type GroupControlOptions = {
 	readonly clock: Clock;
 	readonly context: Pick<GroupFailoverContext, 'control' | 'knowledge'>;
--- a/src/failover/other-owners.ts
+++ b/src/failover/other-owners.ts
@@ -19,7 +19,7 @@
 	notifyPrimary(endpoint: string, status: EndpointStatus): Promise<void>;
 };
 
-/** What {@link createOtherOwners} needs. */
+/** Options of {@link createOtherOwners}. */
 export type OtherOwnersOptions = {
 	readonly clock: Clock;
 	readonly peers: Peers;
--- a/src/failover/planned-changes.ts
+++ b/src/failover/planned-changes.ts
@@ -13,7 +13,7 @@
 	runHandover(): Promise<void>;
 };
 
-/** What {@link createPlannedChanges} needs. */
+/** Options of {@link createPlannedChanges}. */
 export type PlannedChangesOptions = FailoverParts & {
 	readonly holds: WriteHolds;
 	/** Name of this host. */
--- a/src/failover/primary-watch.ts
+++ b/src/failover/primary-watch.ts
@@ -20,7 +20,7 @@
 	setOwnTerm(term: number): void;
 };
 
-/** What {@link createPrimaryWatch} needs. */
+/** Options of {@link createPrimaryWatch}. */
 export type PrimaryWatchOptions = Pick<FailoverParts, 'clock' | 'control' | 'knowledge' | 'settings' | 'log' | 'getCfg' | 'setState'> & {
 	readonly reachabilityReports: ReachabilityReports;
 	/** Requests a server's status on a fresh connection. */
--- a/src/failover/probe.ts
+++ b/src/failover/probe.ts
@@ -14,7 +14,7 @@
 /** One of the results in {@link ProbeResult}. */
 export type ProbeResult = typeof ProbeResult[keyof typeof ProbeResult];
 
-/** What {@link probe} needs. */
+/** Options of {@link probe}. */
 export type ProbeOptions = {
 	readonly clock: Clock;
 	readonly timeoutMs: number;
--- a/src/failover/promote-group.ts
+++ b/src/failover/promote-group.ts
@@ -47,7 +47,7 @@
 	readonly learnMs: number;
 };
 
-/** What {@link promoteGroup} needs. */
+/** Options of {@link promoteGroup}. */
 export type PromoteOptions = {
 	readonly clock: Clock;
 	readonly control: GroupControl;
--- a/src/failover/raise-primary.ts
+++ b/src/failover/raise-primary.ts
@@ -6,7 +6,7 @@
 import {fenceGroup, type FenceOptions} from './fence-group.js';
 import {gatherAnswers, type Gathered} from './gather-answers.js';
 
-/** What {@link raisePrimary} needs. */
+/** Options of {@link raisePrimary}. */
 export type RaiseOptions = Omit<FenceOptions, 'awaited'> & CandidatePreference;
 
 /** A primary that was promoted. */
--- a/src/failover/reachability-reports.ts
+++ b/src/failover/reachability-reports.ts
@@ -16,7 +16,7 @@
 	readonly seen: ConfirmSuspicionAnswer['seen'];
 };
 
-/** What {@link createReachabilityReports} needs. */
+/** Options of {@link createReachabilityReports}. */
 export type ReachabilityReportsOptions = {
 	readonly clock: Clock;
 	readonly peers: Peers;
@@ -28,13 +28,13 @@
 	getOwnerCount(): number;
 };
 
-/** Asks other hosts, first those in other availability zones, whether they reach servers that are silent to this one. */
+/** Asks other hosts, first those in other availability zones, whether they reach servers that do not answer this one. */
 export type ReachabilityReports = {
 	/** Requests a report on the servers at these addresses; `refutes` returns whether a status disproves the suspicion. */
 	request(addresses: readonly string[], refutes: (status: EndpointStatus) => boolean): Promise<ReachabilityReport>;
 };
 
-/** How many hosts that are not owners of the group are asked. */
+/** How many witnesses, hosts that are not owners of the group, are asked. */
 const MAX_WITNESSES = 2;
 
 /** Creates the reachability reports of one group. */
--- a/src/failover/repair-group.ts
+++ b/src/failover/repair-group.ts
@@ -8,13 +8,13 @@
 import type {FailoverSettings} from './failover-settings.js';
 import type {GroupControl} from './group-control.js';
 
-/** Orders servers that restarted or follow no primary to follow the current one. */
+/** Orders servers that are reachable again, or that follow no primary, to follow the current one. */
 export type GroupRepair = {
 	/** Checks every server once; owners of lower rank wait longer before they act. */
 	run(rank: number): Promise<void>;
 };
 
-/** What {@link createGroupRepair} needs. */
+/** Options of {@link createGroupRepair}. */
 export type GroupRepairOptions = {
 	readonly clock: Clock;
 	readonly control: GroupControl;
--- a/src/failover/replace-primary.ts
+++ b/src/failover/replace-primary.ts
@@ -3,7 +3,7 @@
 import {FailoverPhase} from './failover-state.js';
 import {type PrimaryLoss, LossKind, promoteGroup} from './promote-group.js';
 
-/** What {@link replacePrimary} needs. */
+/** Options of {@link replacePrimary}. */
 export type ReplaceOptions = FailoverParts & {
 	readonly loss: PrimaryLoss;
 	/** Called with the highest term after an attempt that promoted no primary at it. */
--- a/src/failover/replica-watch.ts
+++ b/src/failover/replica-watch.ts
@@ -12,7 +12,7 @@
 	getCutOffSince(now: number): number | undefined;
 };
 
-/** What {@link createReplicaWatch} needs. */
+/** Options of {@link createReplicaWatch}. */
 export type ReplicaWatchOptions = Pick<FailoverParts, 'clock' | 'control' | 'knowledge' | 'settings' | 'getCfg' | 'getPollTimes' | 'stopped'> & {
 	/** Called after each poll that finds the primary cut off from its group. */
 	onCutOff(): void;
--- a/src/failover/switch-primary.ts
+++ b/src/failover/switch-primary.ts
@@ -12,7 +12,7 @@
 import type {TermClaim} from './term-claim.js';
 import type {WriteHolds} from './write-holds.js';
 
-/** What {@link switchPrimary} needs. */
+/** Options of {@link switchPrimary}. */
 export type SwitchOptions = {
 	readonly clock: Clock;
 	readonly control: GroupControl;
--- a/src/failover/term-claim.ts
+++ b/src/failover/term-claim.ts
@@ -30,7 +30,7 @@
 	claim(reading: ClaimReading, atLeast: number, timeoutMs: number): Promise<number>;
 };
 
-/** What {@link createTermClaim} needs. */
+/** Options of {@link createTermClaim}. */
 export type TermClaimOptions = {
 	readonly platform: Platform;
 	readonly log: Log;
