--- a/src/callers/http-refusals.ts
+++ b/src/callers/http-refusals.ts
@@ -1,5 +1,5 @@
 import type {Explanations} from '../explanations/explanations.js';
-import type {AskedKind} from '../metrics/metrics.js';
+import type {CallerOperation} from '../metrics/metrics.js';
 import type {Random} from '../random/random.js';
 import {createRequestId} from '../random/request-id.js';
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
@@ -16,7 +16,7 @@
 
 /** What the caller port knows of a request when it refuses the request itself. */
 export type RequestSummary = {
-	readonly asked: AskedKind | 'unclear';
+	readonly asked: CallerOperation | 'unclear';
 	readonly group?: string;
 	/** The id that the response states; absent: a new one. */
 	readonly requestId?: string;
--- a/src/callers/http-responses.ts
+++ b/src/callers/http-responses.ts
@@ -1,6 +1,6 @@
 import type {FastifyReply} from 'fastify';
 import type {Log} from '../log/log.js';
-import {AskedKind, type Metrics} from '../metrics/metrics.js';
+import {CallerOperation, type Metrics} from '../metrics/metrics.js';
 import type {WorkClass} from '../groups/group-config.js';
 import type {Clock} from '../time/clock.js';
 import {Outcome, type CallerAnswer} from './caller-answer.js';
@@ -37,7 +37,7 @@
 
 /** A valid request that the entry is to run. */
 export type ServedRequest = RequestSummary & {
-	readonly asked: AskedKind;
+	readonly asked: CallerOperation;
 	readonly class?: WorkClass;
 	/** An earlier submission of it may have been accepted. */
 	readonly mayBeRepeat?: boolean;
@@ -156,7 +156,7 @@
 
 /** A refused query for another request's outcome proves nothing about that request, so `not-run` would be wrong. */
 function getRefusedOutcome(req: RequestSummary): Outcome {
-	return req.asked === AskedKind.Outcome ? Outcome.Unknown : Outcome.NotRun;
+	return req.asked === CallerOperation.Outcome ? Outcome.Unknown : Outcome.NotRun;
 }
 
 /** Encodes a response. A row may hold a bigint, which JSON cannot represent; failing would lose the response to a write that ran. */
--- a/src/callers/http-routes.ts
+++ b/src/callers/http-routes.ts
@@ -1,6 +1,6 @@
 import type {FastifyInstance, FastifyReply, FastifyRequest} from 'fastify';
 import type {Clock} from '../time/clock.js';
-import {AskedKind} from '../metrics/metrics.js';
+import {CallerOperation} from '../metrics/metrics.js';
 import type {Random} from '../random/random.js';
 import {createRequestId, getRequestIdTime} from '../random/request-id.js';
 import {MAX_TOKEN_LENGTH} from '../sessions/signed-sessions.js';
@@ -65,7 +65,7 @@
 		const body = withRequestId(checkBeginRequest(req.body));
 		const session = getSessionToken(req);
 		const {requestId, class: workClass} = body;
-		const asked = AskedKind.Begin;
+		const asked = CallerOperation.Begin;
 		return responses.serve(reply, {
 			asked, group, requestId, class: workClass, mayBeRepeat: mayBeRepeat({asked, requestId}, clock.wall()),
 		}, async () => entry.begin(group, body, session));
@@ -86,7 +86,7 @@
 		const session = getSessionToken(req);
 		// A commit has no key of its own that shows whether it was sent before.
 		return responses.serve(reply, {
-			asked: AskedKind.Commit, requestId: transactionId, mayBeRepeat: true, isContinuation: true,
+			asked: CallerOperation.Commit, requestId: transactionId, mayBeRepeat: true, isContinuation: true,
 		}, async () => entry.commit(transactionId, session));
 	});
 
@@ -95,7 +95,7 @@
 		checkEmptyBody(req.body);
 		const session = getSessionToken(req);
 		return responses.serve(reply, {
-			asked: AskedKind.Rollback, requestId: transactionId, isContinuation: true,
+			asked: CallerOperation.Rollback, requestId: transactionId, isContinuation: true,
 		}, async () => entry.rollback(transactionId, session));
 	});
 
@@ -106,7 +106,7 @@
 		}
 
 		const session = getSessionToken(req);
-		return responses.serve(reply, {asked: AskedKind.Outcome, group, requestId}, async () => entry.resolveOutcome(group, requestId, session));
+		return responses.serve(reply, {asked: CallerOperation.Outcome, group, requestId}, async () => entry.resolveOutcome(group, requestId, session));
 	});
 }
 
@@ -117,7 +117,7 @@
  */
 export function summarizeRequest(req: FastifyRequest): RequestSummary {
 	const {group, requestId} = (req.params ?? {}) as Partial<OutcomeRoute>;
-	return requestId === undefined ? {asked: 'unclear', group} : {asked: AskedKind.Outcome, group, requestId};
+	return requestId === undefined ? {asked: 'unclear', group} : {asked: CallerOperation.Outcome, group, requestId};
 }
 
 function getSessionToken(req: FastifyRequest): string | undefined {
--- a/src/configuration/configuration-peers.ts
+++ b/src/configuration/configuration-peers.ts
@@ -87,7 +87,7 @@
 /** Creates the exchange of configuration with other proxies and registers its peer calls. */
 export function createConfigurationPeers(options: ConfigurationPeersOptions): ConfigurationPeers {
 	const {configuration, peers, hosts, clock, random} = options;
-	const log = options.log.part('configuration peers: ');
+	const log = options.log.withPrefix('configuration peers: ');
 	const stopped = new AbortController();
 	const rotation = createPeerRotation(random);
 	const heard = new Set<string>();
--- a/src/configuration/configuration-watch.ts
+++ b/src/configuration/configuration-watch.ts
@@ -36,7 +36,7 @@
  */
 export function createConfigurationWatch(options: ConfigurationWatchOptions): Service {
 	const {configuration, platform, clock, random, waitMs = 2000, listIntervalMs = 3_600_000} = options;
-	const log = options.log.part('configuration watch: ');
+	const log = options.log.withPrefix('configuration watch: ');
 	const stopped = new AbortController();
 	let failures = 0;
 
--- a/src/configuration/create-configuration.ts
+++ b/src/configuration/create-configuration.ts
@@ -45,7 +45,7 @@
 
 /** Creates a configuration that knows nothing yet. */
 export function createConfiguration({log}: {readonly log: Log}): ConfigurationState {
-	const ownLog = log.part('configuration: ');
+	const ownLog = log.withPrefix('configuration: ');
 	const entries = new Map<string, GroupEntry>();
 	/** Versions from the store that were refused as malformed, by name. */
 	const malformed = new Map<string, number>();
--- a/src/connection-sharing/checkout-server.ts
+++ b/src/connection-sharing/checkout-server.ts
@@ -82,7 +82,7 @@
 	const {
 		peers, directory, primaryLeases, knowledge, clock, elapsedClock, random, getMaxIdleMs,
 	} = options;
-	const log = options.log.part('loans: ');
+	const log = options.log.withPrefix('loans: ');
 	const checkouts = new Map<string, Checkout>();
 	const stopping = createSleepAlarm();
 	let retired = false;
--- a/src/daemon/create-daemon.ts
+++ b/src/daemon/create-daemon.ts
@@ -128,7 +128,7 @@
 function registerOperators(kernel: Kernel, getReadinessNow: () => Readiness): void {
 	const settings = kernel.getOrThrow('settings');
 	kernel.register('operators', createOperatorHttp({
-		log: kernel.getOrThrow('log').part('operators: '),
+		log: kernel.getOrThrow('log').withPrefix('operators: '),
 		metrics: kernel.getOrThrow('metrics'),
 		address: settings.hostAddress,
 		port: settings.operatorPort,
@@ -143,7 +143,7 @@
 	kernel.register('callers', createHttpCallers({
 		clock: kernel.getOrThrow('clock'),
 		random: kernel.getOrThrow('random'),
-		log: kernel.getOrThrow('log').part('callers: '),
+		log: kernel.getOrThrow('log').withPrefix('callers: '),
 		metrics: kernel.getOrThrow('metrics'),
 		entry: kernel.getOrThrow('entry'),
 		explanations: kernel.getOrThrow('explanations'),
--- a/src/daemon/register-owners.ts
+++ b/src/daemon/register-owners.ts
@@ -87,5 +87,5 @@
 	const answer = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionNote(promotion), {
 		who: `failover ${kernel.getOrThrow('hosts').self.name}`, changeId: createRequestId(clock.wall(), random),
 	});
-	log.part('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: answer.result});
+	log.withPrefix('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: answer.result});
 }
--- a/src/explanations/create-explanations.ts
+++ b/src/explanations/create-explanations.ts
@@ -52,7 +52,7 @@
 /** Creates the keeper of this host's records. */
 export function createExplanations(options: ExplanationsOptions): ExplanationsService {
 	const {platform, peers, hosts, clock, random} = options;
-	const log = options.log.part('explanations: ');
+	const log = options.log.withPrefix('explanations: ');
 	const tickets = createRefusalTickets({keys: options.signingKeys});
 	const ring = createRecordRing(RING_CAPACITY);
 	const recorder = createBatchRecorder({
--- a/src/failover/create-group-failover.ts
+++ b/src/failover/create-group-failover.ts
@@ -53,7 +53,7 @@
 	const {peers} = options.failoverPeers;
 	const {name: group} = context.getGroup().cfg;
 	const host = hosts.self.name;
-	const log = options.log.part('failover: ');
+	const log = options.log.withPrefix('failover: ');
 	const stopping = new AbortController();
 	const checkDelay = createInterruptibleSleep(clock);
 	let state: FailoverState = {phase: FailoverPhase.Watching, reason: 'not begun', since: clock.now()};
--- a/src/leadership/failover-lease.ts
+++ b/src/leadership/failover-lease.ts
@@ -39,7 +39,7 @@
 
 /** Creates the lease. */
 export function createFailoverLease({store, mirror, elapsedClock, log: parentLog, hostName, incarnation}: FailoverLeaseOptions): FailoverLease {
-	const log = parentLog.part('duty: ');
+	const log = parentLog.withPrefix('duty: ');
 	let seenVersion = -1;
 	let seenSince = 0;
 	let generation = 0;
--- a/src/leadership/host-liveness.ts
+++ b/src/leadership/host-liveness.ts
@@ -37,7 +37,7 @@
 
 /** Creates the check; it does nothing before it is started. */
 export function createHostLivenessCheck({mirror, peers, unresponsiveHosts, clock, log: parentLog, ownPeerAddress}: HostLivenessCheckOptions): HostLivenessCheck {
-	const log = parentLog.part('hosts: ');
+	const log = parentLog.withPrefix('hosts: ');
 	const stopping = createSleepAlarm();
 	/** Addresses that did not respond at the previous check. */
 	let lastUnresponsive: ReadonlySet<string> = new Set();
--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -85,7 +85,7 @@
 /** Creates the watch; it does nothing before it is started. */
 export function createLeadershipWatch(options: LeadershipWatchOptions): LeadershipWatch {
 	const {clock, directory, failoverLease, elapsedClock, primaryLeases, mirror, peers, random, store} = options;
-	const log = options.log.part('leads: ');
+	const log = options.log.withPrefix('leads: ');
 	const reachability = createPrimaryReachability({
 		mirror, directory, lenders: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
 	});
--- a/src/leadership/register-host.ts
+++ b/src/leadership/register-host.ts
@@ -44,7 +44,7 @@
 
 /** Creates the registration. */
 export function createHostRegistration({store, mirror, log: parentLog, host, clock, elapsedClock, random}: HostRegistrationOptions): HostRegistration {
-	const log = parentLog.part('hosts: ');
+	const log = parentLog.withPrefix('hosts: ');
 	let busy = false;
 	/** Elapsed time at which this process registered the host as a new one; undefined if the host was already known. */
 	let registeredAt: number | undefined;
--- a/src/leadership/replace-primary.ts
+++ b/src/leadership/replace-primary.ts
@@ -38,7 +38,7 @@
  * a new lease of the old primary. Then every host gives up its lease, or the leases expire. Only then is an endpoint promoted.
  */
 export async function replacePrimary(outerParts: ReplacePrimaryParts, replacement: Replacement): Promise<boolean> {
-	const parts = {...outerParts, log: outerParts.log.part('replace: ')};
+	const parts = {...outerParts, log: outerParts.log.withPrefix('replace: ')};
 	if (!await parts.failoverLease.take()) {
 		return false;
 	}
--- a/src/leadership/unresponsive-hosts.ts
+++ b/src/leadership/unresponsive-hosts.ts
@@ -36,7 +36,7 @@
 
 /** Creates the marking of unresponsive hosts. */
 export function createUnresponsiveHosts({store, mirror, elapsedClock, log: parentLog}: UnresponsiveHostsOptions): UnresponsiveHosts {
-	const log = parentLog.part('hosts: ');
+	const log = parentLog.withPrefix('hosts: ');
 	const seenAt = new Map<string, number>();
 
 	const observe = () => {
--- a/src/links/endpoint-directory.ts
+++ b/src/links/endpoint-directory.ts
@@ -65,7 +65,7 @@
 
 /** Creates an empty directory. */
 export function createEndpointDirectory({mirror, opener, clock, log: parentLog, getSharing, sharePool, getMinPosition}: EndpointDirectoryOptions): EndpointDirectory {
-	const log = parentLog.part('endpoints: ');
+	const log = parentLog.withPrefix('endpoints: ');
 	const tracked = new Map<string, TrackedEndpoint>();
 	/** Cache of endpoints by group, filled on demand since the last update: each read asks for a list, and a fleet has thousands of endpoints. */
 	let byGroup = new Map<string, readonly KnownEndpoint[]>();
--- a/src/log/bunyan-log.ts
+++ b/src/log/bunyan-log.ts
@@ -40,7 +40,7 @@
 			info: print('info'),
 			warn: print('warn'),
 			error: print('error'),
-			part: inner => createPrefixedLog(prefix + inner),
+			withPrefix: inner => createPrefixedLog(prefix + inner),
 		};
 	};
 
--- a/src/log/line-log.ts
+++ b/src/log/line-log.ts
@@ -11,6 +11,6 @@
 		info: line,
 		warn: line,
 		error: line,
-		part: inner => createLineLog(write, prefix + inner),
+		withPrefix: inner => createLineLog(write, prefix + inner),
 	};
 }
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -5,7 +5,7 @@
 	warn(sentence: string, fields?: LogFields): void;
 	error(sentence: string, fields?: LogFields): void;
 	/** Returns a log that puts this prefix, such as `failover: `, before each sentence. */
-	part(prefix: string): Log;
+	withPrefix(prefix: string): Log;
 };
 
 /** Structured fields of a log line. */
--- a/src/log/bounded-log.ts
+++ b/src/log/rate-limited-log.ts
@@ -2,7 +2,7 @@
 import type {Log, LogFields} from './log.js';
 
 /** Options of a rate-limited log. */
-export type BoundedLogOptions = {
+export type RateLimitedLogOptions = {
 	readonly clock: Clock;
 	/** Whether the reader of the lines has fallen behind, so that further lines would only fill memory. */
 	isBacklogged(): boolean;
@@ -20,7 +20,7 @@
  * Creates a log that drops lines above a rate, or while its reader has fallen behind. Before the next line that it writes, it logs how many were
  * dropped. Debug lines are not limited.
  */
-export function createBoundedLog(log: Log, options: BoundedLogOptions): Log {
+export function createRateLimitedLog(log: Log, options: RateLimitedLogOptions): Log {
 	const perSecond = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
 	const maxTokens = perSecond * BURST_SECONDS;
 	let tokens = maxTokens;
@@ -59,7 +59,7 @@
 			info: print('info'),
 			warn: print('warn'),
 			error: print('error'),
-			part: prefix => limit(inner.part(prefix)),
+			withPrefix: prefix => limit(inner.withPrefix(prefix)),
 		};
 	};
 
--- a/src/log/silent-log.ts
+++ b/src/log/silent-log.ts
@@ -7,7 +7,7 @@
 		info() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		warn() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		error() {}, // eslint-disable-line @typescript-eslint/no-empty-function
-		part: () => silent,
+		withPrefix: () => silent,
 	};
 
 	return silent;
--- a/src/membership/create-hosts.ts
+++ b/src/membership/create-hosts.ts
@@ -51,7 +51,7 @@
 /** Creates the membership from the platform's list, which is read at an interval, and from what this host observes on its own links. */
 export function createHosts(options: HostsOptions): LiveHosts {
 	const {self, platform, clock, random} = options;
-	const log = options.log.part('hosts: ');
+	const log = options.log.withPrefix('hosts: ');
 	const unreachable = createUnreachableHosts();
 	const leaving = createLeavingHosts();
 	const stopped = new AbortController();
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -4,7 +4,7 @@
 import type {RefusalCode} from '../refusals/refusal.js';
 
 /** The kinds of operations that callers request, as metrics and refusal records name them. */
-export const AskedKind = {
+export const CallerOperation = {
 	Read: 'read',
 	Write: 'write',
 	Begin: 'begin',
@@ -13,8 +13,8 @@
 	Outcome: 'outcome',
 } as const;
 
-/** One of the kinds in {@link AskedKind}. */
-export type AskedKind = typeof AskedKind[keyof typeof AskedKind];
+/** One of the kinds in {@link CallerOperation}. */
+export type CallerOperation = typeof CallerOperation[keyof typeof CallerOperation];
 
 /** The result of a call to the platform. */
 export const PlatformCallResult = {
@@ -28,7 +28,7 @@
 
 /** The measurement of one answered request of a caller. */
 export type RequestMeasurement = {
-	readonly kind: AskedKind;
+	readonly kind: CallerOperation;
 	/** Undefined if the request does not name a class. */
 	readonly class?: WorkClass;
 	readonly outcome: Outcome;
--- a/src/mirror/store-mirror.ts
+++ b/src/mirror/store-mirror.ts
@@ -99,7 +99,7 @@
 /** Creates a mirror. */
 export function createStoreMirror(options: StoreMirrorOptions): StoreMirror {
 	const {store, peers, clock, elapsedClock, host} = options;
-	const log = options.log.part('mirror: ');
+	const log = options.log.withPrefix('mirror: ');
 	const stopping = createSleepAlarm();
 	const copy = createMirrorCopy(log);
 	const source = createChangeFeedSource(copy, host, options.seeds, log);
--- a/src/operators/create-operator-access.ts
+++ b/src/operators/create-operator-access.ts
@@ -44,7 +44,7 @@
 /** Creates the doorkeeper; it knows the operators once it has started and the platform has answered. */
 export function createOperatorAccess(options: OperatorAccessOptions): OperatorAccessService {
 	const {platform, clock, random, bootstrapTokenHash} = options;
-	const log = options.log.part('operators: ');
+	const log = options.log.withPrefix('operators: ');
 	const abort = new AbortController();
 	let version = 0;
 	let revision = 0;
--- a/src/owners/create-owners.ts
+++ b/src/owners/create-owners.ts
@@ -65,7 +65,7 @@
 	const {
 		clock, configuration, hosts, owning,
 	} = options;
-	const log = options.log.part('owners: ');
+	const log = options.log.withPrefix('owners: ');
 	const running = new Map<string, RunningOwner>();
 	const stopping = new AbortController();
 	let leaving = false;
--- a/src/peers/create-peers.ts
+++ b/src/peers/create-peers.ts
@@ -40,7 +40,7 @@
 export function createPeers(options: PeersOptions): LivePeers {
 	const {transport, clock} = options;
 	const limits = {...DEFAULT_PEER_LIMITS, ...options.limits};
-	const log = options.log.part('peers: ');
+	const log = options.log.withPrefix('peers: ');
 	const figures = createPeerFigures();
 	const handlers = createPeerHandlers();
 	/** The link for the next call to each peer, by address; links to peers that are stopping are removed. */
--- a/src/platform/boot-errors.ts
+++ b/src/platform/boot-errors.ts
@@ -9,6 +9,6 @@
 }
 
 /** @internal */
-export function throwSettingsUnreadable(reason: string, cause?: unknown): never {
+export function throwBootSettingsUnreadable(reason: string, cause?: unknown): never {
 	throw new BootSettingsError(`the settings cannot be read: ${reason}`, {cause});
 }
--- a/src/platform/boot-settings.ts
+++ b/src/platform/boot-settings.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod';
-import {throwBootSettingsInvalid, throwSettingsUnreadable} from './boot-errors.js';
+import {throwBootSettingsInvalid, throwBootSettingsUnreadable} from './boot-errors.js';
 
 /** The settings that a proxy reads when it starts. */
 export type BootSettings = {
@@ -24,7 +24,7 @@
 };
 
 /** The environment variable in which the platform passes the path of the settings file. */
-export const SETTINGS_VARIABLE = 'ALDERCROFT_BOOT';
+export const BOOT_SETTINGS_VARIABLE = 'ALDERCROFT_BOOT';
 
 const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'must be ip:port');
 
@@ -84,7 +84,7 @@
 
 		const equals = trimmed.indexOf('=');
 		if (equals < 1) {
-			throwSettingsUnreadable(`a line has no name and value: ${trimmed.slice(0, 60)}`);
+			throwBootSettingsUnreadable(`a line has no name and value: ${trimmed.slice(0, 60)}`);
 		}
 
 		fields[trimmed.slice(0, equals)] = trimmed.slice(equals + 1);
--- a/src/platform/caller-lines.ts
+++ b/src/platform/caller-lines.ts
@@ -3,7 +3,7 @@
 } from '../statements/statement.js';
 import type {AnswerEnd} from '../statements/statement-answer.js';
 import type {LogPosition} from '../terms/log-position.js';
-import {formatCode, formatState} from './platform-words.js';
+import {formatCode, formatState} from './wire-codes.js';
 import {formatPosition, NO_POSITION} from './position-text.js';
 
 /** A message from a caller. */
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -59,7 +59,7 @@
 /** Creates an HTTP client of the platform's metadata store. */
 export function createHttpMetadataStore({address, clock, log: parentLog, onCall, onGeneration}: HttpMetadataStoreOptions): MetadataStore {
 	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
-	const log = parentLog.part('store: ');
+	const log = parentLog.withPrefix('store: ');
 	const unusableEntries = createUnusableEntryLog(log);
 	let lastGeneration: number | undefined;
 
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -9,7 +9,7 @@
 import type {Clock} from '../time/clock.js';
 import {formatRequest, formatStartup, parseStatusRow} from './endpoint-lines.js';
 import {createLineReader} from './line-reader.js';
-import {parseCode, parseState} from './platform-words.js';
+import {parseCode, parseState} from './wire-codes.js';
 import {parsePosition} from './position-text.js';
 
 /** Options of the opener. */
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -197,7 +197,7 @@
 	const gateway = createGateway({
 		clock,
 		elapsedClock,
-		log: log.part('callers: '),
+		log: log.withPrefix('callers: '),
 		metrics,
 		mirror,
 		primaryLeases,
--- a/src/proxy/main.ts
+++ b/src/proxy/main.ts
@@ -1,10 +1,10 @@
 import process from 'node:process';
 import {createPromGatewayMetrics} from '../gateway/prom-gateway-metrics.js';
 import {openAsyncOutput} from '../log/async-output.js';
-import {createBoundedLog} from '../log/bounded-log.js';
+import {createRateLimitedLog} from '../log/rate-limited-log.js';
 import {createBunyanLog} from '../log/bunyan-log.js';
 import {createWsPeers} from '../peers/ws-peers.js';
-import {SETTINGS_VARIABLE, type BootSettings} from '../platform/boot-settings.js';
+import {BOOT_SETTINGS_VARIABLE, type BootSettings} from '../platform/boot-settings.js';
 import {createHttpMetadataStore} from '../platform/http-metadata-store.js';
 import {createHttpPromotionOrders} from '../platform/http-promotion-orders.js';
 import {createTcpLinkOpener} from '../platform/tcp-link-opener.js';
@@ -24,7 +24,7 @@
 function createParts(settings: BootSettings): ProxyParts {
 	const clock = createSystemClock();
 	const random = createSystemRandom();
-	const log = createBoundedLog(createBunyanLog({
+	const log = createRateLimitedLog(createBunyanLog({
 		clock, name: 'aldercroft-proxy', hostName: settings.hostName, level: 'info', stream: output.stream,
 	}), {clock, isBacklogged: output.isBacklogged});
 	const metrics = createPromGatewayMetrics();
@@ -59,7 +59,7 @@
 /** Runs the proxy in this process. Resolves with the exit code of the process once its log is flushed. */
 export async function main(args: readonly string[], commandOutput: NodeJS.WritableStream = process.stdout): Promise<number> {
 	const exitCode = await runProxy({
-		settingsPath: process.env[SETTINGS_VARIABLE],
+		settingsPath: process.env[BOOT_SETTINGS_VARIABLE],
 		args,
 		output: commandOutput,
 		errors: process.stderr,
--- a/src/proxy/run-proxy.ts
+++ b/src/proxy/run-proxy.ts
@@ -3,7 +3,7 @@
 import type {ProxyMetrics} from '../gateway/prom-gateway-metrics.js';
 import type {Kernel} from '../kernel/kernel.js';
 import type {Log} from '../log/log.js';
-import {BootSettingsError, throwSettingsUnreadable} from '../platform/boot-errors.js';
+import {BootSettingsError, throwBootSettingsUnreadable} from '../platform/boot-errors.js';
 import {parseBootSettings, type BootSettings} from '../platform/boot-settings.js';
 import {openCallerPort} from '../platform/caller-port.js';
 import {openReadinessPort} from '../platform/readiness-port.js';
@@ -152,14 +152,14 @@
 
 function readSettings(path: string | undefined): BootSettings {
 	if (path === undefined) {
-		throwSettingsUnreadable('no settings file was named');
+		throwBootSettingsUnreadable('no settings file was named');
 	}
 
 	let text: string;
 	try {
 		text = readFileSync(path, 'utf8');
 	} catch (err) {
-		return throwSettingsUnreadable((err as Error).message, err);
+		return throwBootSettingsUnreadable((err as Error).message, err);
 	}
 
 	return parseBootSettings(text);
--- a/src/stand-ins/plain-group/line-front.ts
+++ b/src/stand-ins/plain-group/line-front.ts
@@ -4,7 +4,7 @@
 import {isLinkRefused} from '../../links/link-errors.js';
 import {formatCallerAnswer, formatReady, parseStatement} from '../../platform/caller-lines.js';
 import {createLineReader} from '../../platform/line-reader.js';
-import {formatCode} from '../../platform/platform-words.js';
+import {formatCode} from '../../platform/wire-codes.js';
 import {parsePosition} from '../../platform/position-text.js';
 import {SessionState, type Statement} from '../../statements/statement.js';
 import type {PlainGroup} from './plain-group.js';
--- a/src/stand-ins/proxies/simulated-proxies.ts
+++ b/src/stand-ins/proxies/simulated-proxies.ts
@@ -258,7 +258,7 @@
 				clock: hostClock,
 				elapsedClock: hostClock,
 				random: createSeededRandom(options.seed + proxies.length),
-				log: options.log?.part(`${name} `) ?? createSilentLog(),
+				log: options.log?.withPrefix(`${name} `) ?? createSilentLog(),
 				metrics: createPromGatewayMetrics(),
 				store: options.wrapStore?.(client, proxy) ?? client,
 				orders: {promote: async (order, timeoutMs) => deliver(proxy, takeOrder(proxy, order, timeoutMs))},
--- a/tests/configuration/configuration-fleet.ts
+++ b/tests/configuration/configuration-fleet.ts
@@ -165,5 +165,5 @@
 	error(sentence, fields) {
 		errors.push(`${prefix}${sentence} ${JSON.stringify(fields)}`);
 	},
-	part: part => createErrorLog(errors, prefix + part),
+	withPrefix: part => createErrorLog(errors, prefix + part),
 });
--- a/tests/daemon/stub-daemon.ts
+++ b/tests/daemon/stub-daemon.ts
@@ -63,7 +63,7 @@
 	};
 
 	const log = {
-		debug: write, info: write, warn: write, error: write, part: () => log,
+		debug: write, info: write, warn: write, error: write, withPrefix: () => log,
 	};
 	const platform: Service = {
 		async stop() {
--- a/tests/links/endpoint-directory-tests.ts
+++ b/tests/links/endpoint-directory-tests.ts
@@ -46,7 +46,7 @@
 			info(sentence) {
 				lines.push(sentence);
 			},
-			part: () => log,
+			withPrefix: () => log,
 		};
 		const mirror = {state: EMPTY_STATE};
 		const directory = createEndpointDirectory({
--- a/tests/log/bunyan-log-tests.ts
+++ b/tests/log/bunyan-log-tests.ts
@@ -17,7 +17,7 @@
 
 	it('prints a sentence after its prefixes, with its fields and the clock\'s time', () => {
 		const {log, read} = createLog();
-		log.part('failover: ').part('sleep: ').warn('the primary is silent, 100% so', {term: 3});
+		log.withPrefix('failover: ').withPrefix('sleep: ').warn('the primary is silent, 100% so', {term: 3});
 		expect(parse(read())).to.include({
 			name: 'aldercroftd', hostname: 'entry-1', level: 40, msg: 'failover: sleep: the primary is silent, 100% so', term: 3, time: '1970-01-01T00:00:00.000Z',
 		});
--- a/tests/operators/create-operator-access-tests.ts
+++ b/tests/operators/create-operator-access-tests.ts
@@ -21,7 +21,7 @@
 	};
 
 	const log: Log = {
-		debug: write, info: write, warn: write, error: write, part: () => log,
+		debug: write, info: write, warn: write, error: write, withPrefix: () => log,
 	};
 	const access = createOperatorAccess({
 		platform, clock, log, random: createSeededRandom(1), bootstrapTokenHash: hashToken('token of the settings').toUpperCase(),
--- a/tests/peers/peer-authentication-tests.ts
+++ b/tests/peers/peer-authentication-tests.ts
@@ -27,7 +27,7 @@
 
 	const log: Log = {
 		...createSilentLog(),
-		part: () => log,
+		withPrefix: () => log,
 		warn(_sentence, fields) {
 			refusals.push(fields?.reason);
 		},
--- a/tests/proxy/leave-tests.ts
+++ b/tests/proxy/leave-tests.ts
@@ -240,7 +240,7 @@
 		};
 
 		const log: Log = {
-			debug: write, info: write, warn: write, error: write, part: () => log,
+			debug: write, info: write, warn: write, error: write, withPrefix: () => log,
 		};
 		const {bench, startLeaving, openTransaction} = await createLeavingBench({log});
 		const callers = [await openTransaction(), await openTransaction()];
--- a/tests/proxy/outage-tests.ts
+++ b/tests/proxy/outage-tests.ts
@@ -72,7 +72,7 @@
 			},
 			warn() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 			error() {}, // eslint-disable-line @typescript-eslint/no-empty-function
-			part: () => log,
+			withPrefix: () => log,
 		};
 		const bench = await createProxyBench({proxies: HOSTS, maxConnections: 100, log});
 		await playOutage(bench, () => true);
