--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -111,7 +111,7 @@
 	return filings.filter(({answer}) => answer !== undefined && answer.outcome !== Outcome.Done).length;
 }
 
-function getParts({parts, at}: Stage['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
+function getParts({stepDurations: parts, at}: Stage['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
 	const {claimMs, fenceMs, promoteMs, learnMs} = parts;
 	return {
 		detect: at - lostAt - claimMs - fenceMs - promoteMs - learnMs,
--- a/src/bench/failover-gap/policies.ts
+++ b/src/bench/failover-gap/policies.ts
@@ -1,4 +1,4 @@
-import type {ConfirmSuspicionAnswer} from '../../failover/failover-calls.js';
+import type {ConfirmSuspicionResponse} from '../../failover/failover-calls.js';
 import type {GapPolicy} from './loss-run.js';
 
 /** The failover as it ships. */
@@ -18,7 +18,7 @@
 	},
 };
 
-const NOTHING_SEEN: ConfirmSuspicionAnswer = {seen: []};
+const NOTHING_SEEN: ConfirmSuspicionResponse = {seen: []};
 
 /** Takes its own word for a loss. */
 export const NO_SECOND_OPINION: GapPolicy = {
--- a/src/bench/replica-share/share-system.ts
+++ b/src/bench/replica-share/share-system.ts
@@ -115,7 +115,7 @@
 	return {
 		async start() {
 			void run(pollPrimary);
-			void run(async () => replicas.look());
+			void run(async () => replicas.poll());
 		},
 		async stop() {
 			stopping.abort();
--- a/src/daemon/register-entry.ts
+++ b/src/daemon/register-entry.ts
@@ -62,7 +62,7 @@
 			receiver, answers, tries, ownerClient, retries,
 		}),
 		...createTransactionEntry({
-			asker: receiver, answers, tries, ownerClient, hosts,
+			requestReceiver: receiver, answers, tries, ownerClient, hosts,
 		}),
 	});
 }
--- a/src/daemon/register-owners.ts
+++ b/src/daemon/register-owners.ts
@@ -5,7 +5,7 @@
 import {createFailoverPeers} from '../failover/failover-peers.js';
 import {DEFAULT_FAILOVER_SETTINGS} from '../failover/failover-settings.js';
 import type {GroupFailover, GroupFailoverContext} from '../failover/group-failover.js';
-import {createPromotionNote} from '../failover/promotion-note.js';
+import {createPromotionChange} from '../failover/promotion-change.js';
 import type {Kernel} from '../kernel/kernel.js';
 import {createGroupOwner, type GroupOwner} from '../owners/group-owner.js';
 import {createOwners} from '../owners/create-owners.js';
@@ -82,9 +82,9 @@
 /** Records a promotion in the metrics and the audit trail; no caller waits for it. */
 async function notePromotion(kernel: Kernel, promotion: Promotion): Promise<void> {
 	const {clock, random, log} = getCommonDependencies(kernel);
-	const {detectMs, claimMs, fenceMs, promoteMs, learnMs} = promotion.parts;
+	const {detectMs, claimMs, fenceMs, promoteMs, learnMs} = promotion.stepDurations;
 	kernel.get('metrics')?.observeFailover(promotion.group, (detectMs + claimMs + fenceMs + promoteMs + learnMs) / 1000);
-	const answer = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionNote(promotion), {
+	const answer = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionChange(promotion), {
 		who: `failover ${kernel.getOrThrow('hosts').self.name}`, changeId: createRequestId(clock.wall(), random),
 	});
 	log.withPrefix('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: answer.result});
--- a/src/failover/create-group-failover.ts
+++ b/src/failover/create-group-failover.ts
@@ -94,7 +94,7 @@
 				group, endpoint, term, cause, followed, ...durations,
 			});
 			options.onPromoted?.({
-				group, term, endpoint, status, cause, parts: durations,
+				group, term, endpoint, status, cause, stepDurations: durations,
 			});
 			parts.setState(FailoverPhase.Watching, `${endpoint} is primary at term ${term}`);
 			await parts.others.notifyPrimary(endpoint, status);
@@ -181,7 +181,7 @@
 	return {
 		async start() {
 			options.failoverPeers.register(group, member);
-			tasks = [watchPrimary, repairServers, async () => replicas.look(), async () => planned.runHandover()].map(async step => run(step));
+			tasks = [watchPrimary, repairServers, async () => replicas.poll(), async () => planned.runHandover()].map(async step => run(step));
 		},
 		async stop() {
 			stopping.abort();
--- a/src/failover/failover-calls.ts
+++ b/src/failover/failover-calls.ts
@@ -10,7 +10,7 @@
 };
 
 /** Statuses of the servers that answered the host; the others are absent. */
-export type ConfirmSuspicionAnswer = {
+export type ConfirmSuspicionResponse = {
 	readonly seen: ReadonlyArray<{readonly address: string; readonly status: EndpointStatus}>;
 };
 
@@ -48,7 +48,7 @@
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		'confirm-suspicion': {req: ConfirmSuspicionRequest; res: ConfirmSuspicionAnswer};
+		'confirm-suspicion': {req: ConfirmSuspicionRequest; res: ConfirmSuspicionResponse};
 		'hold-writes': {req: HoldWritesRequest; res: HoldWritesResponse};
 		'release-writes': {req: ReleaseWritesRequest; res: Acknowledgement};
 		'tell-primary': {req: NotifyPrimaryRequest; res: Acknowledgement};
--- a/src/failover/failover-parts.ts
+++ b/src/failover/failover-parts.ts
@@ -10,7 +10,7 @@
 import type {OtherOwners} from './other-owners.js';
 import type {PollTimes} from './poll-times.js';
 import type {FailoverDurations, LossKind} from './promote-group.js';
-import type {RaisedPrimary} from './raise-primary.js';
+import type {PromotedPrimary} from './fence-and-promote.js';
 import type {TermClaim} from './term-claim.js';
 
 /** Dependencies that the tasks of one group's failover share. */
@@ -32,7 +32,7 @@
 	isHostLeaving(address: string): boolean;
 	readonly setState: SetFailoverState;
 	/** Logs and reports a new primary and notifies the other owners of it; resolves once these calls ended. */
-	announce(promoted: RaisedPrimary, cause: PromotionCause, durations: FailoverDurations): Promise<void>;
+	announce(promoted: PromotedPrimary, cause: PromotionCause, durations: FailoverDurations): Promise<void>;
 	/** Aborts when the failover stops. */
 	readonly stopped: AbortSignal;
 };
@@ -48,5 +48,5 @@
 	readonly endpoint: string;
 	readonly status: EndpointStatus;
 	readonly cause: PromotionCause;
-	readonly parts: FailoverDurations;
+	readonly stepDurations: FailoverDurations;
 };
--- a/src/failover/raise-primary.ts
+++ b/src/failover/fence-and-promote.ts
@@ -6,11 +6,11 @@
 import {fenceGroup, type FenceOptions} from './fence-group.js';
 import {gatherAnswers, type Gathered} from './gather-answers.js';
 
-/** Options of {@link raisePrimary}. */
-export type RaiseOptions = Omit<FenceOptions, 'awaited'> & CandidatePreference;
+/** Options of {@link fenceAndPromote}. */
+export type FenceAndPromoteOptions = Omit<FenceOptions, 'awaited'> & CandidatePreference;
 
 /** A primary that was promoted. */
-export type RaisedPrimary = {
+export type PromotedPrimary = {
 	readonly endpoint: EndpointConfig;
 	readonly status: EndpointStatus;
 	readonly term: number;
@@ -25,7 +25,7 @@
 };
 
 /** Fences the group at a term, promotes the server with the highest log and orders the others to follow it; rejects with FailoverError. */
-export async function raisePrimary(options: RaiseOptions): Promise<RaisedPrimary> {
+export async function fenceAndPromote(options: FenceAndPromoteOptions): Promise<PromotedPrimary> {
 	const {clock, term} = options;
 	const startedAt = clock.now();
 	const fenced = await fenceGroup({...options, awaited: options.preferred});
@@ -46,7 +46,7 @@
 	};
 }
 
-async function promote(options: RaiseOptions, candidate: FencedServer): Promise<EndpointStatus> {
+async function promote(options: FenceAndPromoteOptions, candidate: FencedServer): Promise<EndpointStatus> {
 	const {control, settings, term} = options;
 	const {name} = candidate.endpoint;
 	let status: EndpointStatus;
@@ -70,7 +70,7 @@
  * Never promotes another server at the same term instead: the order may have taken effect, or still may, and two
  * primaries of one term could both have writes confirmed. Without an answer the next attempt uses a higher term.
  */
-async function resolveLostPromotion(options: RaiseOptions, candidate: string, cause: unknown): Promise<EndpointStatus> {
+async function resolveLostPromotion(options: FenceAndPromoteOptions, candidate: string, cause: unknown): Promise<EndpointStatus> {
 	try {
 		return await options.control.status(candidate, options.settings.promoteMs);
 	} catch {
@@ -78,7 +78,7 @@
 	}
 }
 
-async function orderOthersToFollow(options: RaiseOptions, primary: EndpointConfig, status: EndpointStatus): Promise<boolean> {
+async function orderOthersToFollow(options: FenceAndPromoteOptions, primary: EndpointConfig, status: EndpointStatus): Promise<boolean> {
 	const {clock, control, cfg, settings, term} = options;
 	const needed = getMajority(cfg) - 1;
 
--- a/src/failover/promote-group.ts
+++ b/src/failover/promote-group.ts
@@ -6,7 +6,7 @@
 import type {FailoverSettings} from './failover-settings.js';
 import {gatherAnswers, type Gathered} from './gather-answers.js';
 import type {GroupControl} from './group-control.js';
-import {type RaisedPrimary, raisePrimary} from './raise-primary.js';
+import {type PromotedPrimary, fenceAndPromote} from './fence-and-promote.js';
 import type {TermClaim} from './term-claim.js';
 
 /** Why a group needs another primary. */
@@ -60,7 +60,7 @@
 };
 
 /** Makes one attempt to promote a new primary; rejects with FailoverError where it fails. */
-export async function promoteGroup(options: PromoteOptions): Promise<RaisedPrimary & {stepDurations: FailoverDurations}> {
+export async function promoteGroup(options: PromoteOptions): Promise<PromotedPrimary & {stepDurations: FailoverDurations}> {
 	const {clock, knowledge, claim, settings, loss} = options;
 	const startedAt = clock.now();
 
@@ -70,7 +70,7 @@
 	const term = await claim.claim(reading, knowledge.highestTerm + 1, timeLeftMs);
 	const claimedAt = clock.now();
 
-	const promoted = await raisePrimary({
+	const promoted = await fenceAndPromote({
 		...options,
 		term,
 		suspect: loss.endpoint,
--- a/src/failover/reachability-reports.ts
+++ b/src/failover/reachability-reports.ts
@@ -3,7 +3,7 @@
 import type {Peers} from '../peers/peers.js';
 import type {PlatformHost} from '../object-store/platform.js';
 import type {Clock} from '../time/clock.js';
-import type {ConfirmSuspicionAnswer} from './failover-calls.js';
+import type {ConfirmSuspicionResponse} from './failover-calls.js';
 import type {FailoverSettings} from './failover-settings.js';
 
 /** What other hosts report about servers that this one cannot reach. */
@@ -13,7 +13,7 @@
 	/** Names of the hosts that answered, for the log. */
 	readonly reporters: readonly string[];
 	/** Statuses that the other hosts received, with the servers' addresses. */
-	readonly seen: ConfirmSuspicionAnswer['seen'];
+	readonly seen: ConfirmSuspicionResponse['seen'];
 };
 
 /** Options of {@link createReachabilityReports}. */
--- a/src/failover/replica-watch.ts
+++ b/src/failover/replica-watch.ts
@@ -7,7 +7,7 @@
 /** Keeps the known status of a group's replicas current, and detects a primary whose entries no longer reach them. */
 export type ReplicaWatch = {
 	/** Polls the replicas whose last status is too old; resolves when the next poll is due. */
-	look(): Promise<void>;
+	poll(): Promise<void>;
 	/** Returns since when no replica has followed the primary where it is cut off from its group, otherwise undefined. */
 	getCutOffSince(now: number): number | undefined;
 };
@@ -68,7 +68,7 @@
 
 	return {
 		getCutOffSince,
-		async look() {
+		async poll() {
 			await pollDue();
 			recordPositions();
 			const leftMs = stall.getMsUntilCutOff(clock.now());
--- a/src/failover/switch-primary.ts
+++ b/src/failover/switch-primary.ts
@@ -8,7 +8,7 @@
 import type {FailoverSettings} from './failover-settings.js';
 import type {GroupControl} from './group-control.js';
 import type {OtherOwners} from './other-owners.js';
-import {type RaisedPrimary, raisePrimary} from './raise-primary.js';
+import {type PromotedPrimary, fenceAndPromote} from './fence-and-promote.js';
 import type {TermClaim} from './term-claim.js';
 import type {WriteHolds} from './write-holds.js';
 
@@ -30,7 +30,7 @@
 	readonly holdId: string;
 	isHostLeaving(address: string): boolean;
 	/** Called once a primary was promoted, while writes are still held. */
-	onPromoted(promoted: RaisedPrimary): Promise<void>;
+	onPromoted(promoted: PromotedPrimary): Promise<void>;
 };
 
 /**
@@ -39,7 +39,7 @@
  * The owners hold writes while the target takes over. The hold always ends: with the new primary, with the old one where
  * the change is refused, and by a timer at each owner where this host dies.
  */
-export async function switchPrimary(options: SwitchOptions): Promise<RaisedPrimary | undefined> {
+export async function switchPrimary(options: SwitchOptions): Promise<PromotedPrimary | undefined> {
 	const {clock, knowledge, others, holds, settings, holdId} = options;
 	const endsAt = clock.now() + options.ms;
 	const primary = knowledge.getPrimary() ?? throwSwitchRefused('the group has no primary at present');
@@ -109,7 +109,7 @@
 	}
 }
 
-async function takeOver(options: SwitchOptions, target: EndpointConfig, old: EndpointStatus, heldUntil: number): Promise<RaisedPrimary> {
+async function takeOver(options: SwitchOptions, target: EndpointConfig, old: EndpointStatus, heldUntil: number): Promise<PromotedPrimary> {
 	const {clock, claim, settings, knowledge} = options;
 	const claimReading = await claim.read(settings.claimMs);
 	const term = await claim.claim(claimReading, Math.max(old.term, knowledge.highestTerm) + 1, settings.claimMs);
@@ -119,7 +119,7 @@
 		throwSwitchRefused('the time for which writes are held ran out');
 	}
 
-	const promoted = await raisePrimary({...options, term, preferred: target.name});
+	const promoted = await fenceAndPromote({...options, term, preferred: target.name});
 	await options.onPromoted(promoted);
 	return promoted.endpoint.name === target.name ? promoted : throwSwitchRefused(`${promoted.endpoint.name} held more than ${target.name} and stays primary`);
 }
--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -14,7 +14,7 @@
 
 /** Options of {@link createTransactionEntry}. */
 export type TransactionEntryOptions = {
-	readonly asker: RequestReceiver;
+	readonly requestReceiver: RequestReceiver;
 	readonly answers: EntryAnswers;
 	readonly tries: RequestTries;
 	readonly ownerClient: OwnerClient;
@@ -32,7 +32,7 @@
 /** Creates the entry's handling of transactions; each step is sent to the host named in the transaction's id. */
 export function createTransactionEntry(options: TransactionEntryOptions): Pick<Entry, 'begin' | 'run' | 'commit' | 'rollback'> {
 	const {
-		asker: receiver, answers, tries, ownerClient, hosts,
+		requestReceiver: receiver, answers, tries, ownerClient, hosts,
 	} = options;
 
 	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerAnswer => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
--- a/tests/failover/promoters-tests.ts
+++ b/tests/failover/promoters-tests.ts
@@ -96,7 +96,7 @@
 			bench.getServer('db-1').kill();
 			await bench.until(() => bench.getPromotions().length > 0, MAX_GAP_MS);
 
-			expect(bench.hosts[0]!.promotions[0]!.parts.claimMs).to.be.at.most(bench.settings.claimMs + 1);
+			expect(bench.hosts[0]!.promotions[0]!.stepDurations.claimMs).to.be.at.most(bench.settings.claimMs + 1);
 			await expectOnePrimary(bench);
 			await bench.stop();
 		});
--- a/tests/random-check/checked-proxy.ts
+++ b/tests/random-check/checked-proxy.ts
@@ -4,7 +4,7 @@
 import type {Endpoints} from '../../src/endpoints/endpoint.js';
 import {DEFAULT_FAILOVER_SETTINGS} from '../../src/failover/failover-settings.js';
 import {createGroupControl, type GroupControl} from '../../src/failover/group-control.js';
-import {raisePrimary} from '../../src/failover/raise-primary.js';
+import {fenceAndPromote} from '../../src/failover/fence-and-promote.js';
 import {createGroupRepair} from '../../src/failover/repair-group.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import type {Hosts, Owning} from '../../src/membership/hosts.js';
@@ -116,7 +116,7 @@
 		entry,
 		look,
 		async raise() {
-			const raised = await raisePrimary({
+			const raised = await fenceAndPromote({
 				clock,
 				control: guardBreak?.breakControl?.(control) ?? control,
 				cfg: getCfg(),
