--- a/src/bench/failover-gap/filings.ts
+++ b/src/bench/failover-gap/filings.ts
@@ -1,4 +1,4 @@
-import {type CallerAnswer, Outcome} from '../../callers/caller-answer.js';
+import {type CallerResponse, Outcome} from '../../callers/caller-response.js';
 import {callerRequestSchema} from '../../callers/caller-request.js';
 import type {SimulatedSystem} from '../../stand-ins/system/simulated-system.js';
 
@@ -8,7 +8,7 @@
 	readonly entry: string;
 	readonly askedAt: number;
 	endedAt?: number;
-	answer?: CallerAnswer;
+	answer?: CallerResponse;
 };
 
 /** A steady stream of filings through all entries. */
--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -1,6 +1,6 @@
 import type {Promotion} from '../../failover/failover-parts.js';
 import type {FailoverHooks} from '../../failover/failover-hooks.js';
-import {Outcome} from '../../callers/caller-answer.js';
+import {Outcome} from '../../callers/caller-response.js';
 import {createSimulatedSystem, type SimulatedSystem, type SimulatedSystemOptions} from '../../stand-ins/system/simulated-system.js';
 import {
 	checkFilings, getLongestFiling, getLongestGap, GROUP, startFilings, type FilingStream,
--- a/src/bench/replica-share/workload.ts
+++ b/src/bench/replica-share/workload.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../../callers/caller-answer.js';
+import {Outcome} from '../../callers/caller-response.js';
 import {EndpointRole} from '../../endpoints/endpoint.js';
 import type {OwnerResponse, OwnerRequest} from '../../routing/owner-request.js';
 import {createRequestId} from '../../random/request-id.js';
--- a/src/callers/caller-answer.ts
+++ b/src/callers/caller-response.ts
@@ -15,7 +15,7 @@
 export type Outcome = typeof Outcome[keyof typeof Outcome];
 
 /** The response to a caller's request. */
-export type CallerAnswer = {
+export type CallerResponse = {
 	readonly outcome: Outcome;
 	readonly requestId: string;
 	readonly rows?: readonly Row[];
--- a/src/callers/http-callers.ts
+++ b/src/callers/http-callers.ts
@@ -6,7 +6,7 @@
 import {RefusalCode} from '../refusals/refusal.js';
 import type {Clock} from '../time/clock.js';
 import {withinMs} from '../time/deadline.js';
-import {Outcome} from './caller-answer.js';
+import {Outcome} from './caller-response.js';
 import {MAX_BODY_BYTES, parseBody} from './caller-body.js';
 import {throwMalformed} from './caller-errors.js';
 import type {Callers} from './callers.js';
--- a/src/callers/http-refusals.ts
+++ b/src/callers/http-refusals.ts
@@ -4,7 +4,7 @@
 import {createRequestId} from '../random/request-id.js';
 import {RefusalCode, type Refusal} from '../refusals/refusal.js';
 import type {Clock} from '../time/clock.js';
-import type {CallerAnswer, Outcome} from './caller-answer.js';
+import type {CallerResponse, Outcome} from './caller-response.js';
 
 /** Options of {@link createHttpRefusals}. */
 export type HttpRefusalsOptions = {
@@ -24,7 +24,7 @@
 };
 
 /** Creates the response to a request that the entry did not respond to, and records the refusal. */
-export type HttpRefusals = (req: RequestSummary, outcome: Outcome, refusal: Refusal) => CallerAnswer;
+export type HttpRefusals = (req: RequestSummary, outcome: Outcome, refusal: Refusal) => CallerResponse;
 
 /** Creates the function that makes the caller port's refusals. */
 export function createHttpRefusals({clock, random, hostName, explanations}: HttpRefusalsOptions): HttpRefusals {
--- a/src/callers/http-responses.ts
+++ b/src/callers/http-responses.ts
@@ -3,7 +3,7 @@
 import {CallerOperation, type Metrics} from '../metrics/metrics.js';
 import type {WorkClass} from '../groups/group-config.js';
 import type {Clock} from '../time/clock.js';
-import {Outcome, type CallerAnswer} from './caller-answer.js';
+import {Outcome, type CallerResponse} from './caller-response.js';
 import {toCallerError} from './caller-errors.js';
 import {
 	ABANDONED_REFUSAL, HOST_FAULT_REFUSAL, LEAVING_REFUSAL, type RequestSummary, type HttpRefusals,
@@ -48,7 +48,7 @@
 /** Responds to callers over HTTP. */
 export type HttpResponses = {
 	/** Runs a request by `callEntry`, sets status and headers, and resolves with the body. */
-	serve(reply: FastifyReply, req: ServedRequest, callEntry: () => Promise<CallerAnswer>): Promise<string>;
+	serve(reply: FastifyReply, req: ServedRequest, callEntry: () => Promise<CallerResponse>): Promise<string>;
 	/** Responds to a request that failed before the entry was called: sets status and headers and returns the body. */
 	fail(reply: FastifyReply, req: RequestSummary, err: unknown): string;
 	/** Refuses a request that no handler has received, because this host is leaving: sets status and headers and returns the body. */
@@ -64,7 +64,7 @@
 	} = options;
 	const abandonCallbacks = new Set<() => void>();
 
-	const prepare = (reply: FastifyReply, response: CallerAnswer, status = getHttpStatus(response)) => {
+	const prepare = (reply: FastifyReply, response: CallerResponse, status = getHttpStatus(response)) => {
 		const {refusal, session} = response;
 		// A response that closes its connection would lose the responses to later requests on it, which may be in progress.
 		if (isLeaving() && isLastOnConnection(reply)) {
@@ -91,7 +91,7 @@
 	 * Guards against work that takes longer than the host keeps running: its caller's connection would be closed without a
 	 * response. A caller that receives `unknown` knows that it may request the outcome from another host at once.
 	 */
-	const callUntilAbandoned = async (req: ServedRequest, callEntry: () => Promise<CallerAnswer>) => new Promise<CallerAnswer>((resolve, reject) => {
+	const callUntilAbandoned = async (req: ServedRequest, callEntry: () => Promise<CallerResponse>) => new Promise<CallerResponse>((resolve, reject) => {
 		const abandon = () => {
 			resolve(refuse(req, Outcome.Unknown, ABANDONED_REFUSAL));
 		};
@@ -103,7 +103,7 @@
 		answered.then(forget, forget);
 	});
 
-	const callOrRefuse = async (req: ServedRequest, callEntry: () => Promise<CallerAnswer>) => {
+	const callOrRefuse = async (req: ServedRequest, callEntry: () => Promise<CallerResponse>) => {
 		// Guards against work that begins when its connection is about to be closed: it would run and its caller get no response.
 		if (isClosing() || (isLeaving() && !req.isContinuation)) {
 			// Guards against callers that retry at once: while each refusal causes a new connection, there is always one waiting
@@ -160,7 +160,7 @@
 }
 
 /** Encodes a response. A row may hold a bigint, which JSON cannot represent; failing would lose the response to a write that ran. */
-function toJson(response: CallerAnswer): string {
+function toJson(response: CallerResponse): string {
 	try {
 		return JSON.stringify(response);
 	} catch {
--- a/src/callers/http-status.ts
+++ b/src/callers/http-status.ts
@@ -1,5 +1,5 @@
 import {RefusalCode} from '../refusals/refusal.js';
-import {Outcome, type CallerAnswer} from './caller-answer.js';
+import {Outcome, type CallerResponse} from './caller-response.js';
 
 /** HTTP status of a response whose outcome is `not-run`, by the code of its refusal. */
 const NOT_RUN_STATUS: Readonly<Record<RefusalCode, number>> = {
@@ -41,7 +41,7 @@
 const STATUS_NOT_RUN = 503;
 
 /** Returns the HTTP status of a response. Only `done` is 2xx, and 504 always means that the request may have run. */
-export function getHttpStatus(response: Pick<CallerAnswer, 'outcome' | 'refusal'>): number {
+export function getHttpStatus(response: Pick<CallerResponse, 'outcome' | 'refusal'>): number {
 	if (response.outcome === Outcome.Done) {
 		return STATUS_DONE;
 	}
--- a/src/callers/possible-repeat.ts
+++ b/src/callers/possible-repeat.ts
@@ -11,7 +11,7 @@
 };
 
 /** Kinds of request that have no request key of their own, so that they cannot refer to another submission. */
-export const ONCE_ONLY: ReadonlySet<string> = new Set(['read', 'statement', 'rollback']);
+export const UNKEYED_KINDS: ReadonlySet<string> = new Set(['read', 'statement', 'rollback']);
 
 /** Maximum difference between now and the time in an id that counts as new, in milliseconds; with a larger one, the id may have been submitted before. */
 const MAX_FRESH_ID_AGE_MS = 250;
@@ -23,7 +23,7 @@
  * that refuses this submission knows nothing of the first one. Such a caller would write again under a new id.
  */
 export function mayBeRepeat({asked, requestId, attempt = 1}: Submission, wallMs: number): boolean {
-	return !ONCE_ONLY.has(asked) && (attempt > 1 || !isFresh(requestId, wallMs));
+	return !UNKEYED_KINDS.has(asked) && (attempt > 1 || !isFresh(requestId, wallMs));
 }
 
 function isFresh(requestId: string | undefined, wallMs: number): boolean {
--- a/src/demo/caller.ts
+++ b/src/demo/caller.ts
@@ -1,4 +1,4 @@
-import {Outcome, type CallerAnswer} from '../callers/caller-answer.js';
+import {Outcome, type CallerResponse} from '../callers/caller-response.js';
 import {RequestKind, type CallerRequest} from '../callers/caller-request.js';
 import {createRequestId} from '../random/request-id.js';
 import {RefusalCode} from '../refusals/refusal.js';
@@ -11,7 +11,7 @@
 /** A caller with one session: it echoes its token and sends one request at a time. */
 export type DemoCaller = {
 	/** Sends a request to one proxy, once. Rejects with {@link ConnectionLostError} where no answer came. */
-	ask(proxy: LocalProxy, req: DemoRequest): Promise<CallerAnswer>;
+	ask(proxy: LocalProxy, req: DemoRequest): Promise<CallerResponse>;
 	/** Sends a request through the balancer until an answer comes; asks for the outcome where it was left unsure. */
 	send(req: DemoRequest): Promise<SentAnswer>;
 	/** Asks what became of a write that was left unsure; undefined where nobody could tell. */
@@ -23,7 +23,7 @@
 
 /** An answer with what it took to get it. */
 export type SentAnswer = {
-	readonly answer: CallerAnswer;
+	readonly answer: CallerResponse;
 	/** Host whose answer it is. */
 	readonly host: string;
 	/** How often a connection broke after the request had been sent. */
@@ -63,11 +63,11 @@
 	const {clock, random, balancer, group} = options;
 	let token = NEW_SESSION;
 
-	const exchange = async (url: string, init: RequestInit): Promise<CallerAnswer> => {
-		let answer: CallerAnswer;
+	const exchange = async (url: string, init: RequestInit): Promise<CallerResponse> => {
+		let answer: CallerResponse;
 		try {
 			const res = await fetch(url, {...init, headers: {'content-type': 'application/json', 'aldercroft-session': token}});
-			answer = await res.json() as CallerAnswer;
+			answer = await res.json() as CallerResponse;
 		} catch (err) {
 			throw new ConnectionLostError(`no answer from ${url}`, !isRefused(err), {cause: err});
 		}
@@ -82,7 +82,7 @@
 	);
 
 	/** Undefined where no answer came; a proxy that refuses connections leaves the balancer, as its checks would do. */
-	const tryAt = async (exchangeAt: (proxy: LocalProxy) => Promise<CallerAnswer>) => {
+	const tryAt = async (exchangeAt: (proxy: LocalProxy) => Promise<CallerResponse>) => {
 		const proxy = balancer.next();
 		try {
 			return {answer: await exchangeAt(proxy), host: proxy.host.name, sent: true};
--- a/src/demo/drain-endpoint.ts
+++ b/src/demo/drain-endpoint.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {EndpointRole} from '../endpoints/endpoint.js';
 import {WorkClass} from '../groups/group-config.js';
 import {SLEEP_LOGS, type Chapter, type Demo} from './demo.js';
--- a/src/demo/judge-writes.ts
+++ b/src/demo/judge-writes.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 
 /** A write as its caller knows it at the end. */
 export type SentWrite = {
--- a/src/demo/lagging-replicas.ts
+++ b/src/demo/lagging-replicas.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import {createCaller, type DemoRequest} from './caller.js';
 import {SLEEP_LOGS, type Chapter, type Demo} from './demo.js';
--- a/src/demo/lose-primary.ts
+++ b/src/demo/lose-primary.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {WorkClass} from '../groups/group-config.js';
 import {FILINGS, type Chapter, type Demo} from './demo.js';
 import {findPrimaryServer, orderFault} from './faults.js';
--- a/src/demo/refuse-and-explain.ts
+++ b/src/demo/refuse-and-explain.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import {ExitCode} from '../cli/exit-code.js';
 import {WorkClass} from '../groups/group-config.js';
--- a/src/demo/roam-session.ts
+++ b/src/demo/roam-session.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import type {LocalProxy} from '../stand-ins/processes/local-system.js';
 import {createCaller, type DemoCaller} from './caller.js';
--- a/src/demo/work-stream.ts
+++ b/src/demo/work-stream.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import type {WorkClass} from '../groups/group-config.js';
 import {createCaller, type DemoCaller, type SentAnswer} from './caller.js';
--- a/src/explanations/explain-refusal.ts
+++ b/src/explanations/explain-refusal.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import {formatDuration, formatInstant} from '../time/format-time.js';
 import {RefusalCode} from '../refusals/refusal.js';
--- a/src/explanations/record-codec.ts
+++ b/src/explanations/record-codec.ts
@@ -1,6 +1,6 @@
 import {Packr} from 'msgpackr';
 import * as z from 'zod';
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import type {RefusalCode} from '../refusals/refusal.js';
 import type {RefusalRecord} from './refusal-record.js';
 
--- a/src/explanations/refusal-record.ts
+++ b/src/explanations/refusal-record.ts
@@ -1,4 +1,4 @@
-import type {Outcome} from '../callers/caller-answer.js';
+import type {Outcome} from '../callers/caller-response.js';
 import type {Refusal} from '../refusals/refusal.js';
 
 /** A refusal or a delay as it is kept: all that is needed to explain it after every proxy that saw it is gone. */
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,4 +1,4 @@
-import type {Outcome} from '../callers/caller-answer.js';
+import type {Outcome} from '../callers/caller-response.js';
 import type {EndpointRole} from '../endpoints/endpoint.js';
 import type {WorkClass} from '../groups/group-config.js';
 import type {RefusalCode} from '../refusals/refusal.js';
--- a/src/owners/create-owners.ts
+++ b/src/owners/create-owners.ts
@@ -11,7 +11,7 @@
 import type {Service} from '../kernel/service.js';
 import type {GroupOwner} from './group-owner.js';
 import {notifyLeaving} from './notify-leaving.js';
-import {answerNotRun, createRefusal} from './owner-answers.js';
+import {createNotRunResponse, createRefusal} from './owner-responses.js';
 
 /** The group owners that run on this host, with what operators and transactions need of them. */
 export type OwnersService = Owners & Service & {
@@ -135,7 +135,7 @@
 
 	const refuseNotOwner = (group: string) => {
 		const known = configuration.getGroup(group);
-		return answerNotRun(createRefusal(known ? RefusalCode.NoOwner : RefusalCode.NoConfiguration, {
+		return createNotRunResponse(createRefusal(known ? RefusalCode.NoOwner : RefusalCode.NoConfiguration, {
 			reason: known ? `host ${hosts.self.name} does not look after group ${group}` : `host ${hosts.self.name} knows no group ${group}`,
 			facts: {host: hosts.self.name, configVersion: known?.version},
 			retryAfterMs: 100,
@@ -144,7 +144,7 @@
 
 	// Guards against starting work on a host that is about to stop and would abort it: the work has not run, and the
 	// caller's proxy sends it to another owner at once.
-	const refuseLeaving = (group: string) => answerNotRun(createRefusal(RefusalCode.HostLeaving, {
+	const refuseLeaving = (group: string) => createNotRunResponse(createRefusal(RefusalCode.HostLeaving, {
 		reason: `host ${hosts.self.name} is stopping and has handed group ${group} on`,
 		facts: {host: hosts.self.name},
 		retryAfterMs: 0,
--- a/src/owners/lost-writes.ts
+++ b/src/owners/lost-writes.ts
@@ -5,7 +5,7 @@
 import type {LogPosition} from '../terms/log-position.js';
 import {Confirmation} from './confirmer.js';
 import type {GroupParts} from './group-parts.js';
-import {answerNotRun, createRefusal} from './owner-answers.js';
+import {createNotRunResponse, createRefusal} from './owner-responses.js';
 
 /** A server's answer which shows that its log has passed a session's floor without holding the floor's entry. */
 export type DetectedLoss = {
@@ -49,5 +49,5 @@
 		},
 		retryAfterMs: 0,
 	});
-	return {...answerNotRun(refusal), log: status.log};
+	return {...createNotRunResponse(refusal), log: status.log};
 }
--- a/src/owners/owner-answers.ts
+++ b/src/owners/owner-responses.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import type {Refusal, RefusalCode, RefusalFacts} from '../refusals/refusal.js';
 import type {OwnerResponse} from '../routing/owner-request.js';
 
@@ -16,11 +16,11 @@
 }
 
 /** Creates a response which says that this try did not run and cannot run any more. */
-export function answerNotRun(refusal: Refusal, tryNext = false): OwnerResponse {
+export function createNotRunResponse(refusal: Refusal, tryNext = false): OwnerResponse {
 	return {outcome: Outcome.NotRun, refusal, tryNext};
 }
 
 /** Creates a response which says that the request may have run. */
-export function answerUnknown(refusal: Refusal): OwnerResponse {
+export function createUnknownResponse(refusal: Refusal): OwnerResponse {
 	return {outcome: Outcome.Unknown, refusal};
 }
--- a/src/owners/read-path.ts
+++ b/src/owners/read-path.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import type {EndpointConnection, FloorReadAnswer} from '../endpoints/endpoint.js';
 import {isEndpointError} from '../endpoints/endpoint-errors.js';
 import type {EndpointConfig} from '../groups/group-config.js';
@@ -6,7 +6,7 @@
 import type {OwnerResponse, OwnerRequest} from '../routing/owner-request.js';
 import type {LogPosition} from '../terms/log-position.js';
 import type {GroupParts} from './group-parts.js';
-import {answerNotRun, createRefusal} from './owner-answers.js';
+import {createNotRunResponse, createRefusal} from './owner-responses.js';
 import {refuseLostWrite} from './lost-writes.js';
 import type {ReadPlacement} from './read-placement.js';
 import {isServerFailure} from './server-failure.js';
@@ -93,7 +93,7 @@
 	const runAdmitted = async (endpoint: EndpointConfig, req: OwnerRequest, floor: LogPosition, deadlineAt: number): Promise<Attempt> => {
 		const admission = await group.getParts(endpoint.name)!.admission.acquire({class: req.class, deadlineAt}, clock.now());
 		if (!admission.admitted) {
-			return {failed: answerNotRun(admission.refusal)};
+			return {failed: createNotRunResponse(admission.refusal)};
 		}
 
 		let served = false;
@@ -126,7 +126,7 @@
 		}
 
 		if (answer.message !== undefined) {
-			return answerNotRun(createRefusal(RefusalCode.StatementFailed, {
+			return createNotRunResponse(createRefusal(RefusalCode.StatementFailed, {
 				reason: `${endpoint.name} rejected the statement: ${answer.message}`,
 				facts: {endpoint: endpoint.name, term: answer.status.term},
 			}));
@@ -138,13 +138,13 @@
 		};
 	};
 
-	const refuseNoPrimary = () => answerNotRun(createRefusal(RefusalCode.NoPrimary, {
+	const refuseNoPrimary = () => createNotRunResponse(createRefusal(RefusalCode.NoPrimary, {
 		reason: 'no majority of the group could confirm what the read must see',
 		facts: {highestTerm: knowledge.highestTerm},
 		retryAfterMs: NO_ENDPOINT_RETRY_MS,
 	}));
 
-	const refuseNoEndpoint = (floor: LogPosition) => answerNotRun(createRefusal(RefusalCode.NoEndpoint, {
+	const refuseNoEndpoint = (floor: LogPosition) => createNotRunResponse(createRefusal(RefusalCode.NoEndpoint, {
 		reason: 'no endpoint of the group holds what the read needs',
 		facts: {floorTerm: floor.term, floorPosition: floor.position, highestTerm: knowledge.highestTerm},
 		retryAfterMs: NO_ENDPOINT_RETRY_MS,
@@ -247,7 +247,7 @@
 }
 
 function refuseLeaving(endpoint: EndpointConfig): OwnerResponse {
-	return answerNotRun(createRefusal(RefusalCode.NoEndpoint, {
+	return createNotRunResponse(createRefusal(RefusalCode.NoEndpoint, {
 		reason: `${endpoint.name} is leaving and takes no new work`,
 		facts: {endpoint: endpoint.name},
 		retryAfterMs: NO_ENDPOINT_RETRY_MS,
--- a/src/owners/write-path.ts
+++ b/src/owners/write-path.ts
@@ -7,7 +7,7 @@
 import type {OwnerResponse, OwnerRequest, ResolveRequest} from '../routing/owner-request.js';
 import {Confirmation, isHolding} from './confirmer.js';
 import type {GroupParts, Primary} from './group-parts.js';
-import {answerNotRun} from './owner-answers.js';
+import {createNotRunResponse} from './owner-responses.js';
 import {isServerFailure, type TimeWindow} from './server-failure.js';
 import {createWriteResponses} from './write-responses.js';
 
@@ -24,7 +24,7 @@
 	 */
 	enterAtPrimary(deadlineAt: number): Promise<Primary | undefined>;
 	/** Confirms a primary's answer to a keyed exchange and converts it to the owner's response. */
-	settle(exchange: AnsweredExchange, deadlineAt: number): Promise<OwnerResponse>;
+	complete(exchange: AnsweredExchange, deadlineAt: number): Promise<OwnerResponse>;
 };
 
 /** A keyed exchange that the primary answered. */
@@ -210,7 +210,7 @@
 	const runAdmitted = async (primary: Primary, exchange: KeyedExchange, deadlineAt: number) => {
 		const admission = await primary.parts.admission.acquire({class: exchange.class, deadlineAt}, clock.now());
 		if (!admission.admitted) {
-			return answerNotRun(admission.refusal);
+			return createNotRunResponse(admission.refusal);
 		}
 
 		let served = false;
@@ -273,7 +273,7 @@
 	};
 
 	return {
-		settle: confirmAnswer,
+		complete: confirmAnswer,
 		enterAtPrimary,
 		async write(req, deadlineAt) {
 			const {requestId, digest, statement, values, isLastOwner} = req;
--- a/src/owners/write-responses.ts
+++ b/src/owners/write-responses.ts
@@ -1,10 +1,10 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {EndpointRole, KeyedWriteResult, type KeyedWriteAnswer} from '../endpoints/endpoint.js';
 import type {EndpointConfig} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
 import type {OwnerResponse} from '../routing/owner-request.js';
 import type {GroupParts, Primary} from './group-parts.js';
-import {answerNotRun, answerUnknown, createRefusal} from './owner-answers.js';
+import {createNotRunResponse, createUnknownResponse, createRefusal} from './owner-responses.js';
 
 /** Creates the responses of a group's write path. */
 export type WriteResponses = {
@@ -33,14 +33,14 @@
 /** Creates the write responses of one group. */
 export function createWriteResponses({knowledge, getGroup}: GroupParts): WriteResponses {
 	return {
-		refuseNoPrimary: () => answerNotRun(createRefusal(RefusalCode.NoPrimary, {
+		refuseNoPrimary: () => createNotRunResponse(createRefusal(RefusalCode.NoPrimary, {
 			reason: 'the group has no primary that could take the write',
 			facts: {highestTerm: knowledge.highestTerm},
 			retryAfterMs: NO_PRIMARY_RETRY_MS,
 		})),
 		refuseNoConnection({endpoint, parts, term}, err) {
 			const load = parts.pool.getLoad();
-			return answerNotRun(createRefusal(RefusalCode.NoConnection, {
+			return createNotRunResponse(createRefusal(RefusalCode.NoConnection, {
 				reason: `the primary ${endpoint.name} gave no connection`,
 				facts: {
 					endpoint: endpoint.name, term, cause: (err as Error).message, lent: load.lent, limit: load.limit,
@@ -48,7 +48,7 @@
 				retryAfterMs: NO_CONNECTION_RETRY_MS,
 			}), true);
 		},
-		refuseSilent: ({endpoint, term}) => answerUnknown(createRefusal(RefusalCode.EndpointSilent, {
+		refuseSilent: ({endpoint, term}) => createUnknownResponse(createRefusal(RefusalCode.EndpointSilent, {
 			reason: `the primary ${endpoint.name} gave no answer after the request was sent`,
 			facts: {endpoint: endpoint.name, term},
 		})),
@@ -58,13 +58,13 @@
 				facts: {endpoint, term, highestTerm: knowledge.highestTerm},
 				retryAfterMs: 0,
 			});
-			return sent ? answerUnknown(refusal) : answerNotRun(refusal);
+			return sent ? createUnknownResponse(refusal) : createNotRunResponse(refusal);
 		},
-		refuseFailed: (primary, term, answer) => answerNotRun(createRefusal(RefusalCode.StatementFailed, {
+		refuseFailed: (primary, term, answer) => createNotRunResponse(createRefusal(RefusalCode.StatementFailed, {
 			reason: `${primary.name} rejected the statement and rolled it back: ${answer.message ?? 'no message'}`,
 			facts: {endpoint: primary.name, term},
 		})),
-		refuseNotConfirmed: (primary, term, answer) => answerUnknown(createRefusal(RefusalCode.NotConfirmed, {
+		refuseNotConfirmed: (primary, term, answer) => createUnknownResponse(createRefusal(RefusalCode.NotConfirmed, {
 			reason: `${primary.name} took the request, but no majority confirmed it in time`,
 			facts: {
 				endpoint: primary.name, term, position: answer.status.log.position, durability: getGroup().cfg.durability,
@@ -73,13 +73,13 @@
 		respondConfirmed(primary, {result, rows, status}) {
 			const facts = {endpoint: primary.name, term: status.term, position: status.log.position};
 			if (result === KeyedWriteResult.Tombstone) {
-				return answerNotRun(createRefusal(RefusalCode.Resolved, {
+				return createNotRunResponse(createRefusal(RefusalCode.Resolved, {
 					reason: 'the request was settled as not run, and never will run under this id', facts,
 				}));
 			}
 
 			if (result === KeyedWriteResult.Mismatch) {
-				return answerNotRun(createRefusal(RefusalCode.RequestMismatch, {
+				return createNotRunResponse(createRefusal(RefusalCode.RequestMismatch, {
 					reason: 'another statement or other values stand under this request id', facts,
 				}));
 			}
--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -1,4 +1,4 @@
-import {Outcome, type CallerAnswer} from '../callers/caller-answer.js';
+import {Outcome, type CallerResponse} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import type {EndpointRole} from '../endpoints/endpoint.js';
 import type {Explanations} from '../explanations/explanations.js';
@@ -14,11 +14,11 @@
 /** Creates the answers to callers; each refusal is recorded and gets a ticket. */
 export type EntryAnswers = {
 	/** Returns a refusal of this submission, with the outcome that it proves for the request. */
-	refuse(received: ReceivedRequest, refusal: Refusal): CallerAnswer;
+	refuse(received: ReceivedRequest, refusal: Refusal): CallerResponse;
 	/** Returns a refusal with an unknown outcome: the request may have run. */
-	refuseWithUnknownOutcome(received: ReceivedRequest, refusal: Refusal): CallerAnswer;
+	refuseWithUnknownOutcome(received: ReceivedRequest, refusal: Refusal): CallerResponse;
 	/** Returns the answer for the result of a series of tries. */
-	answer(received: ReceivedRequest, result: TriesResult): CallerAnswer;
+	answer(received: ReceivedRequest, result: TriesResult): CallerResponse;
 };
 
 /** Options of {@link createEntryAnswers}. */
@@ -28,7 +28,7 @@
 	readonly sessions: Sessions;
 	readonly explanations: Explanations;
 	/** Called with every answer, for metrics and operators. */
-	onAnswer?(received: ReceivedRequest, answer: CallerAnswer, now: number): void;
+	onAnswer?(received: ReceivedRequest, answer: CallerResponse, now: number): void;
 	/** Called with the role of the endpoint that served a read, for metrics. */
 	onServed?(role: EndpointRole): void;
 };
@@ -57,7 +57,7 @@
 		return sessions.sign(isRecent ? session : {...session, issuedAt: wallMs});
 	};
 
-	const answerRefusal = (received: ReceivedRequest, outcome: Outcome, refusal: Refusal): CallerAnswer => {
+	const answerRefusal = (received: ReceivedRequest, outcome: Outcome, refusal: Refusal): CallerResponse => {
 		const ticket = explanations.record({
 			...refusal,
 			requestId: received.requestId,
@@ -81,7 +81,7 @@
 		};
 	};
 
-	const answerDone = (received: ReceivedRequest, answer: OwnerResponse): CallerAnswer => {
+	const answerDone = (received: ReceivedRequest, answer: OwnerResponse): CallerResponse => {
 		const isWrite = received.asked !== RequestKind.Read;
 		if (!isWrite && answer.role) {
 			options.onServed?.(answer.role);
@@ -109,7 +109,7 @@
 	const getRefusedOutcome = (received: ReceivedRequest, refusal: Refusal) =>
 		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown: isUnknown, hasTombstone: isTombstoned}: TriesResult): CallerAnswer => {
+	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown: isUnknown, hasTombstone: isTombstoned}: TriesResult): CallerResponse => {
 		if (answer.outcome === Outcome.Done) {
 			return answerDone(received, answer);
 		}
@@ -128,7 +128,7 @@
 		return answerRefusal(received, isTombstoned ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
-	const finish = (received: ReceivedRequest, answer: CallerAnswer) => {
+	const finish = (received: ReceivedRequest, answer: CallerResponse) => {
 		options.onAnswer?.(received, answer, clock.now());
 		return answer;
 	};
--- a/src/routing/owner-client.ts
+++ b/src/routing/owner-client.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import type {Hosts} from '../membership/hosts.js';
 import type {PeerCalls} from '../peers/peer-calls.js';
 import {isPeerError} from '../peers/peer-errors.js';
--- a/src/routing/owner-request.ts
+++ b/src/routing/owner-request.ts
@@ -1,6 +1,6 @@
 import type {EndpointRole, Row} from '../endpoints/endpoint.js';
 import type {WorkClass} from '../groups/group-config.js';
-import type {Outcome} from '../callers/caller-answer.js';
+import type {Outcome} from '../callers/caller-response.js';
 import type {RequestKind} from '../callers/caller-request.js';
 import type {Refusal} from '../refusals/refusal.js';
 import type {LogPosition} from '../terms/log-position.js';
--- a/src/routing/received-request.ts
+++ b/src/routing/received-request.ts
@@ -1,5 +1,5 @@
 import type {CallerRequest} from '../callers/caller-request.js';
-import {mayBeRepeat, ONCE_ONLY} from '../callers/possible-repeat.js';
+import {mayBeRepeat, UNKEYED_KINDS} from '../callers/possible-repeat.js';
 import type {Configuration, VersionedGroup} from '../configuration/configuration.js';
 import {createRequestId} from '../random/request-id.js';
 import type {Random} from '../random/random.js';
@@ -91,7 +91,7 @@
 				return {refusal: refuseUnknownGroup(received.group, configuration)};
 			}
 
-			const runsForMs = ONCE_ONLY.has(received.asked) ? 0 : received.deadlineAt - received.startedAt;
+			const runsForMs = UNKEYED_KINDS.has(received.asked) ? 0 : received.deadlineAt - received.startedAt;
 			const refusal = validateRequestId(received.requestId, group, runsForMs, clock.wall());
 			return refusal ? {refusal} : {group};
 		},
--- a/src/routing/request-tries.ts
+++ b/src/routing/request-tries.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import type {VersionedGroup} from '../configuration/configuration.js';
 import type {Hosts, Owning} from '../membership/hosts.js';
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import type {Owning} from '../membership/hosts.js';
 import type {PlatformHost} from '../object-store/platform.js';
 import type {Random} from '../random/random.js';
--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -1,4 +1,4 @@
-import {Outcome, type CallerAnswer} from '../callers/caller-answer.js';
+import {Outcome, type CallerResponse} from '../callers/caller-response.js';
 import {DEFAULT_DEADLINE_MS} from '../callers/caller-request.js';
 import type {Entry} from '../callers/entry.js';
 import type {VersionedGroup} from '../configuration/configuration.js';
@@ -35,9 +35,9 @@
 		requestReceiver: receiver, answers, tries, ownerClient, hosts,
 	} = options;
 
-	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerAnswer => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
+	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerResponse => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
 
-	const openStep = (transactionId: string, header: string | undefined, parts: StepParts): Step | CallerAnswer => {
+	const openStep = (transactionId: string, header: string | undefined, parts: StepParts): Step | CallerResponse => {
 		const id = parseTransactionId(transactionId);
 		const received = receiver.receive(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
 		const {asked} = received;
@@ -49,7 +49,7 @@
 		return 'refusal' in validation ? answers.refuse(asked, validation.refusal) : {asked, group: validation.group, id};
 	};
 
-	const answerOnce = (asked: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerAnswer => {
+	const answerOnce = (asked: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerResponse => {
 		const end: TriesResult = {answer, tries: 1, outcomeUnknown: answer.outcome === Outcome.Unknown};
 		return {...answers.answer(asked, end), requestId: formatTransactionId(id)};
 	};
--- a/src/transactions/create-transactions.ts
+++ b/src/transactions/create-transactions.ts
@@ -1,9 +1,9 @@
-import {Outcome} from '../callers/caller-answer.js';
+import {Outcome} from '../callers/caller-response.js';
 import {EndpointRole, KeyedWriteResult, type EndpointConnection} from '../endpoints/endpoint.js';
 import type {Service} from '../kernel/service.js';
 import type {OwnersService} from '../owners/create-owners.js';
 import type {GroupOwner} from '../owners/group-owner.js';
-import {answerNotRun, answerUnknown, createRefusal} from '../owners/owner-answers.js';
+import {createNotRunResponse, createUnknownResponse, createRefusal} from '../owners/owner-responses.js';
 import type {Peers} from '../peers/peers.js';
 import {RefusalCode} from '../refusals/refusal.js';
 import type {OwnerResponse} from '../routing/owner-request.js';
@@ -69,7 +69,7 @@
 			connection = await primary.parts.pool.acquire(deadlineAt);
 		} catch (err) {
 			owner.parts.writeGate.leave();
-			return answerNotRun(createRefusal(RefusalCode.NoConnection, {
+			return createNotRunResponse(createRefusal(RefusalCode.NoConnection, {
 				reason: `the primary ${primary.endpoint.name} gave no connection`,
 				facts: {endpoint: primary.endpoint.name, cause: (err as Error).message},
 				retryAfterMs: 100,
@@ -119,7 +119,7 @@
 			// The key existed already, so another submission of the id may have ended the transaction. A caller that got "done"
 			// would take the transaction for open, and its commit would seem to succeed without its statements.
 			open.end(transaction, false);
-			const end = await owner.writes.settle({
+			const end = await owner.writes.complete({
 				primary: transaction.primary, term, answer, sentAt,
 			}, deadlineAt);
 			return end.outcome === Outcome.Done ? refuseEnded(transaction) : end;
@@ -132,7 +132,7 @@
 	const find = (requestId: string): OpenTransaction | OwnerResponse => {
 		const transaction = open.get(requestId);
 		if (!transaction) {
-			return answerNotRun(createRefusal(RefusalCode.TransactionUnknown, {
+			return createNotRunResponse(createRefusal(RefusalCode.TransactionUnknown, {
 				reason: 'no such transaction is open here: it ended, timed out, or its host was replaced',
 				facts: {requestId},
 			}));
@@ -167,7 +167,7 @@
 		const {admission, name} = transaction.parts;
 		const slot = await admission.acquire({class: call.class, deadlineAt}, clock.now());
 		if (!slot.admitted) {
-			return answerNotRun(slot.refusal);
+			return createNotRunResponse(slot.refusal);
 		}
 
 		let served = false;
@@ -179,7 +179,7 @@
 			}
 
 			open.end(transaction, false);
-			return answerNotRun(createRefusal(RefusalCode.StatementFailed, {
+			return createNotRunResponse(createRefusal(RefusalCode.StatementFailed, {
 				reason: `${name} rejected the statement and the transaction was rolled back: ${answer.message}`,
 				facts: {endpoint: name, term: transaction.term},
 			}));
@@ -200,7 +200,7 @@
 
 		resolving++;
 		try {
-			return await owner.writes.settle({
+			return await owner.writes.complete({
 				primary, term, answer, sentAt,
 			}, deadlineAt);
 		} finally {
@@ -261,7 +261,7 @@
 }
 
 function refuseBusy(requestId: string): OwnerResponse {
-	return answerNotRun(createRefusal(RefusalCode.TransactionBusy, {
+	return createNotRunResponse(createRefusal(RefusalCode.TransactionBusy, {
 		reason: 'a statement of this transaction is still running',
 		facts: {requestId},
 		retryAfterMs: 50,
@@ -269,14 +269,14 @@
 }
 
 function refuseEnded({requestId, primary, term}: OpenTransaction): OwnerResponse {
-	return answerNotRun(createRefusal(RefusalCode.TransactionEnded, {
+	return createNotRunResponse(createRefusal(RefusalCode.TransactionEnded, {
 		reason: 'a transaction has ended under this id before',
 		facts: {requestId, endpoint: primary.name, term},
 	}));
 }
 
 function refuseNoPrimary(owner: GroupOwner): OwnerResponse {
-	return answerNotRun(createRefusal(RefusalCode.NoPrimary, {
+	return createNotRunResponse(createRefusal(RefusalCode.NoPrimary, {
 		reason: 'the group has no primary that could take the transaction',
 		facts: {highestTerm: owner.parts.knowledge.highestTerm},
 		retryAfterMs: 500,
@@ -284,7 +284,7 @@
 }
 
 function refuseLost(transaction: OpenTransaction, err: unknown): OwnerResponse {
-	return answerUnknown(createRefusal(RefusalCode.EndpointSilent, {
+	return createUnknownResponse(createRefusal(RefusalCode.EndpointSilent, {
 		reason: `the connection of the transaction to ${transaction.primary.name} was lost`,
 		facts: {endpoint: transaction.primary.name, term: transaction.term, cause: (err as Error).message},
 	}));
--- a/tests/callers/http-callers-tests.ts
+++ b/tests/callers/http-callers-tests.ts
@@ -2,7 +2,7 @@
 import {Agent, request, type IncomingHttpHeaders} from 'node:http';
 import {connect} from 'node:net';
 import {expect} from 'chai';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import type {Callers} from '../../src/callers/callers.js';
 import type {Entry} from '../../src/callers/entry.js';
 import {createHttpCallers} from '../../src/callers/http-callers.js';
@@ -22,7 +22,7 @@
 	body?: string | Uint8Array;
 	headers?: Record<string, string>;
 };
-type Received = {status: number; headers: IncomingHttpHeaders; answer: CallerAnswer};
+type Received = {status: number; headers: IncomingHttpHeaders; answer: CallerResponse};
 
 describe('http callers', () => {
 	const agent = new Agent({keepAlive: true});
@@ -30,7 +30,7 @@
 	let callers: Callers;
 	let records: RefusalRecord[];
 	let calls: unknown[][];
-	let reply: () => Promise<CallerAnswer>;
+	let reply: () => Promise<CallerResponse>;
 	let openTransactions: number;
 
 	beforeEach(async () => {
@@ -83,7 +83,7 @@
 			agent, port: callers.port, method, path, headers: {'content-type': 'application/json', ...headers},
 		}, async res => {
 			const parts = await res.toArray();
-			const answer = JSON.parse(Buffer.concat(parts).toString()) as CallerAnswer;
+			const answer = JSON.parse(Buffer.concat(parts).toString()) as CallerResponse;
 			resolve({status: res.statusCode!, headers: res.headers, answer});
 		});
 		req.on('error', reject);
@@ -211,11 +211,11 @@
 		};
 
 		const holdReply = () => {
-			let finish!: (answer: CallerAnswer) => void;
+			let finish!: (answer: CallerResponse) => void;
 			reply = async () => new Promise(resolve => {
 				finish = resolve;
 			});
-			return (answer: CallerAnswer) => {
+			return (answer: CallerResponse) => {
 				finish(answer);
 			};
 		};
--- a/tests/callers/http-stop-tests.ts
+++ b/tests/callers/http-stop-tests.ts
@@ -3,7 +3,7 @@
 import {connect, type Socket} from 'node:net';
 import {Worker} from 'node:worker_threads';
 import {expect} from 'chai';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import type {Callers} from '../../src/callers/callers.js';
 import type {Entry} from '../../src/callers/entry.js';
 import {createHttpCallers} from '../../src/callers/http-callers.js';
@@ -79,7 +79,7 @@
 function parseResponses(text: string): Received[] {
 	return text.split(/(?=HTTP\/1\.1 )/v).filter(part => part !== '').map(part => {
 		const [head, body] = part.split('\r\n\r\n');
-		const {outcome, requestId, refusal} = JSON.parse(body!) as CallerAnswer;
+		const {outcome, requestId, refusal} = JSON.parse(body!) as CallerResponse;
 		return {
 			status: Number(head!.slice(9, 12)), outcome, requestId, code: refusal?.code, close: /^connection: close$/imv.test(head!),
 		};
@@ -104,7 +104,7 @@
 	const random = createSeededRandom(1);
 	let callers: Callers;
 	let calls: string[];
-	let finish: Array<(answer: CallerAnswer) => void>;
+	let finish: Array<(answer: CallerResponse) => void>;
 	let isHeld: boolean;
 
 	beforeEach(async () => {
@@ -117,7 +117,7 @@
 				return {outcome: 'done', requestId: name} as const;
 			}
 
-			return new Promise<CallerAnswer>(resolve => {
+			return new Promise<CallerResponse>(resolve => {
 				finish.push(resolve);
 			});
 		};
--- a/tests/daemon/create-daemon-tests.ts
+++ b/tests/daemon/create-daemon-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import type {CallerAnswer, CallerRefusal} from '../../src/callers/caller-answer.js';
+import type {CallerResponse, CallerRefusal} from '../../src/callers/caller-response.js';
 import {createDaemon, type Daemon} from '../../src/daemon/create-daemon.js';
 import {createStubDaemon, type StubDaemon} from './stub-daemon.js';
 
@@ -54,7 +54,7 @@
 	// A host stops while a read is in flight at the database and a transaction is open, and before the balancer has noticed.
 	it('stops gracefully: refuses new work, drains work in flight, then stops the services in reverse order', async () => {
 		await daemon.start();
-		let finish!: (answer: CallerAnswer) => void;
+		let finish!: (answer: CallerResponse) => void;
 		stub.behaviour.execute = async () => new Promise(resolve => {
 			stub.events.push('reading');
 			finish = resolve;
--- a/tests/daemon/separate-processes-tests.ts
+++ b/tests/daemon/separate-processes-tests.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import {startLocalSystem, type LocalSystem} from '../../src/stand-ins/processes/local-system.js';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
 
-async function sendRequest(system: LocalSystem, proxy: string, body: Record<string, unknown>, session: string): Promise<CallerAnswer> {
+async function sendRequest(system: LocalSystem, proxy: string, body: Record<string, unknown>, session: string): Promise<CallerResponse> {
 	const res = await fetch(`${system.getProxyOrThrow(proxy).callerUrl}/v1/groups/sleep-logs/requests`, {
 		method: 'POST',
 		headers: {'content-type': 'application/json', 'aldercroft-session': session},
 		body: JSON.stringify(body),
 	});
-	return await res.json() as CallerAnswer;
+	return await res.json() as CallerResponse;
 }
 
 describe('separate processes', () => {
--- a/tests/daemon/stub-daemon.ts
+++ b/tests/daemon/stub-daemon.ts
@@ -1,4 +1,4 @@
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import type {DaemonDependencies} from '../../src/daemon/create-daemon.js';
 import type {Kernel} from '../../src/kernel/kernel.js';
 import type {Service} from '../../src/kernel/service.js';
@@ -38,7 +38,7 @@
 	/** What the stubs do; tests may change it. */
 	readonly behaviour: {
 		loaded: boolean;
-		execute: () => Promise<CallerAnswer>;
+		execute: () => Promise<CallerResponse>;
 		start: () => Promise<void>;
 		stop: () => Promise<void>;
 	};
--- a/tests/daemon/transactions-over-http-tests.ts
+++ b/tests/daemon/transactions-over-http-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {startLocalSystem, type LocalSystem} from '../../src/stand-ins/processes/local-system.js';
 
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
@@ -23,13 +23,13 @@
 		await system.stop();
 	});
 
-	const post = async (proxy: string, path: string, body?: Record<string, unknown>, session = 'new'): Promise<CallerAnswer> => {
+	const post = async (proxy: string, path: string, body?: Record<string, unknown>, session = 'new'): Promise<CallerResponse> => {
 		const res = await fetch(`${system.getProxyOrThrow(proxy).callerUrl}${path}`, {
 			method: 'POST',
 			headers: {'aldercroft-session': session, ...body && {'content-type': 'application/json'}},
 			body: body && JSON.stringify(body),
 		});
-		return await res.json() as CallerAnswer;
+		return await res.json() as CallerResponse;
 	};
 
 	const waitUntilLeaving = async (proxy: string) => {
--- a/tests/demo/judge-writes-tests.ts
+++ b/tests/demo/judge-writes-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {Outcome} from '../../src/callers/caller-answer.js';
+import {Outcome} from '../../src/callers/caller-response.js';
 import {findLostOrDoubled, findUntrueRefusals, type SentWrite} from '../../src/demo/judge-writes.js';
 
 type Told = Pick<SentWrite, 'outcome' | 'code'>;
--- a/tests/golden/session-script.ts
+++ b/tests/golden/session-script.ts
@@ -1,4 +1,4 @@
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import type {Session} from '../../src/sessions/session.js';
 import {createSimulatedSystem, type SimulatedSystem, type SimulatedSystemOptions} from '../../src/stand-ins/system/simulated-system.js';
@@ -6,9 +6,9 @@
 /** A caller of a scripted session, holding its token as a tablet or a browser would. */
 export type ScriptedCaller = {
 	/** Sends a request to a proxy and writes question and answer down. */
-	ask(proxy: string, group: string, body: Record<string, unknown>): Promise<CallerAnswer>;
+	ask(proxy: string, group: string, body: Record<string, unknown>): Promise<CallerResponse>;
 	/** Asks for the outcome of a request. */
-	askOutcome(proxy: string, group: string, requestId: string): Promise<CallerAnswer>;
+	askOutcome(proxy: string, group: string, requestId: string): Promise<CallerResponse>;
 	/** The header the next request carries; assign to lose or forge it. */
 	token: string | undefined;
 };
@@ -59,7 +59,7 @@
 		return session ? describeSession(session) : `"${token}"`;
 	};
 
-	const noteAnswer = (answer: CallerAnswer, sentAt: number) => {
+	const noteAnswer = (answer: CallerResponse, sentAt: number) => {
 		const lasted = hidesTimes ? '' : ` after ${Math.round(clock.now() - sentAt)} ms`;
 		lines.push(`    ${describeOutcome(answer)}${lasted}`);
 		if (answer.rows && answer.rows.length > 0) {
@@ -70,7 +70,7 @@
 	};
 
 	const createCaller = (name: string, token?: string): ScriptedCaller => {
-		const play = async (proxy: string, question: string, asking: () => Promise<CallerAnswer>) => {
+		const play = async (proxy: string, question: string, asking: () => Promise<CallerResponse>) => {
 			note(`${name} at ${proxy}: ${question}, ${describeToken(caller.token)}`);
 			const sentAt = clock.now();
 			const answer = await clock.runUntil(asking());
@@ -107,7 +107,7 @@
 	};
 }
 
-function describeOutcome(answer: CallerAnswer): string {
+function describeOutcome(answer: CallerResponse): string {
 	const {outcome, refusal} = answer;
 	if (refusal) {
 		const comeBack = refusal.retryAfterMs === undefined ? '' : `, come back in ${Math.round(refusal.retryAfterMs)} ms`;
--- a/tests/proofs/not-run-tests.ts
+++ b/tests/proofs/not-run-tests.ts
@@ -1,4 +1,4 @@
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import {
 	doProof, GROUP, MEMBER, say, sync, type Body, type Proof,
@@ -188,7 +188,7 @@
 });
 
 /** What was told of syncs that is not so; the one with the score `n` is answered by `answers[n - 1]`. */
-function findUntrue(proof: Proof, answers: readonly CallerAnswer[]): readonly string[] {
+function findUntrue(proof: Proof, answers: readonly CallerResponse[]): readonly string[] {
 	const scores = proof.getScores().replace('stands: ', '').split(', ');
 	return answers.flatMap((answer, index) => {
 		const count = scores.filter(score => score === String(index + 1)).length;
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import type {Entry} from '../../src/callers/entry.js';
 import {createRequestId} from '../../src/random/request-id.js';
@@ -28,13 +28,13 @@
 	/** Name of a proxy that does not. */
 	readonly outsider: string;
 	/** Sends a request at once, without letting time pass. */
-	send(proxy: string, body: Body, token?: string): Promise<CallerAnswer>;
+	send(proxy: string, body: Body, token?: string): Promise<CallerResponse>;
 	/** Sends a request and lets time pass until it is answered. */
-	ask(proxy: string, body: Body, token?: string): Promise<CallerAnswer>;
+	ask(proxy: string, body: Body, token?: string): Promise<CallerResponse>;
 	/** The way in of a proxy, for transactions. */
 	getEntry(proxy: string): Entry;
 	/** Asks what became of a request. */
-	askOutcome(proxy: string, requestId: string, token?: string): Promise<CallerAnswer>;
+	askOutcome(proxy: string, requestId: string, token?: string): Promise<CallerResponse>;
 	/** A request id made now. */
 	createId(): string;
 	/** Parts a proxy and a server from all other proxies and servers, which still reach each other. */
@@ -85,7 +85,7 @@
 }
 
 /** One line for an answer: its outcome with the scores that it shows, or with the reason for the refusal. */
-export function say({outcome, refusal, rows}: CallerAnswer): string {
+export function say({outcome, refusal, rows}: CallerResponse): string {
 	if (refusal) {
 		return `${outcome}: ${refusal.code}`;
 	}
--- a/tests/proofs/retries-tests.ts
+++ b/tests/proofs/retries-tests.ts
@@ -1,4 +1,4 @@
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import {throwNoAnswer} from '../../src/endpoints/endpoint-errors.js';
 import type {Endpoints} from '../../src/endpoints/endpoint.js';
@@ -7,7 +7,7 @@
 } from './proof-bench.js';
 
 /** What was answered, most frequent first, each with how often. */
-function count(answers: readonly CallerAnswer[]): readonly string[] {
+function count(answers: readonly CallerResponse[]): readonly string[] {
 	const counts = new Map<string, number>();
 	for (const answer of answers) {
 		counts.set(say(answer), (counts.get(say(answer)) ?? 0) + 1);
--- a/tests/proofs/traffic.ts
+++ b/tests/proofs/traffic.ts
@@ -1,5 +1,5 @@
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {
 	GROUP, pull, say, sync, type Body, type Proof,
 } from './proof-bench.js';
@@ -40,7 +40,7 @@
 
 	const isRunning = () => running;
 
-	const count = (what: string, answer: CallerAnswer) => {
+	const count = (what: string, answer: CallerResponse) => {
 		const isDone = answer.outcome === 'done';
 		const counts = isDone ? done : failed;
 		const name = isDone ? what : `${what} ${say(answer)}`;
--- a/tests/proofs/transactions-tests.ts
+++ b/tests/proofs/transactions-tests.ts
@@ -1,5 +1,5 @@
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
-import type {CallerAnswer} from '../../src/callers/caller-answer.js';
+import type {CallerResponse} from '../../src/callers/caller-response.js';
 import {createPipes} from './pipe-endpoints.js';
 import {
 	doProof, GROUP, pull, say, type Body, type Proof,
@@ -22,14 +22,14 @@
 	return begun.refusal ? say(begun) : begun.requestId;
 }
 
-async function run(proof: Proof, proxy: string, id: string, score: number, more: Body = {}): Promise<CallerAnswer> {
+async function run(proof: Proof, proxy: string, id: string, score: number, more: Body = {}): Promise<CallerResponse> {
 	const req = callerRequestSchema.parse({
 		kind: 'write', statement: RETURNING, values: ['m-17', score], ...more,
 	});
 	return proof.clock.runUntil(proof.getEntry(proxy).run(id, req, 'new'));
 }
 
-async function commit(proof: Proof, proxy: string, id: string): Promise<CallerAnswer> {
+async function commit(proof: Proof, proxy: string, id: string): Promise<CallerResponse> {
 	return proof.clock.runUntil(proof.getEntry(proxy).commit(id, 'new'));
 }
 
--- a/tests/random-check/actor.ts
+++ b/tests/random-check/actor.ts
@@ -1,4 +1,4 @@
-import {Outcome, type CallerAnswer} from '../../src/callers/caller-answer.js';
+import {Outcome, type CallerResponse} from '../../src/callers/caller-response.js';
 import {callerRequestSchema, type CallerRequest} from '../../src/callers/caller-request.js';
 import {createRequestId} from '../../src/random/request-id.js';
 import {TABLE, type Key} from './history.js';
@@ -23,12 +23,12 @@
 	const {clock, servers, history, random} = world;
 	const sessions: CallerSession[] = Array.from({length: SESSIONS}, () => ({tokens: ['new'], acked: new Set()}));
 
-	const keepToken = (session: CallerSession, sent: readonly string[], answer: CallerAnswer) => {
+	const keepToken = (session: CallerSession, sent: readonly string[], answer: CallerResponse) => {
 		session.tokens = [...session.tokens.filter(token => !sent.includes(token)), answer.session!];
 	};
 
 	/** Notes an answer about a key, and what its session may now count on. */
-	const noteAnswer = (key: Key, session: CallerSession, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer) => {
+	const noteAnswer = (key: Key, session: CallerSession, asked: 'write' | 'repeat' | 'resolve', answer: CallerResponse) => {
 		history.noteAnswer(key, asked, answer, world.getHighestTerm());
 		if (answer.outcome === Outcome.Done) {
 			session.acked.add(key);
@@ -164,6 +164,6 @@
 }
 
 /** The nights in a read's rows. */
-export function getNights(answer: CallerAnswer): ReadonlySet<unknown> {
+export function getNights(answer: CallerResponse): ReadonlySet<unknown> {
 	return new Set(answer.rows!.map(({id}) => id));
 }
--- a/tests/random-check/history.ts
+++ b/tests/random-check/history.ts
@@ -1,4 +1,4 @@
-import {Outcome, type CallerAnswer} from '../../src/callers/caller-answer.js';
+import {Outcome, type CallerResponse} from '../../src/callers/caller-response.js';
 import {RefusalCode} from '../../src/refusals/refusal.js';
 import type {DatabaseLog} from '../../src/stand-ins/database/database-log.js';
 
@@ -25,7 +25,7 @@
 	readonly figures: Figures;
 	addKey(id: string): Key;
 	/** Notes the answer to a submission or to a question for its outcome; `highestTerm` is what any server has promised. */
-	noteAnswer(key: Key, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer, highestTerm: number): void;
+	noteAnswer(key: Key, asked: 'write' | 'repeat' | 'resolve', answer: CallerResponse, highestTerm: number): void;
 	/** Notes a read's rows with what they must hold. */
 	noteRead(rows: ReadonlySet<unknown>, mustHold: Iterable<Key>, what: string): void;
 	notePromotion(term: number, log: DatabaseLog): void;
--- a/tests/random-check/run-schedule.ts
+++ b/tests/random-check/run-schedule.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../../src/callers/caller-answer.js';
+import {Outcome} from '../../src/callers/caller-response.js';
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {
 	createActor, getAcked, getNights, READ,
