--- a/src/configuration/configuration-errors.ts
+++ b/src/configuration/configuration-errors.ts
@@ -1,6 +1,6 @@
 import ModernError from 'modern-errors';
 
-/** A question about a group that no configuration in force answers. */
+/** The requested group has no configuration in force. */
 export const ConfigurationError = ModernError.subclass('ConfigurationError');
 
 /** @internal */
--- a/src/configuration/configuration-peers.ts
+++ b/src/configuration/configuration-peers.ts
@@ -9,12 +9,13 @@
 import type {GroupEntry} from './group-entry.js';
 import {createPeerRotation} from './peer-rotation.js';
 
-/** Takes the configuration from other proxies where the store does not tell it, and passes changes on. */
+/** Fetches the configuration from other proxies while the store is silent, and passes changes on to them. */
 export type ConfigurationPeers = Service & {
 	/**
-	 * Compares the version that a peer's frame carried with the one in force, in the background.
+	 * Compares the group version that a peer's frame carried with the one in force here.
 	 *
-	 * The higher one is fetched from the peer, or offered to it. Cheap where both are the same.
+	 * A higher version is fetched from the peer and a lower one is answered with an offer, both in the background. Does
+	 * nothing where the versions are equal.
 	 * @param fromAddress The peer's `ip:port`.
 	 */
 	reconcile(group: string, versionSeen: number, fromAddress: string): void;
@@ -30,15 +31,15 @@
 	readonly log: Log;
 };
 
-/** Asks for what a peer holds above a version, page by page. */
+/** Requests one page of the entries that a peer holds above a version. */
 export type EntriesRequest = {
 	readonly since: number;
-	/** The last name of the page before; empty for the first page. */
+	/** The last group name of the previous page; empty for the first page. */
 	readonly after: string;
 };
 
-/** One page of what a peer holds. */
-export type EntriesAnswer = {
+/** One page of the entries that a peer holds. */
+export type EntriesResponse = {
 	readonly entries: readonly GroupEntry[];
 	readonly more: boolean;
 	/** The peer's revision when it made this page. */
@@ -48,7 +49,7 @@
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		'configuration-all': {req: EntriesRequest; res: EntriesAnswer};
+		'configuration-all': {req: EntriesRequest; res: EntriesResponse};
 		'configuration-get': {req: {readonly group: string}; res: {readonly entry?: GroupEntry}};
 		'configuration-offer': {req: {readonly entry: GroupEntry}; res: {readonly taken: boolean}};
 	}
@@ -60,93 +61,93 @@
 	}
 }
 
-/** Groups to a page: about 100 KB in a frame. */
+/** Groups per page: about 100 KB in a frame. */
 const PAGE_SIZE = 100;
 const CALL_TIMEOUT_MS = 1000;
-/** Peers to which a change just accepted is offered, each of which offers it on: all of nine hosts, and 99.97% of many. */
+/** Number of random peers to which each accepted change is offered. They offer it on in turn, which reaches all of nine hosts and 99.97% of a large fleet. */
 const FANOUT = 8;
-/** How often the store's silence is looked at, give or take a quarter. */
+/** Mean interval between checks for a silent store; each pause differs from it by up to a quarter. */
 const PULL_INTERVAL_MS = 1000;
-/** The store counts as silent after this long: a watch that works answers more often. */
+/** The store counts as silent after this long without a response: a working watch gets responses more often. */
 const STORE_SILENT_MS = 3000;
-/** Shortest time between two exchanges about one group with one peer. */
+/** Minimum interval between two exchanges about the same group with the same peer. */
 const RECONCILE_INTERVAL_MS = 1000;
-/** Exchanges about single groups that run at once; what comes beside them is left to the next frame. */
-const MAX_RECONCILING = 8;
-/** Addresses of callers remembered for a host that has no list of peers yet. */
-const MAX_HEARD = 16;
+/** Maximum number of exchanges about single groups that run at once. Further ones are skipped; the next frame triggers them again. */
+const MAX_CONCURRENT_EXCHANGES = 8;
+/** Maximum number of peers remembered from their calls and frames, for a host that has no host list yet. */
+const MAX_RECENT_PEERS = 16;
 
 const entriesRequestSchema = z.object({since: z.int().min(0), after: z.string()});
-const entriesAnswerSchema = z.object({
+const entriesResponseSchema = z.object({
 	entries: z.array(z.unknown()), more: z.boolean(), revision: z.int().min(0), loaded: z.boolean(),
 });
 const getRequestSchema = z.object({group: z.string()});
-const getAnswerSchema = z.object({entry: z.unknown()});
+const getResponseSchema = z.object({entry: z.unknown()});
 const offerRequestSchema = z.object({entry: z.unknown()});
 
-/** Creates the exchange of configuration with other proxies and registers its peer calls. */
+/** Creates the service that exchanges configuration with other proxies, and registers its peer calls. */
 export function createConfigurationPeers(options: ConfigurationPeersOptions): ConfigurationPeers {
 	const {configuration, peers, hosts, clock, random} = options;
 	const log = options.log.part('configuration peers: ');
 	const stopped = new AbortController();
 	const rotation = createPeerRotation(random);
-	const heard = new Set<string>();
-	/** When each exchange began, the oldest first. */
+	const recentPeers = new Set<string>();
+	/** Start time of each recent exchange by group and peer, the oldest first. */
 	const reconciledAt = new Map<string, number>();
-	let reconciling = 0;
+	let runningExchanges = 0;
 
 	const getPeerAddresses = () => {
 		const usable = hosts.getUsable(clock.now()).filter(host => host.role === 'proxy').map(host => host.address);
-		const addresses = usable.length > 1 ? usable : [...usable, ...heard];
+		const addresses = usable.length > 1 ? usable : [...usable, ...recentPeers];
 		return addresses.filter(address => address !== hosts.self.address);
 	};
 
-	const hear = (address: string) => {
-		heard.delete(address);
-		heard.add(address);
-		if (heard.size > MAX_HEARD) {
-			heard.delete([...heard][0]!);
+	const rememberPeer = (address: string) => {
+		recentPeers.delete(address);
+		recentPeers.add(address);
+		if (recentPeers.size > MAX_RECENT_PEERS) {
+			recentPeers.delete([...recentPeers][0]!);
 		}
 	};
 
-	/** Draws up to `count` different addresses. */
-	const draw = (count: number) => {
+	/** Returns up to `count` different addresses in random order. */
+	const pickRandomPeers = (count: number) => {
 		const addresses = getPeerAddresses();
-		const drawn: string[] = [];
-		while (drawn.length < count && addresses.length > 0) {
+		const picked: string[] = [];
+		while (picked.length < count && addresses.length > 0) {
 			const index = Math.floor(random.fraction() * addresses.length);
-			drawn.push(...addresses.splice(index, 1));
+			picked.push(...addresses.splice(index, 1));
 		}
 
-		return drawn;
+		return picked;
 	};
 
 	const pullFrom = async (address: string) => {
 		const since = configuration.loaded ? configuration.revision : 0;
 		const entries: unknown[] = [];
 		let after = '';
-		let first: z.infer<typeof entriesAnswerSchema> | undefined;
+		let first: z.infer<typeof entriesResponseSchema> | undefined;
 		let more = true;
 		while (more) {
-			const page = entriesAnswerSchema.parse(await peers.call(address, 'configuration-all', {since, after}, CALL_TIMEOUT_MS));
-			// The peer's revision may rise between pages; what it held at the first page is in all of them together.
+			const page = entriesResponseSchema.parse(await peers.call(address, 'configuration-all', {since, after}, CALL_TIMEOUT_MS));
+			// The peer's revision may rise between pages. The pages together are complete only up to its revision at the first one.
 			first ??= page;
 			entries.push(...page.entries);
 			after = getLastName(page.entries);
 			more = page.more && page.entries.length > 0;
 		}
 
-		configuration.takePeerEntries({
+		configuration.applyPeerEntries({
 			since, entries, revision: first?.revision ?? 0, loaded: first?.loaded ?? false,
 		});
 	};
 
 	/*
-	 * Failure: the store is down, or this host alone is cut off from it, and a host that restarts then has no
-	 * configuration while one that runs keeps an old one. Another proxy holds what the store told it, with the revision
-	 * up to which it is complete, so asking one at a time catches up as a watch would.
+	 * Failure: the store is down, or only this host is cut off from it. A host that restarts then has no configuration,
+	 * and a running one keeps an old one. Other proxies hold the entries that they received from the store and the
+	 * revision up to which these are complete, so pulling from one peer at a time catches up as a watch would.
 	 */
-	const pullWhereStoreIsSilent = async () => {
+	const pullIfStoreSilent = async () => {
 		const isSilent = configuration.getStoreSilenceMs(clock.now()) >= STORE_SILENT_MS;
 		const address = isSilent ? rotation.next(getPeerAddresses()) : undefined;
 		if (address === undefined) {
@@ -155,57 +156,57 @@
 
 		await pullFrom(address).catch((err: unknown) => {
 			rotation.drop(address);
-			log.debug('a peer gave no configuration', {address, err});
+			log.debug('could not pull the configuration from a peer', {address, err});
 		});
 	};
 
 	const runPulls = async () => {
 		while (!stopped.signal.aborted) {
 			await clock.sleep(PULL_INTERVAL_MS * (0.75 + (random.fraction() / 2)), stopped.signal);
-			await pullWhereStoreIsSilent();
+			await pullIfStoreSilent();
 		}
 	};
 
 	const offerTo = async (address: string, entry: GroupEntry) => {
 		await peers.call(address, 'configuration-offer', {entry}, CALL_TIMEOUT_MS).catch((err: unknown) => {
-			log.debug('a peer did not answer an offer', {address, group: entry.name, err});
+			log.debug('could not offer a group to a peer', {address, group: entry.name, err});
 		});
 	};
 
 	const getFrom = async (address: string, group: string) => {
 		try {
-			const {entry} = getAnswerSchema.parse(await peers.call(address, 'configuration-get', {group}, CALL_TIMEOUT_MS));
+			const {entry} = getResponseSchema.parse(await peers.call(address, 'configuration-get', {group}, CALL_TIMEOUT_MS));
 			if (entry !== undefined) {
-				configuration.takePeerEntry(entry);
+				configuration.applyPeerEntry(entry);
 			}
 		} catch (err) {
-			log.debug('a peer gave no group', {address, group, err});
+			log.debug('could not get a group from a peer', {address, group, err});
 		}
 	};
 
-	/** Lets few exchanges through, and one about a group with a peer per interval: every frame of a busy link carries a version. */
+	/** Limits the number of concurrent exchanges, and their rate for each group and peer: every frame of a busy link carries a version. */
 	const mayReconcile = (key: string, now: number) => {
-		for (const [older, at] of reconciledAt) {
-			if (now - at < RECONCILE_INTERVAL_MS) {
+		for (const [oldKey, startedAt] of reconciledAt) {
+			if (now - startedAt < RECONCILE_INTERVAL_MS) {
 				break;
 			}
 
-			reconciledAt.delete(older);
+			reconciledAt.delete(oldKey);
 		}
 
-		return reconciling < MAX_RECONCILING && !reconciledAt.has(key);
+		return runningExchanges < MAX_CONCURRENT_EXCHANGES && !reconciledAt.has(key);
 	};
 
 	const exchange = async (group: string, versionSeen: number, address: string) => {
-		reconciling++;
+		runningExchanges++;
 		const entry = configuration.getEntry(group);
 		await (entry && versionSeen < entry.version ? offerTo(address, entry) : getFrom(address, group));
-		reconciling--;
+		runningExchanges--;
 	};
 
 	/*
-	 * Failure: this host missed a change that a peer has, or the other way round, and the two decide by different
-	 * limits. Each frame carries its sender's version, so the first one exchanged shows it.
+	 * Failure: this host missed a change that a peer has, or the other way round, and the two apply different limits.
+	 * Each frame carries its sender's version, so the first frame between them shows the difference.
 	 */
 	const reconcile = (group: string, versionSeen: number, fromAddress: string) => {
 		const version = configuration.getEntry(group)?.version ?? 0;
@@ -215,18 +216,18 @@
 			return;
 		}
 
-		hear(fromAddress);
+		rememberPeer(fromAddress);
 		reconciledAt.set(key, now);
 		void exchange(group, versionSeen, fromAddress);
 	};
 
 	configuration.onOffer(entry => {
-		for (const address of draw(FANOUT)) {
+		for (const address of pickRandomPeers(FANOUT)) {
 			void offerTo(address, entry);
 		}
 	});
 	peers.handle('configuration-all', async (req, from) => {
-		hear(from.address);
+		rememberPeer(from.address);
 		const {since, after} = entriesRequestSchema.parse(req);
 		const entries = configuration.getEntries(since).filter(entry => entry.name > after);
 		return {
@@ -238,8 +239,8 @@
 	});
 	peers.handle('configuration-get', async req => ({entry: configuration.getEntry(getRequestSchema.parse(req).group)}));
 	peers.handle('configuration-offer', async (req, from) => {
-		hear(from.address);
-		return {taken: configuration.takeOffer(offerRequestSchema.parse(req).entry)};
+		rememberPeer(from.address);
+		return {taken: configuration.applyOffer(offerRequestSchema.parse(req).entry)};
 	});
 
 	return {
--- a/src/configuration/configuration-watch.ts
+++ b/src/configuration/configuration-watch.ts
@@ -6,33 +6,33 @@
 import {withinMs} from '../time/deadline.js';
 import type {ConfigurationState} from './create-configuration.js';
 
-/** Options of {@link createConfigurationWatch}. Times are in milliseconds; docs/notes/configuration.md has the figures behind the defaults. */
+/** Options of {@link createConfigurationWatch}, with times in milliseconds. The figures behind the defaults are in docs/notes/configuration.md. */
 export type ConfigurationWatchOptions = {
 	readonly configuration: ConfigurationState;
 	readonly platform: Platform;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Log;
-	/** How long a watch waits in the store. */
+	/** How long the store holds a watch open while nothing changes. */
 	readonly waitMs?: number;
-	/** Mean time between two full lists. */
+	/** Mean interval between two full lists. */
 	readonly listIntervalMs?: number;
 };
 
-/** How long an answer may be on its way before the store is asked again. */
-const ANSWER_MS = 1000;
-const LIST_ANSWER_MS = 3000;
-/** How long a slow answer is still taken after a failure, while the store is asked again beside it. */
-const PATIENCE_MS = 8000;
-/** Mean pause after an answer that came before the wait's end, half of it up to half more, so that the calls of a fleet woken at once spread. */
-const SPREAD_MS = 1000;
+/** How long a response may take, beyond the watch's own wait, before the next request is sent. */
+const RESPONSE_TIMEOUT_MS = 1000;
+const LIST_RESPONSE_TIMEOUT_MS = 3000;
+/** How long a late response is still accepted, while further requests are already under way. */
+const LATE_RESPONSE_TIMEOUT_MS = 8000;
+/** Mean pause after a watch that returned before its wait was over. The pause varies by up to half, so that the calls of a fleet that was notified at once are spread. */
+const MEAN_SPREAD_MS = 1000;
 const MIN_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 4000;
 
 /**
- * Creates the tasks that take the configuration from the store: one lists once and then watches, one lists again now and then.
+ * Creates the tasks that load the configuration from the store: one lists all groups once and then watches for changes, the other repeats the full list at long intervals.
  *
- * Starting does not wait for the first answer; `loaded` of the configuration tells when it came.
+ * Starting does not wait for the first response; `loaded` of the configuration shows whether the configuration is complete.
  */
 export function createConfigurationWatch(options: ConfigurationWatchOptions): Service {
 	const {configuration, platform, clock, random, waitMs = 2000, listIntervalMs = 3_600_000} = options;
@@ -41,72 +41,72 @@
 	let failures = 0;
 
 	const list = async () => {
-		const answer = await platform.list(ObjectKind.Group, '', PATIENCE_MS);
+		const groups = await platform.list(ObjectKind.Group, '', LATE_RESPONSE_TIMEOUT_MS);
 		if (!stopped.signal.aborted) {
-			configuration.takeList(answer, clock.now());
+			configuration.takeList(groups, clock.now());
 		}
 	};
 
 	const watch = async (wait: number, timeoutMs: number) => {
 		const changes = await platform.watch(ObjectKind.Group, configuration.revision, wait, timeoutMs);
 		if (!stopped.signal.aborted) {
-			configuration.takeChanges(changes, clock.now());
+			configuration.applyChanges(changes, clock.now());
 		}
 	};
 
-	/** Asks the store once; tells whether it answered in time. */
-	const ask = async () => {
+	/** Sends one request to the store; the result says whether it timed out. Rejects where the call fails. */
+	const sendRequest = async () => {
 		if (!configuration.loaded) {
-			return withinMs(clock, LIST_ANSWER_MS, list());
+			return withinMs(clock, LIST_RESPONSE_TIMEOUT_MS, list());
 		}
 
 		/*
-		 * Failure: the store is slow, or its silence ends while a call hangs. A patient host would learn of a change only
-		 * when the hanging call is given up, an impatient one never. So after a failure the store is asked for an answer
-		 * at once, and asked again soon, while a late answer is still taken.
+		 * Failure: the store is slow, or it recovers while a call hangs. With a long timeout the host would learn of a
+		 * change only when the hanging call is given up, with a short one never. So after a failure the requests ask
+		 * for an immediate response and are repeated soon, while late responses are still accepted.
 		 */
 		if (failures > 0) {
-			return withinMs(clock, ANSWER_MS, watch(0, PATIENCE_MS));
+			return withinMs(clock, RESPONSE_TIMEOUT_MS, watch(0, LATE_RESPONSE_TIMEOUT_MS));
 		}
 
 		/*
-		 * Failure: the watch goes silent for good while new calls work; the host would keep an old configuration without
-		 * a sign. The wait is short and the call bounded, so the next call, which asks again from the same revision,
-		 * brings whatever the dead one withheld.
+		 * Failure: a watch never returns although new calls work, and the host would keep an old configuration
+		 * unnoticed. The wait is short and the call has a timeout, so the next call, which starts from the same
+		 * revision, returns the changes that the dead one missed.
 		 */
-		const boundMs = waitMs + ANSWER_MS;
-		return withinMs(clock, boundMs, watch(waitMs, boundMs));
+		const totalTimeoutMs = waitMs + RESPONSE_TIMEOUT_MS;
+		return withinMs(clock, totalTimeoutMs, watch(waitMs, totalTimeoutMs));
 	};
 
-	/** Asks the store once; returns the pause until it is to be asked again. */
-	const takeNext = async () => {
+	/** Sends one request to the store; returns the pause before the next one in milliseconds. */
+	const poll = async () => {
 		const startedAt = clock.now();
-		const answered = await ask().then(({timedOut}) => !timedOut, (err: unknown) => {
-			log.debug('the store gave no answer', {failures, err});
+		const succeeded = await sendRequest().then(({timedOut}) => !timedOut, (err: unknown) => {
+			log.debug('a call to the store failed', {failures, err});
 			return false;
 		});
-		if (!answered) {
+		if (!succeeded) {
 			failures++;
 			return getBackoffMs(failures, random.fraction());
 		}
 
 		failures = 0;
-		return clock.now() - startedAt < waitMs ? SPREAD_MS * (0.5 + random.fraction()) : 0;
+		return clock.now() - startedAt < waitMs ? MEAN_SPREAD_MS * (0.5 + random.fraction()) : 0;
 	};
 
 	const runWatch = async () => {
 		while (!stopped.signal.aborted) {
-			const pauseMs = await takeNext();
+			const pauseMs = await poll();
 			await clock.sleep(pauseMs, stopped.signal);
 		}
 	};
 
-	/** Heals whatever a watch may have missed, at a share of the host's traffic that stays small. */
+	/** Lists all groups now and then to repair whatever the watch missed; the interval keeps this a small share of the host's traffic. */
 	const runLists = async () => {
 		while (!stopped.signal.aborted) {
 			await clock.sleep(listIntervalMs * (0.5 + random.fraction()), stopped.signal);
 			await list().catch((err: unknown) => {
-				log.debug('the store gave no list', {err});
+				log.debug('could not list the groups in the store', {err});
 			});
 		}
 	};
@@ -122,8 +122,8 @@
 	};
 }
 
-/** Doubles from {@link MIN_BACKOFF_MS} to {@link MAX_BACKOFF_MS}, of which the chance takes up to a half off. */
-function getBackoffMs(failures: number, chance: number): number {
+/** Returns a backoff that doubles from {@link MIN_BACKOFF_MS} to {@link MAX_BACKOFF_MS}, shortened by up to half as jitter: `fraction` is a random number from 0 to 1. */
+function getBackoffMs(failures: number, fraction: number): number {
 	const ceiling = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * (2 ** (failures - 1)));
-	return ceiling * (1 - (chance / 2));
+	return ceiling * (1 - (fraction / 2));
 }
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -1,29 +1,30 @@
 import type {GroupConfig} from '../groups/group-config.js';
 
-/** A group's configuration with the platform version that carries it. */
+/** A group's configuration with its version in the platform's store. */
 export type VersionedGroup = {
 	readonly version: number;
 	readonly cfg: GroupConfig;
-	/** True once the group was deleted; kept so that an older version cannot come back. */
+	/** True once the group was deleted. The deleted entry is kept so that an older version cannot replace it. */
 	readonly deleted?: boolean;
 };
 
 /**
- * The configuration this host has in force: for each group the highest version ever seen, from the store
+ * The configuration in force on this host: for each group the highest version ever received, from the store
  * or from any peer, and never a lower one.
  */
 export type Configuration = {
-	/** The group's configuration, undefined where none is known or it was deleted. */
+	/** Returns the group's configuration; undefined where none is known or the group was deleted. */
 	getGroup(name: string): VersionedGroup | undefined;
+	/** Like `getGroup`, but throws a ConfigurationError instead of returning undefined. */
 	getGroupOrThrow(name: string): VersionedGroup;
 	getGroups(): readonly VersionedGroup[];
-	/** Takes a version in force unless a higher one is; tells whether it was taken. */
+	/** Puts a version in force unless it is superseded; returns whether it did. */
 	offer(name: string, candidate: VersionedGroup): boolean;
-	/** Calls back after every version taken in force. */
+	/** Calls the listener after every version that comes into force. */
 	onChange(listener: (name: string, current: VersionedGroup) => void): void;
-	/** True once the store or a peer has told the whole configuration at least once. */
+	/** True once the whole configuration was received at least once, from the store or a peer. */
 	readonly loaded: boolean;
-	/** Highest store revision seen. */
+	/** The store revision up to which every change was received. */
 	readonly revision: number;
 };
 
--- a/src/configuration/create-configuration.ts
+++ b/src/configuration/create-configuration.ts
@@ -7,62 +7,62 @@
 } from './group-entry.js';
 
 /**
- * The configuration in force, with what its watch and its peers need of it.
+ * The configuration in force, with the members that the watch of the store and the exchange with peers use.
  *
- * `revision` is the store revision up to which this host has taken every change; an offer of a single group never raises it.
+ * `revision` is the store revision up to which this host has received every change; an offer of a single group never raises it.
  */
 export type ConfigurationState = Configuration & {
-	/** Takes the whole of the groups from the store. */
+	/** Applies a full list of the groups in the store. */
 	takeList(list: PlatformList, now: number): void;
-	/** Takes from the store what changed after some revision that was at or under `revision`. */
-	takeChanges(changes: PlatformList, now: number): void;
-	/** Takes what a peer holds above `since`, once all its pages are there. */
-	takePeerEntries(told: PeerEntries): void;
-	/** Takes one entry that a peer holds, on this host's asking; tells whether it was taken. */
-	takePeerEntry(candidate: unknown): boolean;
-	/** Takes what a peer offers of its own accord, as `offer` does. */
-	takeOffer(candidate: unknown): boolean;
-	/** Calls back after every offer taken in force, and for nothing else. */
+	/** Applies the changes in the store after some revision that was not above `revision`. */
+	applyChanges(changes: PlatformList, now: number): void;
+	/** Applies the entries that a peer holds above `since`, once all its pages have arrived. */
+	applyPeerEntries(received: PeerEntries): void;
+	/** Applies one entry that this host requested from a peer; returns whether it came into force. */
+	applyPeerEntry(candidate: unknown): boolean;
+	/** Applies an entry that a peer offers unasked, as `offer` does; returns whether it came into force. */
+	applyOffer(candidate: unknown): boolean;
+	/** Calls the listener after every offer that comes into force, but not for entries from other sources. */
 	onOffer(listener: (entry: GroupEntry) => void): void;
-	/** What is in force of a group, deleted or not. */
+	/** Returns the entry in force for a group, deleted or not. */
 	getEntry(name: string): GroupEntry | undefined;
-	/** What is in force of all groups above a version, deleted ones too, by name. */
+	/** Returns the entries in force above a version, including those of deleted groups, sorted by name. */
 	getEntries(since: number): readonly GroupEntry[];
-	/** How long ago the store last answered, in milliseconds; Infinity before the first answer. */
+	/** Returns the time since the store's last response, in milliseconds; Infinity before the first one. */
 	getStoreSilenceMs(now: number): number;
 };
 
-/** What a peer told of the groups it holds. */
+/** The entries that a peer holds above a version. */
 export type PeerEntries = {
-	/** The revision above which the peer was asked. */
+	/** The version above which entries were requested. */
 	readonly since: number;
-	/** The peer's own `revision` when it began to tell. */
+	/** The peer's own `revision` when it made the first page. */
 	readonly revision: number;
-	/** Whether the peer itself had been told the whole configuration. */
+	/** Whether the peer itself had received the whole configuration. */
 	readonly loaded: boolean;
 	readonly entries: readonly unknown[];
 };
 
-/** Creates a configuration that knows nothing yet. */
+/** Creates an empty configuration. */
 export function createConfiguration({log}: {readonly log: Log}): ConfigurationState {
 	const ownLog = log.part('configuration: ');
 	const entries = new Map<string, GroupEntry>();
-	/** Versions from the store that were refused as malformed, by name. */
+	/** Versions from the store that were rejected as malformed, by group name. */
 	const malformed = new Map<string, number>();
 	const changeListeners: Array<(name: string, current: VersionedGroup) => void> = [];
 	const offerListeners: Array<(entry: GroupEntry) => void> = [];
 	let loaded = false;
 	let revision = 0;
-	let storeSeenAt = -Infinity;
+	let lastStoreResponseAt = -Infinity;
 
 	/*
-	 * Failure: a late answer, a stale peer or a proxy that restarted from one brings an older version, and a drain
-	 * order or a limit that was accepted is undone on this host alone. Versions only rise in the store, so the highest
-	 * one seen is the newest that was accepted, wherever it was heard.
+	 * Failure: a late response, a stale peer or a proxy that restarted from one delivers an older version, and an
+	 * accepted drain order or limit is undone on this host alone. Versions only rise in the store, so the highest
+	 * version received is the newest accepted one, whatever its source.
 	 *
-	 * A group that is unknown here although every change up to the version offered was taken has been deleted; what
-	 * offers it has missed that, unless it is the store itself, as of now. Where the store's own object was refused,
-	 * an older good version is still wanted.
+	 * If every change up to the candidate's version was received and the group is unknown here, the group was deleted
+	 * and the sender missed that, unless the sender is the store itself and its list is not older than `revision`. If
+	 * the store's own object was rejected as malformed, an older valid version is still accepted.
 	 */
 	const isSuperseded = ({name, version}: GroupEntry, asOf: number) => {
 		const current = entries.get(name);
@@ -80,7 +80,7 @@
 		}
 	};
 
-	/** @param asOf The store revision of the answer that carried the entry; 0 from elsewhere. */
+	/** @param asOf The store revision of the response that contained the entry; 0 for other sources. */
 	const accept = (entry: GroupEntry, asOf = 0) => {
 		if (isSuperseded(entry, asOf)) {
 			return false;
@@ -89,7 +89,7 @@
 		entries.set(entry.name, entry);
 		const fields = {group: entry.name, version: entry.version, deleted: entry.deleted};
 		if (loaded) {
-			ownLog.info('took a version in force', fields);
+			ownLog.info('a group version came into force', fields);
 		}
 
 		notify(entry);
@@ -105,8 +105,8 @@
 		return accept(entry);
 	};
 
-	/** Deletes what is known of a group up to a store revision; a group made after it stays. */
-	const bury = (name: string, version: number) => {
+	/** Marks a group as deleted as of a store revision; a version above that revision stays. */
+	const markDeleted = (name: string, version: number) => {
 		const current = entries.get(name);
 		if (current && !current.deleted) {
 			accept({...current, version, deleted: true});
@@ -114,13 +114,13 @@
 	};
 
 	/*
-	 * Failure: an object is put into the store by hand or by a newer release and does not pass the checks. It is
-	 * refused and logged once; the last good version stays in force, and the other groups are taken as ever.
+	 * Failure: an object that was put into the store by hand or by a newer release is invalid. It is rejected and
+	 * logged once; the last valid version stays in force, and the other groups are applied as usual.
 	 */
-	const takeStored = (object: PlatformObject, asOf: number) => {
+	const applyStored = (object: PlatformObject, asOf: number) => {
 		if (object.deleted) {
 			malformed.delete(object.name);
-			bury(object.name, object.version);
+			markDeleted(object.name, object.version);
 			return;
 		}
 
@@ -136,23 +136,23 @@
 		}
 	};
 
-	const takeStoredList = (list: PlatformList, now: number) => {
-		storeSeenAt = Math.max(storeSeenAt, now);
+	const applyStoredList = (list: PlatformList, now: number) => {
+		lastStoreResponseAt = Math.max(lastStoreResponseAt, now);
 		for (const object of list.objects) {
-			takeStored(object, list.revision);
+			applyStored(object, list.revision);
 		}
 	};
 
-	const takeOffer = (candidate: unknown) => {
+	const applyOffer = (candidate: unknown) => {
 		const checked = checkEntry(candidate);
-		const taken = acceptChecked(checked, 'offer');
-		if (checked.entry && taken) {
+		const applied = acceptChecked(checked, 'offer');
+		if (checked.entry && applied) {
 			for (const listener of offerListeners) {
 				listener(checked.entry);
 			}
 		}
 
-		return taken;
+		return applied;
 	};
 
 	const getGroup = (name: string) => {
@@ -164,7 +164,7 @@
 		getGroup,
 		getGroupOrThrow: name => getGroup(name) ?? throwGroupUnknown(name),
 		getGroups: () => [...entries.values()].filter(entry => !entry.deleted),
-		offer: (name, candidate) => takeOffer({...candidate, name}),
+		offer: (name, candidate) => applyOffer({...candidate, name}),
 		onChange(listener) {
 			changeListeners.push(listener);
 		},
@@ -175,35 +175,35 @@
 			return revision;
 		},
 		takeList(list, now) {
-			takeStoredList(list, now);
+			applyStoredList(list, now);
 			const listed = new Set(list.objects.map(object => object.name));
 			const missing = [...entries.keys()].filter(name => !listed.has(name));
 			for (const name of missing) {
-				bury(name, list.revision);
+				markDeleted(name, list.revision);
 			}
 
 			loaded = true;
 			revision = Math.max(revision, list.revision);
 		},
-		takeChanges(changes, now) {
-			takeStoredList(changes, now);
+		applyChanges(changes, now) {
+			applyStoredList(changes, now);
 			revision = Math.max(revision, changes.revision);
 		},
-		takePeerEntries(told) {
-			const checked = told.entries.map(candidate => checkEntry(candidate));
+		applyPeerEntries(received) {
+			const checked = received.entries.map(candidate => checkEntry(candidate));
 			for (const each of checked) {
 				acceptChecked(each, 'peer');
 			}
 
-			const complete = told.loaded && told.since <= revision;
+			const complete = received.loaded && received.since <= revision;
 			loaded ||= complete;
-			// What was refused here is asked for again, so the revision stays below it.
+			// If an entry was rejected, the revision is not raised, so that the next pull requests the entry again.
 			if (complete && checked.every(({entry}) => entry)) {
-				revision = Math.max(revision, told.revision);
+				revision = Math.max(revision, received.revision);
 			}
 		},
-		takeOffer,
-		takePeerEntry: candidate => acceptChecked(checkEntry(candidate), 'peer'),
+		applyOffer,
+		applyPeerEntry: candidate => acceptChecked(checkEntry(candidate), 'peer'),
 		onOffer(listener) {
 			offerListeners.push(listener);
 		},
@@ -211,6 +211,6 @@
 		getEntries: since => [...entries.values()]
 			.filter(entry => entry.version > since)
 			.toSorted((left, right) => left.name < right.name ? -1 : 1),
-		getStoreSilenceMs: now => now - storeSeenAt,
+		getStoreSilenceMs: now => now - lastStoreResponseAt,
 	};
 }
--- a/tests/configuration/configuration-fleet.ts
+++ b/tests/configuration/configuration-fleet.ts
@@ -15,7 +15,7 @@
 import {createFaultGate} from '../../src/stand-ins/platform/platform-faults.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** One proxy as far as the configuration goes. */
+/** The parts of one proxy that handle the configuration. */
 export type FleetProxy = {
 	readonly address: string;
 	readonly platform: InMemoryPlatform;
@@ -23,9 +23,9 @@
 	readonly configurationPeers: ConfigurationPeers;
 	/** What was logged as an error. */
 	readonly errors: readonly string[];
-	/** Ends its tasks, as when its process dies. */
+	/** Stops its tasks, as a crash of its process would. */
 	stop(): Promise<void>;
-	/** Every group's version in force, as `a@1 b@2`. */
+	/** Returns every group's version in force, as `a@1 b@2`. */
 	show(): string;
 };
 
@@ -37,7 +37,7 @@
 	readonly withoutHosts?: boolean;
 };
 
-/** A group's configuration as tests tell versions apart: by its read-age limit. */
+/** Creates a group's configuration; tests tell versions apart by the read-age limit. */
 export const createGroupConfig = (name: string, readAgeLimitMs = 1000): GroupConfig => groupConfigSchema.parse({
 	name,
 	readAgeLimitMs,
@@ -46,7 +46,7 @@
 	}],
 });
 
-/** Proxies in one process on a virtual clock, with a store, a fake of the links between them, and a watch on reverts. */
+/** Creates proxies in one process on a virtual clock, with a store, fake links between them, and a record of reverts. */
 export const createFleet = ({size = 3, seed = 1, withoutHosts = false}: FleetOptions = {}) => {
 	const clock = createVirtualClock();
 	const store = createObjectStore({clock});
@@ -120,7 +120,7 @@
 		};
 	};
 
-	/** Writes a group into the store; returns what a proxy would offer then. */
+	/** Writes a group into the store; returns the version that the writing proxy would offer. */
 	const put = (name: string, readAgeLimitMs: number, more: Partial<StoredGroup> = {}) => {
 		const value = {
 			cfg: createGroupConfig(name, readAgeLimitMs), audit: [], nextArchive: 0, deleted: false, ...more,
@@ -134,7 +134,7 @@
 
 	return {
 		clock, store, gate, cut, reverts, peerCalls, put, start,
-		/** Starts all proxies and lets them load what the store holds. */
+		/** Starts all proxies and lets them load the configuration from the store. */
 		async startAll() {
 			const proxies = [];
 			for (const [index] of addresses.entries()) {
--- a/tests/configuration/configuration-peers-tests.ts
+++ b/tests/configuration/configuration-peers-tests.ts
@@ -5,14 +5,14 @@
 
 type Example = {
 	readonly title: string;
-	/** Acts on two proxies that know group a at version 1, the second without a way to the store; returns what is shown. */
+	/** Acts on two proxies that have group a in force at version 1, the second cut off from the store; returns the result to check. */
 	run(fleet: Fleet, fresh: FleetProxy, stale: FleetProxy): Promise<unknown>;
 	readonly expected: unknown;
 };
 
 const examples: readonly Example[] = [
 	{
-		title: 'a frame with a higher version has the group fetched',
+		title: 'a frame with a higher version causes the group to be fetched',
 		async run({put, clock}, fresh, stale) {
 			put('a', 2000);
 			await clock.advance(10);
@@ -23,7 +23,7 @@
 		expected: 'a@2',
 	},
 	{
-		title: 'a frame with a lower version has the group offered to its sender',
+		title: 'a frame with a lower version causes the group to be offered to its sender',
 		async run({put, clock}, fresh, stale) {
 			put('a', 2000);
 			await clock.advance(10);
@@ -34,7 +34,7 @@
 		expected: 'a@2',
 	},
 	{
-		title: 'an unknown group is fetched, and one that the peer lacks is left',
+		title: 'an unknown group is fetched, and one that the peer lacks stays unknown',
 		async run({put, clock}, fresh, stale) {
 			put('c', 2000);
 			await clock.advance(10);
@@ -46,7 +46,7 @@
 		expected: 'a@1 c@2',
 	},
 	{
-		// A busy link carries thousands of frames a second, each with the newer version, while the answer is on its way.
+		// A busy link carries thousands of frames a second, each with the newer version, while the response is on its way.
 		title: 'the frames of a busy link cause one call a second',
 		async run({put, clock, peerCalls}, fresh, stale) {
 			put('a', 2000);
@@ -83,8 +83,8 @@
 		expected: 8,
 	},
 	{
-		// A release with a fault, or a peer with bad memory, offers what no operator could have written.
-		title: 'a malformed offer is refused, logged and answered',
+		// A faulty release, or a peer with bad memory, offers a configuration that no operator could have written.
+		title: 'a malformed offer is rejected, logged and not offered on',
 		async run({clock}, fresh, stale) {
 			const bad = {...createGroupConfig('a', 5000), owners: 1000};
 			fresh.configuration.onOffer(() => {
@@ -114,8 +114,8 @@
 		expected: [251, 251],
 	},
 	{
-		// A group changes on the peer after the page with its name has left, while the later pages are on their way.
-		title: 'a change between two pages is pulled next time',
+		// A group changes on the peer after the page with its name was sent, while the later pages are on their way.
+		title: 'a change between two pages is received by the next pull',
 		async run({put, clock, peerCalls, store}, fresh, stale) {
 			for (let i = 0; i < 250; i++) {
 				put(`g${i}`, 1000);
@@ -127,14 +127,14 @@
 			}
 
 			put('a', 2000);
-			fresh.configuration.takeChanges({revision: store.revision, objects: [store.get('group', 'a')!]}, clock.now());
+			fresh.configuration.applyChanges({revision: store.revision, objects: [store.get('group', 'a')!]}, clock.now());
 			await clock.advance(6000);
 			return stale.configuration.getEntry('a')?.version;
 		},
 		expected: 252,
 	},
 	{
-		title: 'a peer that was told nothing itself does not make the configuration loaded',
+		title: 'entries from a peer that has not loaded its configuration do not make this one loaded',
 		async run({clock, start, gate}) {
 			gate.faults.outage = 'silent';
 			const first = await start(0);
@@ -145,10 +145,10 @@
 		expected: [false, false],
 	},
 	{
-		title: 'what a peer tells that fails the checks is asked for again, and the rest is taken',
+		title: 'an invalid entry from a peer does not raise the revision, and the valid ones are applied',
 		async run(_fleet, fresh) {
 			const {configuration} = fresh;
-			configuration.takePeerEntries({
+			configuration.applyPeerEntries({
 				since: 1, revision: 9, loaded: true, entries: [{name: 'x'}, {
 					name: 'y', version: 8, cfg: createGroupConfig('y'), deleted: false,
 				}],
--- a/tests/configuration/configuration-property-tests.ts
+++ b/tests/configuration/configuration-property-tests.ts
@@ -6,7 +6,7 @@
 const SIZE = 5;
 const GROUPS = ['a', 'b', 'c'];
 
-/** One event: what happens, to which proxy and group, and how long nothing else does. */
+/** One event: its kind, the proxy and group that it affects, and the pause after it. */
 const event = fc.record({
 	kind: fc.constantFrom('put', 'put', 'put-and-offer', 'delete', 'cut-links', 'cut-platform', 'outage', 'silence-watches', 'stale-offer', 'slow', 'lose', 'restart', 'jump', 'heal'),
 	proxy: fc.nat(SIZE - 1),
@@ -17,8 +17,8 @@
 type Event = typeof event extends fc.Arbitrary<infer T> ? T : never;
 
 describe('configuration under random faults', () => {
-	// Any order of changes and faults, then quiet: each proxy has the store's versions in force within 6 s of the
-	// change or of the end of the faults, whichever is later, and none ever went back.
+	// After any sequence of changes and faults, each proxy has the store's versions in force within 6 s of the last
+	// change or of the end of the faults, whichever is later, and no proxy ever returns to a lower version.
 	it('is in force everywhere 6 s after the faults end, and never reverts', async () => {
 		await fc.assert(fc.asyncProperty(fc.array(event, {minLength: 5, maxLength: 25}), fc.integer({min: 1, max: 1000}), async (events, seed) => {
 			const fleet = createFleet({size: SIZE, seed});
@@ -62,7 +62,7 @@
 		},
 		'stale-offer'() {
 			const entry = proxies[(index + 1) % SIZE]!.configuration.getEntry(group);
-			return entry && proxy.configuration.takeOffer(entry);
+			return entry && proxy.configuration.applyOffer(entry);
 		},
 		slow() {
 			faults.answerDelayMs = pauseMs / 4;
--- a/tests/configuration/configuration-watch-tests.ts
+++ b/tests/configuration/configuration-watch-tests.ts
@@ -5,8 +5,8 @@
 	readonly title: string;
 	/** Runs for a minute of virtual time. */
 	run(fleet: Fleet, proxies: readonly FleetProxy[]): Promise<void>;
-	/** Most calls, the one of the minute's last moment among them, to the store that a proxy may make in that minute. */
-	readonly mostCalls: number;
+	/** Maximum calls to the store that a proxy may make in that minute, including one in its last moment. */
+	readonly maxCalls: number;
 };
 
 const MINUTE_MS = 60_000;
@@ -19,7 +19,7 @@
 		async run({clock}) {
 			await clock.advance(MINUTE_MS);
 		},
-		mostCalls: 31,
+		maxCalls: 31,
 	},
 	{
 		title: 'ten changes a second',
@@ -29,7 +29,7 @@
 				await clock.advance(100);
 			}
 		},
-		mostCalls: 61,
+		maxCalls: 61,
 	},
 	{
 		title: 'an outage that refuses at once',
@@ -37,7 +37,7 @@
 			gate.faults.outage = 'refusing';
 			await clock.advance(MINUTE_MS);
 		},
-		mostCalls: 31,
+		maxCalls: 31,
 	},
 	{
 		title: 'an outage that is silent',
@@ -45,20 +45,20 @@
 			gate.faults.outage = 'silent';
 			await clock.advance(MINUTE_MS);
 		},
-		mostCalls: 31,
+		maxCalls: 31,
 	},
 ];
 
 describe('configuration watch', () => {
-	const doTest = ({title, run, mostCalls}: Example) => {
-		it(`calls the store at most ${mostCalls} times a minute: ${title}`, async () => {
+	const doTest = ({title, run, maxCalls}: Example) => {
+		it(`calls the store at most ${maxCalls} times a minute: ${title}`, async () => {
 			const fleet = createFleet({size: 9});
 			fleet.put('a', 1000);
 			const proxies = await fleet.startAll();
 			const before = countAttempts(proxies);
 			await run(fleet, proxies);
 			await fleet.stop();
-			expect((countAttempts(proxies) - before) / proxies.length).to.be.within(1, mostCalls);
+			expect((countAttempts(proxies) - before) / proxies.length).to.be.within(1, maxCalls);
 		});
 	};
 
@@ -80,13 +80,13 @@
 		]);
 	});
 
-	it('heals by a later list what no watch told', async () => {
-		// The platform loses one notice; watches from later revisions never bring it.
+	it('repairs by a later list what every watch missed', async () => {
+		// The platform loses one notification; watches from later revisions never return that change.
 		const fleet = createFleet({size: 1});
 		fleet.put('a', 1000);
 		const [proxy] = await fleet.startAll();
 		proxy!.platform.gate.silenceOpenWatches();
-		proxy!.configuration.takeChanges({revision: 2, objects: []}, fleet.clock.now());
+		proxy!.configuration.applyChanges({revision: 2, objects: []}, fleet.clock.now());
 		fleet.put('b', 1000);
 		await fleet.clock.advance(10_000);
 		const before = proxy!.show();
--- a/tests/configuration/create-configuration-tests.ts
+++ b/tests/configuration/create-configuration-tests.ts
@@ -15,8 +15,8 @@
 };
 
 const examples: readonly Example[] = [
-	{title: 'knows nothing at first', run: configuration => [configuration.getGroup('a'), configuration.getGroups()], expected: '[null,[]]'},
-	{title: 'names a group that is not there', run: configuration => configuration.getGroupOrThrow('a'), expected: 'ConfigurationError: no group "a" is configured'},
+	{title: 'is empty at first', run: configuration => [configuration.getGroup('a'), configuration.getGroups()], expected: '[null,[]]'},
+	{title: 'throws an error that names the unknown group', run: configuration => configuration.getGroupOrThrow('a'), expected: 'ConfigurationError: no group "a" is configured'},
 	{
 		title: 'hides a deleted group',
 		run(configuration) {
@@ -26,21 +26,21 @@
 		expected: '[null,["a"]]',
 	},
 	{
-		title: 'takes an offer once, and the same version no second time',
+		title: 'accepts an offer once, and does not accept the same version again',
 		run: configuration => [1, 1, 2].map(version => configuration.offer('a', {version, cfg: createGroupConfig('a')})),
 		expected: '[true,false,true]',
 	},
 	{
-		// Answers cross: the one that left the store first comes last. Were the revision lowered, the next watch would be
-		// answered at once with what is known already, again and again.
-		title: 'does not lower its revision on a late answer',
+		// Responses arrive out of order: the one that left the store first comes last. If it lowered the revision, each
+		// following watch would return at once with changes that are known already.
+		title: 'does not lower its revision on a late response',
 		run(configuration) {
 			configuration.takeList({revision: 7, objects: []}, 0);
-			configuration.takeChanges({revision: 5, objects: []}, 0);
+			configuration.applyChanges({revision: 5, objects: []}, 0);
 			const afterChanges = configuration.revision;
 			configuration.takeList({revision: 4, objects: []}, 0);
 			const afterList = configuration.revision;
-			configuration.takePeerEntries({
+			configuration.applyPeerEntries({
 				since: 0, revision: 3, loaded: true, entries: [],
 			});
 			return [afterChanges, afterList, configuration.revision];
@@ -48,17 +48,17 @@
 		expected: '[7,7,7]',
 	},
 	{
-		title: 'takes a group that a list no longer has for deleted, unless it is newer than the list',
+		title: 'marks a group that is missing from a list as deleted, unless it is newer than the list',
 		run(configuration) {
 			configuration.takeList({revision: 2, objects: [store('a', 1), store('b', 2)]}, 0);
-			configuration.takeChanges({revision: 6, objects: [store('c', 6)]}, 0);
+			configuration.applyChanges({revision: 6, objects: [store('c', 6)]}, 0);
 			configuration.takeList({revision: 5, objects: [store('b', 2)]}, 0);
 			return configuration.getEntries(0).map(({name, version, deleted}) => [name, version, deleted]);
 		},
 		expected: '[["a",5,true],["b",2,false],["c",6,false]]',
 	},
 	{
-		title: 'takes an older good version of a group whose object is malformed',
+		title: 'accepts an older valid version of a group whose object is malformed',
 		run(configuration) {
 			configuration.takeList({revision: 9, objects: [{...store('a', 9), value: {}}]}, 0);
 			return [configuration.getGroup('a'), configuration.offer('a', {version: 3, cfg: createGroupConfig('a')})];
--- a/tests/configuration/peer-rotation-tests.ts
+++ b/tests/configuration/peer-rotation-tests.ts
@@ -11,25 +11,25 @@
 		});
 	};
 
-	const askTimes = (rotation: ReturnType<typeof createPeerRotation>, count: number, from = usable) =>
+	const takeNext = (rotation: ReturnType<typeof createPeerRotation>, count: number, from = usable) =>
 		Array.from({length: count}, () => rotation.next(from)!);
 
-	doTest('has none where none is usable', () => createPeerRotation(createSeededRandom(1)).next([]), undefined);
-	doTest('asks four in turn', () => {
-		const asked = askTimes(createPeerRotation(createSeededRandom(1)), 12);
+	doTest('returns undefined where no address is usable', () => createPeerRotation(createSeededRandom(1)).next([]), undefined);
+	doTest('uses four addresses in turn', () => {
+		const asked = takeNext(createPeerRotation(createSeededRandom(1)), 12);
 		return [new Set(asked).size, asked.slice(0, 4).join(' ') === asked.slice(4, 8).join(' ')];
 	}, [4, true]);
-	doTest('takes another member in now and then', () => new Set(askTimes(createPeerRotation(createSeededRandom(1)), 48)).size, 6);
-	doTest('replaces one that did not answer', () => {
+	doTest('replaces a member after some requests', () => new Set(takeNext(createPeerRotation(createSeededRandom(1)), 48)).size, 6);
+	doTest('replaces an address that did not respond', () => {
 		const rotation = createPeerRotation(createSeededRandom(1));
-		const [first] = askTimes(rotation, 1);
+		const [first] = takeNext(rotation, 1);
 		rotation.drop(first!);
-		const asked = askTimes(rotation, 8);
+		const asked = takeNext(rotation, 8);
 		return [asked.includes(first!), new Set(asked).size];
 	}, [false, 4]);
-	doTest('leaves those that are no longer usable', () => {
+	doTest('drops addresses that are no longer usable', () => {
 		const rotation = createPeerRotation(createSeededRandom(1));
-		askTimes(rotation, 4);
-		return new Set(askTimes(rotation, 8, ['h1', 'h2']));
+		takeNext(rotation, 4);
+		return new Set(takeNext(rotation, 8, ['h1', 'h2']));
 	}, new Set(['h1', 'h2']));
 });
