--- a/src/audit/audit-trail.ts
+++ b/src/audit/audit-trail.ts
@@ -6,13 +6,13 @@
 import {groupKind, OPERATORS_OBJECT, operatorsKind} from './audited-kinds.js';
 import type {AuditedKind, AuditedObject} from './change.js';
 
-/** Reads the audit trail, from beside the objects and from the archives. Rejects with PlatformError where the platform gives no answer. */
+/** Reads the audit trail from the objects themselves and from the archives. Rejects with PlatformError where the platform does not respond, with AuditError where a stored value is unreadable. */
 export type AuditTrail = {
-	/** The newest changes of everything or of one subject (a group, or `operators`), newest first. */
+	/** Returns the newest changes of all subjects or of one subject (a group, or `operators`), newest first; at most `last`. */
 	getChanges(subject: string | undefined, last: number): Promise<readonly ChangeRow[]>;
 };
 
-/** One change with what it changed. */
+/** One change with the subject that it changed. */
 export type ChangeRow = AuditEntry & {
 	/** Name of the group, or `operators`. */
 	readonly subject: string;
@@ -24,7 +24,7 @@
 
 type NamedObject = Trail & {readonly object: AnyObject};
 
-/** Creates the reader of the audit trail. */
+/** Creates a reader of the audit trail. */
 export function createAuditTrail({platform}: {readonly platform: Platform}): AuditTrail {
 	const getObject = async <T>(kind: AuditedKind<T>, name: string): Promise<AnyObject | undefined> => {
 		const object = await platform.get(kind.kind, name, CALL_TIMEOUT_MS);
@@ -56,7 +56,7 @@
 		}
 
 		const rows = trails.flatMap(({name, object}) => toRows(name, object.audit));
-		// The newest of all are beside their objects where each trail has as many there, or has no archive.
+		// The archives are not needed if each trail has no archive or has at least `last` entries in its object.
 		if (trails.some(({object}) => object.nextArchive > 0 && object.audit.length < last)) {
 			const archives = await platform.list(ObjectKind.Audit, '', CALL_TIMEOUT_MS);
 			const entries = new Map(archives.objects.map(({name, value}) => [name, parseArchive(value)]));
@@ -80,13 +80,13 @@
 	};
 }
 
-/** Newest first. */
+/** Adds the subject to each entry and returns the rows newest first. */
 function toRows(subject: string, entries: readonly AuditEntry[]): ChangeRow[] {
 	return entries.map(entry => ({...entry, subject})).toReversed();
 }
 
-// Guards against an entry shown twice: while a proxy moves entries to an archive they stand in both places, so an archive
-// counts only once its object says that it does.
+// Guards against an entry that is shown twice: while a proxy moves entries to an archive they are in both places, so an
+// archive counts only once the object's `nextArchive` is above its number.
 function getArchived(trail: NamedObject, archives: ReadonlyMap<string, readonly AuditEntry[]>): AuditEntry[] {
 	const names = Array.from({length: trail.object.nextArchive}, (_, sequence) => getArchiveName(trail, sequence));
 	return names.flatMap(name => archives.get(name) ?? []);
--- a/src/audit/audited-kinds.ts
+++ b/src/audit/audited-kinds.ts
@@ -3,11 +3,11 @@
 import {storedGroupSchema} from '../groups/stored-group.js';
 import {OperatorRole} from '../operators/operator-access.js';
 import {ObjectKind} from '../object-store/platform.js';
-import {throwNotAudited} from './audit-errors.js';
+import {throwUnreadableObject} from './audit-errors.js';
 import {auditEntrySchema} from './audit-entry.js';
 import type {AuditedKind} from './change.js';
 
-/** A group's state. */
+/** The state of a group's object. */
 export type GroupState = {
 	readonly cfg: GroupConfig;
 	readonly deleted: boolean;
@@ -19,7 +19,7 @@
 	parse(value) {
 		const parsed = storedGroupSchema.safeParse(value);
 		if (!parsed.success) {
-			throwNotAudited('group', parsed.error);
+			throwUnreadableObject('group', parsed.error);
 		}
 
 		const {cfg, deleted, audit, nextArchive} = parsed.data;
@@ -41,7 +41,7 @@
 	nextArchive: z.int().min(0).default(0),
 });
 
-/** An operator as the platform holds them; never the token itself. */
+/** An operator as stored in the platform: with the token's hash, never the token itself. */
 export type OperatorRecord = z.infer<typeof operatorRecordSchema>;
 
 /** Name of the one object of kind `system` that holds the operators. */
@@ -53,7 +53,7 @@
 	parse(value) {
 		const parsed = storedOperatorsSchema.safeParse(value);
 		if (!parsed.success) {
-			throwNotAudited('list of operators', parsed.error);
+			throwUnreadableObject('list of operators', parsed.error);
 		}
 
 		const {operators, audit, nextArchive} = parsed.data;
--- a/src/audit/change.ts
+++ b/src/audit/change.ts
@@ -1,9 +1,9 @@
 import type {ObjectKind} from '../object-store/platform.js';
 import type {AuditEntry} from './audit-entry.js';
 
-/** An object that carries its own audit entries, so that one conditional update changes both together. */
+/** An object that contains its own audit entries, so that one conditional update changes both together. */
 export type AuditedObject<T> = {
-	/** Undefined where there is none yet. */
+	/** Undefined where the object does not exist yet. */
 	readonly state: T | undefined;
 	/** The newest entries, oldest first. */
 	readonly audit: readonly AuditEntry[];
@@ -11,15 +11,15 @@
 	readonly nextArchive: number;
 };
 
-/** How objects of one kind are kept in the platform. */
+/** Converts objects of one kind from and to their value in the platform. */
 export type AuditedKind<T> = {
 	readonly kind: ObjectKind;
-	/** Throws an AuditError where the value is none. */
+	/** Throws an AuditError where the value does not match the kind's schema. */
 	parse(value: unknown): AuditedObject<T>;
 	format(object: AuditedObject<T>): unknown;
 };
 
-/** Who changes something. */
+/** The author of a change. */
 export type ChangeAuthor = {
 	/** Name of the operator, or `failover HOST`. */
 	readonly who: string;
@@ -27,17 +27,17 @@
 	readonly changeId: string;
 };
 
-/** A change, decided anew on every version that it is tried on. */
+/** A change that is decided again for every version that it is tried on. */
 export type Change<T> = {
 	/** The command as it was given. */
 	readonly what: string;
-	/** @param now Milliseconds since the epoch, by the calendar. */
+	/** @param now Milliseconds since the epoch, by the wall clock. */
 	decide(current: T | undefined, now: number): ChangeDecision<T>;
 };
 
-/** What a change makes of a state. */
+/** The effect of a change on a state. */
 export type ChangeDecision<T> = {
-	/** The fields that the change is about; two changes conflict where they share one. */
+	/** The fields that the change affects; two changes conflict where they share one. */
 	readonly fields: readonly string[];
 } & (
 	| {readonly kind: typeof DecisionKind.Change; readonly state: T; readonly from: ChangedPart; readonly to: ChangedPart}
@@ -45,31 +45,31 @@
 	| {readonly kind: typeof DecisionKind.Refuse; readonly reason: string}
 );
 
-/** What can be decided of a change. */
+/** The kinds of decision on a change. */
 export const DecisionKind = {
 	Change: 'change',
-	/** All stands as it is asked already. */
+	/** The state is already as requested. */
 	Unchanged: 'unchanged',
 	Refuse: 'refuse',
 } as const;
 
-/** The changed fields by name, fit for JSON; undefined where there was nothing. */
+/** The changed fields by name, serializable as JSON; undefined where there was nothing. */
 export type ChangedPart = Readonly<Record<string, unknown>> | undefined;
 
-/** A change that is about this field conflicts with every other. */
+/** A change with this field conflicts with every other change. */
 export const EVERY_FIELD = '*';
 
-/** The field of an object's being there at all. */
+/** The field for the existence of an object. */
 export const EXISTENCE_FIELD = 'exists';
 
-/** How a change ended. */
+/** The results of a change. */
 export const ChangeResult = {
-	/** It is in force; `repeated` where an earlier try of the same change id had put it there. */
+	/** The change is in force; `repeated` where an earlier command with the same change id had applied it. */
 	Applied: 'applied',
 	Unchanged: 'unchanged',
-	/** Nothing was changed, and nothing will be. */
+	/** Nothing was changed, and nothing will be changed later. */
 	Refused: 'refused',
-	/** The platform gave no answer: it may be in force, or come into force yet. */
+	/** The platform did not respond: the change may be in force, or may still come into force. */
 	Unknown: 'unknown',
 } as const;
 
@@ -83,13 +83,13 @@
 	| {readonly result: typeof ChangeResult.Refused; readonly reason: string; readonly beatenBy?: AuditEntry}
 	| {readonly result: typeof ChangeResult.Unknown; readonly reason: string};
 
-/** Tells whether an entry is about one of the fields. */
-export function touches(entry: AuditEntry, fields: readonly string[]): boolean {
+/** Returns whether an entry affects one of the fields. */
+export function affectsAnyField(entry: AuditEntry, fields: readonly string[]): boolean {
 	const entryFields = getEntryFields(entry);
 	return fields.includes(EVERY_FIELD) || entryFields.some(field => fields.includes(field));
 }
 
-/** The fields of both parts; a part that is null, as of a note, has none. */
+/** Returns the fields of both parts; a part that is null, as in a note, has none. */
 function getEntryFields({from, to}: AuditEntry): readonly string[] {
 	return [from, to].flatMap(part => isPart(part) ? Object.keys(part) : []);
 }
--- a/src/audit/create-changes.ts
+++ b/src/audit/create-changes.ts
@@ -2,61 +2,62 @@
 import {PlatformConflictError, PlatformError, PlatformRefusedError} from '../object-store/platform-errors.js';
 import type {Random} from '../random/random.js';
 import type {Clock} from '../time/clock.js';
-import {archiveOldest, isFull} from './audit-archive.js';
+import {archiveOldest, isArchivingDue} from './audit-archive.js';
 import type {AuditEntry} from './audit-entry.js';
 import {AuditError} from './audit-errors.js';
 import {
-	ChangeResult, DecisionKind, touches, type AuditedKind, type AuditedObject, type Change, type ChangeAnswer, type ChangeAuthor,
+	ChangeResult, DecisionKind, affectsAnyField, type AuditedKind, type AuditedObject, type Change, type ChangeAnswer, type ChangeAuthor,
 } from './change.js';
 import {findChange} from './find-change.js';
 
-/** Makes accepted changes in the platform, each with its audit entry. */
+/** Applies accepted changes to objects in the platform, each together with its audit entry. */
 export type Changes = {
 	/**
-	 * Tries a change until it is in force, refused, or the time is up; never rejects.
+	 * Retries a change until it is in force or refused, or until {@link CHANGE_DEADLINE_MS} has passed. Platform errors do
+	 * not reject but lead to a refused or unknown result.
 	 *
 	 * @param name Name of the object in the platform.
 	 */
 	apply<T>(kind: AuditedKind<T>, name: string, change: Change<T>, author: ChangeAuthor): Promise<ChangeAnswer>;
 };
 
-/** Options of {@link createChanges}. */
-export type ChangesOptions = {
+/** Options of {@link createChangeApplier}. */
+export type ChangeApplierOptions = {
 	readonly platform: Platform;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Told of every object read or written on the way, so that this host takes an accepted change in force at once. */
+	/** Called with every object that is read or written, so that an accepted change comes into force on this host at once. */
 	onSeen?(object: PlatformObject): void;
 };
 
-/** Longest time that a change is tried, in milliseconds: with what comes before and the last try it stays under the 15 s that the tool waits. */
+/** Maximum time for which a change is retried, in milliseconds. Together with the steps before and the last attempt it stays under the 15 s for which the command-line tool waits. */
 export const CHANGE_DEADLINE_MS = 6000;
 
 const CALL_TIMEOUT_MS = 1500;
 
-/** Pause before the next try, in milliseconds, with jitter up to twice as long. */
-const PAUSE_MS = 100;
+/** Minimum delay before the next attempt, in milliseconds; jitter makes it up to twice as long. */
+const RETRY_DELAY_MS = 100;
 
 /**
- * A change comes into force everywhere within this time, in milliseconds: whoever sends another before cannot
- * have seen it.
+ * A change comes into force on every host within this time, in milliseconds. An operator who sends another change
+ * before that may not have seen the first one.
  */
 export const IN_FORCE_MS = 6000;
 
-/** What one change remembers from try to try. */
+/** The state of one change across its attempts. */
 type Attempt<T> = {
 	readonly kind: AuditedKind<T>;
 	readonly name: string;
 	readonly change: Change<T>;
 	readonly author: ChangeAuthor;
-	/** Ids of the changes that stood when the change was first tried. */
+	/** Ids of the changes in the object's trail at the first attempt. */
 	before?: ReadonlySet<string>;
-	/** True once an update was sent whose answer may be lost. */
+	/** True once an update was sent, whose response may be lost. */
 	sent: boolean;
 };
 
-/** Creates the maker of changes. */
-export function createChanges({platform, clock, random, onSeen}: ChangesOptions): Changes {
+/** Creates the service that applies changes. */
+export function createChanges({platform, clock, random, onSeen}: ChangeApplierOptions): Changes {
 	const read = async <T>({kind, name}: Attempt<T>) => {
 		const stored = await platform.get(kind.kind, name, CALL_TIMEOUT_MS);
 		if (stored) {
@@ -70,7 +71,7 @@
 	const write = async <T>(attempt: Attempt<T>, version: number, object: AuditedObject<T>, entry: AuditEntry) => {
 		const {kind, name} = attempt;
 		const trail = {kind: kind.kind, name};
-		const kept = isFull(object.audit) ? await archiveOldest(platform, trail, object, CALL_TIMEOUT_MS) : object;
+		const kept = isArchivingDue(object.audit) ? await archiveOldest(platform, trail, object, CALL_TIMEOUT_MS) : object;
 		const value = kind.format({state: object.state, audit: [...kept.audit, entry], nextArchive: kept.nextArchive});
 		attempt.sent = true;
 		const written = await platform.put({
@@ -80,10 +81,11 @@
 		return written.version;
 	};
 
-	// Guards against one operator undoing another's change without knowing: a change to the same field that came in since
-	// this one was first tried, or that is too young to be in force here, beats it, and the loser is told by whom and when.
-	const getBeater = <T>({before, author}: Attempt<T>, audit: readonly AuditEntry[], fields: readonly string[], now: number) =>
-		audit.findLast(entry => touches(entry, fields)
+	// Guards against one operator unknowingly undoing another's change. This change is refused if another one to the same
+	// field was accepted since its first attempt, or is by another author and too recent to be in force on every host. The
+	// refusal names the author and the time.
+	const findConflict = <T>({before, author}: Attempt<T>, audit: readonly AuditEntry[], fields: readonly string[], now: number) =>
+		audit.findLast(entry => affectsAnyField(entry, fields)
 			&& (!before?.has(entry.changeId) || (entry.who !== author.who && entry.at > now - IN_FORCE_MS)));
 
 	const attemptOnce = async <T>(attempt: Attempt<T>): Promise<ChangeAnswer> => {
@@ -92,8 +94,8 @@
 		const trail = {
 			kind: kind.kind, name, audit: object.audit, nextArchive: object.nextArchive,
 		};
-		// Guards against one change made twice: an update whose answer was lost, or the same command sent again, finds its
-		// own id in the trail and is answered with what it did the first time.
+		// Guards against a change that is applied twice: after an update whose response was lost, or for a command that was
+		// sent again, the trail contains the change id, and the answer is the result of the first time.
 		const earlier = await findChange(platform, trail, author.changeId, CALL_TIMEOUT_MS);
 		if (earlier) {
 			return earlier.what === change.what
@@ -107,16 +109,16 @@
 		const now = clock.wall();
 		const decision = change.decide(object.state, now);
 		if (decision.kind === DecisionKind.Refuse) {
-			return {result: ChangeResult.Refused, reason: decision.reason, beatenBy: object.audit.findLast(entry => touches(entry, decision.fields))};
+			return {result: ChangeResult.Refused, reason: decision.reason, beatenBy: object.audit.findLast(entry => affectsAnyField(entry, decision.fields))};
 		}
 
 		if (decision.kind === DecisionKind.Unchanged) {
-			return {result: ChangeResult.Unchanged, by: object.audit.findLast(entry => touches(entry, decision.fields))};
+			return {result: ChangeResult.Unchanged, by: object.audit.findLast(entry => affectsAnyField(entry, decision.fields))};
 		}
 
-		const beatenBy = getBeater(attempt, object.audit, decision.fields, now);
-		if (beatenBy) {
-			return {result: ChangeResult.Refused, reason: 'someone else changed the same at the same time', beatenBy};
+		const conflict = findConflict(attempt, object.audit, decision.fields, now);
+		if (conflict) {
+			return {result: ChangeResult.Refused, reason: 'someone else changed the same at the same time', beatenBy: conflict};
 		}
 
 		const {from, to, state} = decision;
@@ -151,7 +153,7 @@
 						throw err;
 					}
 
-					await clock.sleep(PAUSE_MS * (1 + random.fraction()));
+					await clock.sleep(RETRY_DELAY_MS * (1 + random.fraction()));
 				}
 			}
 
--- a/tests/audit/create-changes-tests.ts
+++ b/tests/audit/create-changes-tests.ts
@@ -19,13 +19,13 @@
 	+ 'endpoint nights-b at 10.0.0.2:5432 in hall-b connections 20 slots 3, '
 	+ 'endpoint nights-c at 10.0.0.3:5432 in hall-c connections 20 slots 3';
 
-/** Two proxies, each with its own way to one store; `settled` is the time by which a change is in force. */
+/** Creates two proxies, each with its own connection to one store. */
 function createBench() {
 	const clock = createVirtualClock();
 	const random = createSeededRandom(11);
 	const store = createObjectStore({clock});
-	const ways = [createInMemoryPlatform({store, clock}), createInMemoryPlatform({store, clock})] as const;
-	const proxies = ways.map(platform => createChanges({platform, clock, random}));
+	const platforms = [createInMemoryPlatform({store, clock}), createInMemoryPlatform({store, clock})] as const;
+	const proxies = platforms.map(platform => createChanges({platform, clock, random}));
 	const rows: EndpointRow[] = ['nights-a', 'nights-b', 'nights-c'].map((name, index) => ({
 		group: 'nights', name, address: `10.0.0.${index + 1}:5432`, availabilityZone: 'hall-a', order: 'serve', seen: true, reachable: true,
 		leaving: false, role: index === 0 ? 'primary' : 'replica', running: 0, work: [], queued: 0,
@@ -48,13 +48,13 @@
 	const getConfig = () => groupKind.parse(store.get('group', 'nights')!.value).state!.cfg;
 
 	return {
-		clock, random, store, ways, rows, send, run, getTrail, getConfig, changes: proxies[0]!,
+		clock, random, store, platforms, rows, send, run, getTrail, getConfig, changes: proxies[0]!,
 		async createGroup() {
 			await run(0, 'dana', CREATE);
 			await clock.advance(IN_FORCE_MS);
 		},
-		slow(...platforms: InMemoryPlatform[]) {
-			for (const platform of platforms) {
+		slow(...slowPlatforms: InMemoryPlatform[]) {
+			for (const platform of slowPlatforms) {
 				platform.gate.faults.requestDelayMs = 10;
 			}
 		},
@@ -83,12 +83,13 @@
 }
 
 describe('changes', () => {
-	// Two operators answer the same alarm: each sets the read-age limit, at the same moment, through different proxies. Both
-	// proxies read the same version. Without the conditional update one change would vanish, and its sender believe in it.
-	it('of two operators at the same moment: one wins, the other is told by whom and when', async () => {
+	// Two operators react to the same alarm: each sets the read-age limit at the same moment through a different proxy, and
+	// both proxies read the same version. Without the conditional update one change would be lost although its sender was
+	// told that it was applied.
+	it('of two operators at the same moment: one is applied, the other is refused with the author and time of the first', async () => {
 		const bench = createBench();
 		await bench.createGroup();
-		bench.slow(...bench.ways);
+		bench.slow(...bench.platforms);
 		const at = bench.clock.wall() + 10;
 		const [first, second] = await bench.clock.runUntil(Promise.all([
 			bench.send(0, 'dana', 'set group nights read-age 5s'),
@@ -105,7 +106,7 @@
 			it(title, async () => {
 				const bench = createBench();
 				await bench.createGroup();
-				bench.slow(...bench.ways);
+				bench.slow(...bench.platforms);
 				const first = bench.send(0, 'dana', texts[0]);
 				await bench.clock.advance(waitMs);
 				const answers = await bench.clock.runUntil(Promise.all([first, bench.send(1, 'marco', texts[1])]));
@@ -115,23 +116,23 @@
 		};
 
 		const readAge = 'set group nights read-age 5s';
-		const beaten = 'refused: someone else changed the same at the same time (dana: ';
-		doTest('is put on top where the fields differ', [readAge, 'set group nights owners 3'], 0, 'applied: {"owners":2} to {"owners":3}');
-		doTest('is refused while the first cannot be in force yet', [readAge, 'set group nights read-age 9s'], IN_FORCE_MS - 1000, beaten);
-		doTest('is taken once the first is in force', [readAge, 'set group nights read-age 9s'], IN_FORCE_MS + 1000, 'applied: {"readAgeLimitMs":5000} to {"readAgeLimitMs":9000}');
-		doTest('is told that all stands as asked already', [readAge, readAge], 0, 'unchanged, by dana');
-		doTest('is refused a conflicting order on the same endpoint', ['drain endpoint nights-b', 'stop endpoint nights-b'], 0, beaten);
-		doTest('finds the same order given already', ['drain endpoint nights-b', 'drain endpoint nights-b'], 0, 'unchanged, by dana');
+		const conflict = 'refused: someone else changed the same at the same time (dana: ';
+		doTest('is applied as well where the fields differ', [readAge, 'set group nights owners 3'], 0, 'applied: {"owners":2} to {"owners":3}');
+		doTest('is refused while the first cannot be in force yet', [readAge, 'set group nights read-age 9s'], IN_FORCE_MS - 1000, conflict);
+		doTest('is applied once the first is in force', [readAge, 'set group nights read-age 9s'], IN_FORCE_MS + 1000, 'applied: {"readAgeLimitMs":5000} to {"readAgeLimitMs":9000}');
+		doTest('is told that the state is already as requested', [readAge, readAge], 0, 'unchanged, by dana');
+		doTest('is refused a conflicting order on the same endpoint', ['drain endpoint nights-b', 'stop endpoint nights-b'], 0, conflict);
+		doTest('is told that the same order was already given', ['drain endpoint nights-b', 'drain endpoint nights-b'], 0, 'unchanged, by dana');
 		const noMajority = 'refused: 1 of 3 endpoints would be left, and a majority is 2: nights-b drains (dana: drain endpoint nights-b)';
 		doTest('is refused an order that together with the first would stop the group', ['drain endpoint nights-b', 'drain endpoint nights-c'], 0, noMajority);
 		doTest('is refused a change of what the first deletes', ['delete group nights', readAge], 0, 'refused: the group nights was deleted (dana: delete group nights)');
-		doTest('is refused the deletion of what the first changes', [readAge, 'delete group nights'], 0, beaten);
-		doTest('is refused another promotion', ['promote endpoint nights-b', 'promote endpoint nights-c'], 0, beaten);
+		doTest('is refused the deletion of what the first changes', [readAge, 'delete group nights'], 0, conflict);
+		doTest('is refused another promotion', ['promote endpoint nights-b', 'promote endpoint nights-c'], 0, conflict);
 	});
 
-	// The owners raise another primary by themselves, and note it. An operator who orders a promotion in the same seconds
-	// cannot have seen it; nor may the note be shown as what stands in the way of other changes.
-	it('of an operator are beaten by a promotion that the owners made at the same time, and by that alone', async () => {
+	// The owners promote another primary by themselves and record a note. An operator who orders a promotion within the same
+	// seconds cannot have seen it. The note must not be reported as a conflict with other changes.
+	it('of an operator conflict with a promotion that the owners made at the same time only if they promote, too', async () => {
 		const bench = createBench();
 		await bench.createGroup();
 		const note: Change<GroupState> = {
@@ -146,9 +147,9 @@
 		expect(describeAnswer(await bench.run(0, 'dana', CREATE))).to.match(/is there already \(dana at/v);
 	});
 
-	it('that create a group twice: the second is refused and told who did', async () => {
+	it('that create a group twice: the second is refused with the author of the first', async () => {
 		const bench = createBench();
-		bench.slow(...bench.ways);
+		bench.slow(...bench.platforms);
 		const answers = await bench.clock.runUntil(Promise.all([bench.send(0, 'dana', CREATE), bench.send(1, 'marco', CREATE)]));
 		expect(answers.map(answer => describeAnswer(answer).split(' (')[0]!.slice(0, 40))).to.deep.equal([
 			'applied: {"exists":false} to {"exists":t', 'refused: the group nights is there alrea',
@@ -156,23 +157,23 @@
 		expect(describeAnswer(answers[1])).to.include('(dana at');
 	});
 
-	// The platform takes the change, and its answer is lost on the way. Sent again without a look, the change would be refused as
-	// someone else's, or be in the audit trail twice.
-	it('whose answer is lost after they took effect are settled by their id', async () => {
+	// The platform commits the change, and its response is lost. If the change were sent again without reading the trail, it
+	// would be refused as a conflict with another author's change, or be in the audit trail twice.
+	it('whose response is lost after they took effect are recognized by their id', async () => {
 		const bench = createBench();
 		await bench.createGroup();
-		bench.ways[0].gate.faults.lostAnswers = 1;
+		bench.platforms[0].gate.faults.lostAnswers = 1;
 		const answer = await bench.run(0, 'dana', 'set group nights read-age 5s');
 		expect(describeAnswer(answer)).to.equal('applied: {"readAgeLimitMs":60000} to {"readAgeLimitMs":5000}');
 		expect(await bench.getTrail()).to.have.length(2);
 	});
 
-	// The answer is lost, and before the proxy looks, another operator changes the same field. The first change did take effect:
-	// its sender must not be told that it was beaten, nor may it be made again over the later one.
-	it('whose answer is lost stay made, also where another came on top', async () => {
+	// The response is lost, and before the proxy reads the trail, the same field is changed again. The first change did take
+	// effect: it must not be reported as refused, and it must not be applied again over the later one.
+	it('whose response is lost are reported as applied, also after a later change to the same field', async () => {
 		const bench = createBench();
 		await bench.createGroup();
-		bench.ways[0].gate.faults.lostAnswers = 1;
+		bench.platforms[0].gate.faults.lostAnswers = 1;
 		const first = bench.send(0, 'dana', 'set group nights read-age 5s');
 		await bench.clock.advance(1);
 		await bench.run(1, 'dana', 'set group nights read-age 9s');
@@ -181,9 +182,9 @@
 		expect(await bench.getTrail()).to.have.length(3);
 	});
 
-	// A proxy dies between the update and its answer. The operator's client sends the command again, with the same change id,
-	// through another proxy.
-	it('sent twice take effect once, through whichever proxy', async () => {
+	// A proxy dies between the update and its answer. The operator's client sends the command again through another proxy
+	// with the same change id.
+	it('sent twice through different proxies take effect once', async () => {
 		const bench = createBench();
 		await bench.createGroup();
 		const changeId = createRequestId(bench.clock.wall(), bench.random);
@@ -203,29 +204,29 @@
 			it(title, async () => {
 				const bench = createBench();
 				await bench.createGroup();
-				bench.slow(bench.ways[0]);
-				bench.ways[0].gate.faults.answerDelayMs = 10;
+				bench.slow(bench.platforms[0]);
+				bench.platforms[0].gate.faults.answerDelayMs = 10;
 				const answer = bench.send(0, 'dana', 'set group nights read-age 5s');
 				await bench.clock.advance(afterMs);
-				bench.ways[0].gate.faults.outage = outage;
+				bench.platforms[0].gate.faults.outage = outage;
 				expect(describeAnswer(await bench.clock.runUntil(answer))).to.equal(expected);
 				expect(bench.getConfig().readAgeLimitMs).to.equal(inForce);
 			});
 		};
 
 		const nothingSent = 'refused: the platform gives no answer, and this host sent it nothing to change';
-		doTest('from the start are refused, nothing sent', Outage.Silent, 0, nothingSent, 60_000);
-		doTest('from the start, answering errors, are refused, nothing sent', Outage.Refusing, 0, nothingSent, 60_000);
-		doTest('while the update is on its way are left unknown', Outage.Refusing, 25, 'unknown', 5000);
-		doTest('after the update took effect are left unknown', Outage.Refusing, 35, 'unknown', 5000);
+		doTest('from the start and silent are refused, nothing sent', Outage.Silent, 0, nothingSent, 60_000);
+		doTest('from the start and responding with errors are refused, nothing sent', Outage.Refusing, 0, nothingSent, 60_000);
+		doTest('while the update is on its way have an unknown result', Outage.Refusing, 25, 'unknown', 5000);
+		doTest('after the update took effect have an unknown result', Outage.Refusing, 35, 'unknown', 5000);
 
-		it('for a while only are made once it answers', async () => {
+		it('for a short time are applied once it responds again', async () => {
 			const bench = createBench();
 			await bench.createGroup();
-			bench.ways[0].gate.faults.outage = Outage.Refusing;
+			bench.platforms[0].gate.faults.outage = Outage.Refusing;
 			const answer = bench.send(0, 'dana', 'set group nights read-age 5s');
 			await bench.clock.advance(5000);
-			bench.ways[0].gate.faults.outage = Outage.None;
+			bench.platforms[0].gate.faults.outage = Outage.None;
 			expect(describeAnswer(await bench.clock.runUntil(answer))).to.match(/^applied:/v);
 			expect(await bench.getTrail()).to.have.length(2);
 		});
@@ -249,24 +250,24 @@
 			expect(await bench.getTrail(3)).to.deep.equal(expected.slice(0, 3));
 		});
 
-		// A proxy copies old entries to an archive and dies before it takes them away from the object. The next proxy finds the
-		// archive there. Written anew under the next number, the entries would be in the trail twice; taken away by count, some
-		// that came in meanwhile would be lost.
-		it('outlive a proxy that dies in the middle of archiving', async () => {
+		// A proxy copies old entries to an archive and dies before it removes them from the object. The next proxy finds the
+		// archive. If it wrote the entries again under the next number, they would be in the trail twice; if it removed them by
+		// count, entries added in the meantime would be lost.
+		it('are kept when a proxy dies in the middle of archiving', async () => {
 			const bench = createBench();
 			await bench.createGroup();
-			// One archive is there, and the entries beside the object are as many as may be.
+			// One archive exists, and the object contains the maximum number of entries.
 			for (let index = 2; index < MAX_LIVE_ENTRIES + MIN_LIVE_ENTRIES + 1; index++) {
 				await bench.run(0, 'dana', setOwners(index));
 			}
 
 			// The copy reaches the platform, the update of the object does not.
-			bench.slow(bench.ways[0]);
+			bench.slow(bench.platforms[0]);
 			const dying = bench.send(0, 'dana', 'set group nights read-age 1s');
 			await bench.clock.advance(25);
-			bench.ways[0].gate.faults.outage = Outage.Refusing;
+			bench.platforms[0].gate.faults.outage = Outage.Refusing;
 			await bench.clock.runUntil(dying);
-			bench.ways[0].gate.faults.outage = Outage.None;
+			bench.platforms[0].gate.faults.outage = Outage.None;
 			expect(bench.store.list('audit', '').objects).to.have.length(2);
 			expect(groupKind.parse(bench.store.get('group', 'nights')!.value).nextArchive).to.equal(1);
 
@@ -278,7 +279,7 @@
 			expect(groupKind.parse(bench.store.get('group', 'nights')!.value)).to.include({nextArchive: 2});
 		});
 
-		it('lose none where the archive of a proxy that died holds fewer than this one would move', async () => {
+		it('are kept where the archive of a proxy that died contains fewer entries than this one would move', async () => {
 			const bench = createBench();
 			await bench.createGroup();
 			for (let index = 2; index < MAX_LIVE_ENTRIES + 1; index++) {
@@ -294,7 +295,7 @@
 			expect(await bench.getTrail()).to.deep.equal(['marco: set group nights read-age 2s', ...before]);
 		});
 
-		it('still settle a change that was archived meanwhile', async () => {
+		it('are recognized by their id also once they are archived', async () => {
 			const bench = createBench();
 			await bench.createGroup();
 			const changeId = createRequestId(bench.clock.wall(), bench.random);
