--- a/src/object-store/http-exchange.ts
+++ b/src/object-store/http-exchange.ts
@@ -9,9 +9,9 @@
 import {withinMs} from '../time/deadline.js';
 import {throwPlatformSilent} from './platform-errors.js';
 
-/** One call over HTTP. */
+/** One HTTP request. */
 export type HttpExchange = {
-	/** Names the call in an error. */
+	/** Description of the call for error messages. */
 	readonly what: string;
 	readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
 	/** Path and query below the base URL. */
@@ -22,7 +22,7 @@
 	readonly timeoutMs: number;
 };
 
-/** The answer to an exchange. */
+/** The response to a request. */
 export type HttpAnswer = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -30,35 +30,35 @@
 	readonly text: string;
 };
 
-/** Exchanges JSON with one HTTP server over kept connections. */
-export type HttpExchanger = {
-	/** Rejects with PlatformError where no whole answer came within the exchange's timeout. */
+/** Exchanges JSON with one HTTP server over keep-alive connections. */
+export type HttpClient = {
+	/** Sends a request and resolves with the response; rejects with PlatformError where no complete response arrives within the request's timeout. */
 	exchange(exchange: HttpExchange): Promise<HttpAnswer>;
-	/** Cuts every connection. */
+	/** Closes every connection at once. */
 	close(): void;
 };
 
-/** Options of {@link createHttpExchanger}. */
-export type HttpExchangerOptions = {
+/** Options of {@link createHttpClient}. */
+export type HttpClientOptions = {
 	/** `http://ip:port`. */
 	readonly baseUrl: string;
 	readonly clock: Clock;
 };
 
-/** Idle connections kept: one beside that of the waiting watch. */
+/** Maximum number of idle connections: one in addition to that of the waiting watch. */
 const MAX_IDLE_CONNECTIONS = 2;
 
 const unzip = promisify(gunzip);
 
-/** Creates an exchanger on `node:http`, which took a third of the CPU time and less than half the memory of the global `fetch`. */
-export function createHttpExchanger({baseUrl, clock}: HttpExchangerOptions): HttpExchanger {
+/** Creates a client on `node:http`, which took a third of the CPU time and less than half the memory of the global `fetch`. */
+export function createHttpExchanger({baseUrl, clock}: HttpClientOptions): HttpClient {
 	const agent = new Agent({keepAlive: true, maxFreeSockets: MAX_IDLE_CONNECTIONS});
 
 	/*
-	 * Failure: a connection goes silent for good while new ones work, and the calls put on it time out one after
-	 * another. A timeout therefore abandons every idle connection, so that the next call opens a fresh one.
+	 * Failure: a connection stays silent forever while new ones work, and the calls sent on it time out one after
+	 * another. A timeout therefore closes every idle connection, so that the next call opens a new one.
 	 */
-	const abandonIdleConnections = () => {
+	const closeIdleConnections = () => {
 		for (const socket of Object.values(agent.freeSockets).flat()) {
 			socket?.destroy();
 		}
@@ -67,13 +67,13 @@
 	return {
 		async exchange(exchange) {
 			const req = openRequest(baseUrl, exchange, agent);
-			const bounded = await withinMs(clock, exchange.timeoutMs, readAnswer(req)).catch((err: unknown) => throwPlatformSilent(exchange.what, err));
+			const bounded = await withinMs(clock, exchange.timeoutMs, readResponse(req)).catch((err: unknown) => throwPlatformSilent(exchange.what, err));
 			if (!bounded.timedOut) {
 				return bounded.value;
 			}
 
 			req.destroy();
-			abandonIdleConnections();
+			closeIdleConnections();
 			return throwPlatformSilent(exchange.what);
 		},
 		close() {
@@ -96,7 +96,7 @@
 	return req;
 }
 
-async function readAnswer(req: ClientRequest): Promise<HttpAnswer> {
+async function readResponse(req: ClientRequest): Promise<HttpAnswer> {
 	const res = await new Promise<IncomingMessage>((resolve, reject) => {
 		req.once('response', resolve);
 		req.on('error', reject);
--- a/src/object-store/http-platform.ts
+++ b/src/object-store/http-platform.ts
@@ -25,16 +25,16 @@
 
 const errorSchema = z.object({message: z.string()});
 
-/** Large answers are asked for compressed: a list of 1,100 groups is over a megabyte of JSON. */
+/** Headers that request compression of large responses: a list of 1,100 groups is over a megabyte of JSON. */
 const COMPRESSED = {'accept-encoding': 'gzip'} as const;
 
 /** Creates a client of the platform's HTTP object API. */
 export function createHttpPlatform({baseUrl, clock}: HttpPlatformOptions): Platform & Service {
-	const exchanger = createHttpExchanger({baseUrl, clock});
-	let knownHosts: {readonly etag: string; readonly hosts: readonly PlatformHost[]} | undefined;
+	const client = createHttpExchanger({baseUrl, clock});
+	let cachedHosts: {readonly etag: string; readonly hosts: readonly PlatformHost[]} | undefined;
 
-	const exchange = async (req: HttpExchange) => {
-		const res = await exchanger.exchange(req);
+	const sendRequest = async (req: HttpExchange) => {
+		const res = await client.exchange(req);
 		if (res.status === Status.BadRequest || res.status === Status.TooLarge) {
 			throwPlatformRefused(req.what, getErrorMessage(res));
 		}
@@ -45,30 +45,30 @@
 	return {
 		async get(kind, name, timeoutMs) {
 			const what = `get ${kind} ${name}`;
-			const res = await exchange({
+			const res = await sendRequest({
 				what, method: 'GET', path: getObjectPath(kind, name), timeoutMs,
 			});
-			return res.status === Status.NotFound && isObjectMissing(res) ? undefined : parseAnswer(what, res, platformObjectSchema);
+			return res.status === Status.NotFound && isObjectMissing(res) ? undefined : parseResponse(what, res, platformObjectSchema);
 		},
 		async list(kind, prefix, timeoutMs) {
 			const what = `list ${kind}`;
 			const path = `/v1/objects/${kind}?prefix=${encodeURIComponent(prefix)}`;
-			const res = await exchange({
+			const res = await sendRequest({
 				what, method: 'GET', path, headers: COMPRESSED, timeoutMs,
 			});
-			return parseAnswer(what, res, platformListSchema);
+			return parseResponse(what, res, platformListSchema);
 		},
 		async put({kind, name, value, expectedVersion}, timeoutMs) {
 			const what = `put ${kind} ${name}`;
-			const res = await exchange({
+			const res = await sendRequest({
 				what, method: 'PUT', path: getObjectPath(kind, name), body: {value, expectedVersion}, timeoutMs,
 			});
-			return res.status === Status.Conflict ? throwVersionConflict(kind, name, expectedVersion) : parseAnswer(what, res, platformObjectSchema);
+			return res.status === Status.Conflict ? throwVersionConflict(kind, name, expectedVersion) : parseResponse(what, res, platformObjectSchema);
 		},
 		async delete(kind, name, expectedVersion, timeoutMs) {
 			const what = `delete ${kind} ${name}`;
 			const path = `${getObjectPath(kind, name)}?expectedVersion=${expectedVersion}`;
-			const res = await exchange({
+			const res = await sendRequest({
 				what, method: 'DELETE', path, timeoutMs,
 			});
 			if (res.status === Status.Conflict) {
@@ -82,26 +82,26 @@
 		async watch(kind, revision, waitMs, timeoutMs) {
 			const what = `watch ${kind}`;
 			const path = `/v1/watches/${kind}?revision=${revision}&waitMs=${waitMs}`;
-			const res = await exchange({
+			const res = await sendRequest({
 				what, method: 'GET', path, timeoutMs,
 			});
-			return parseAnswer(what, res, platformListSchema);
+			return parseResponse(what, res, platformListSchema);
 		},
 		async hosts(timeoutMs) {
-			const headers = knownHosts ? {...COMPRESSED, 'if-none-match': knownHosts.etag} : COMPRESSED;
-			const res = await exchange({
+			const headers = cachedHosts ? {...COMPRESSED, 'if-none-match': cachedHosts.etag} : COMPRESSED;
+			const res = await sendRequest({
 				what: 'hosts', method: 'GET', path: '/v1/hosts', headers, timeoutMs,
 			});
-			if (res.status === Status.NotModified && knownHosts) {
-				return knownHosts.hosts;
+			if (res.status === Status.NotModified && cachedHosts) {
+				return cachedHosts.hosts;
 			}
 
-			const hosts = parseAnswer('hosts', res, platformHostsSchema);
-			knownHosts = res.headers.etag ? {etag: res.headers.etag, hosts} : undefined;
+			const hosts = parseResponse('hosts', res, platformHostsSchema);
+			cachedHosts = res.headers.etag ? {etag: res.headers.etag, hosts} : undefined;
 			return hosts;
 		},
 		async stop() {
-			exchanger.close();
+			client.close();
 		},
 	};
 }
@@ -110,7 +110,7 @@
 	return `/v1/objects/${kind}/${encodeURIComponent(name)}`;
 }
 
-/** The platform's own words, where the error's body has the expected shape. */
+/** Returns the platform's own error message where the body has the expected shape, otherwise the HTTP status. */
 function getErrorMessage(res: HttpAnswer) {
 	try {
 		return errorSchema.parse(JSON.parse(res.text)).message;
@@ -119,12 +119,12 @@
 	}
 }
 
-/** Tells an absent object from a wrong base URL, which also answers 404. */
+/** Distinguishes an absent object from a wrong base URL, which also leads to status 404. */
 function isObjectMissing(res: HttpAnswer) {
 	return res.text.includes('"object-missing"');
 }
 
-function parseAnswer<T>(what: string, res: HttpAnswer, schema: z.ZodType<T>): T {
+function parseResponse<T>(what: string, res: HttpAnswer, schema: z.ZodType<T>): T {
 	if (res.status !== Status.Ok) {
 		throwPlatformSilent(what, new Error(`HTTP status ${res.status}`));
 	}
--- a/src/object-store/platform-errors.ts
+++ b/src/object-store/platform-errors.ts
@@ -1,9 +1,9 @@
 import ModernError from 'modern-errors';
 
-/** The platform brought no answer; a change asked for may have taken effect. */
+/** The platform gave no usable response; a requested change may have taken effect. */
 export const PlatformError = ModernError.subclass('PlatformError');
 
-/** The platform refused the call as malformed or too large; nothing changed, and asking again cannot help. */
+/** The platform refused the call as malformed or too large; nothing changed, and a retry cannot succeed. */
 export const PlatformRefusedError = PlatformError.subclass('PlatformRefusedError');
 
 /** The object's version was not the expected one; nothing changed. */
--- a/src/object-store/platform-schemas.ts
+++ b/src/object-store/platform-schemas.ts
@@ -3,7 +3,7 @@
 	ObjectKind, type PlatformHost, type PlatformList, type PlatformObject,
 } from './platform.js';
 
-/** Checks an object as the platform answers it; fields that a newer platform adds are passed over. */
+/** Validates an object in the platform's response; fields that a newer platform adds are ignored. */
 export const platformObjectSchema: z.ZodType<PlatformObject> = z.object({
 	kind: z.enum(ObjectKind),
 	name: z.string().min(1),
@@ -12,13 +12,13 @@
 	deleted: z.boolean().optional(),
 });
 
-/** Checks the answer to a list or a watch. */
+/** Validates the response to a list or a watch. */
 export const platformListSchema: z.ZodType<PlatformList> = z.object({
 	revision: z.int().min(0),
 	objects: z.array(platformObjectSchema),
 });
 
-/** Checks the host list. */
+/** Validates the host list. */
 export const platformHostsSchema: z.ZodType<readonly PlatformHost[]> = z.array(z.object({
 	name: z.string().min(1),
 	role: z.enum(['proxy', 'endpoint']),
--- a/tests/object-store/http-platform-tests.ts
+++ b/tests/object-store/http-platform-tests.ts
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MS = 3000;
 
-/** Runs a test against a client whose server answers by `answer`. */
+/** Runs a test against a client whose server sends the responses of `answer`. */
 const withServer = async (
 	answer: (req: IncomingMessage, res: ServerResponse) => void,
 	test: (platform: ReturnType<typeof createHttpPlatform>, clock: ReturnType<typeof createVirtualClock>) => Promise<void>,
@@ -42,24 +42,24 @@
 		});
 	};
 
-	doTest('takes an object', 200, '{"kind":"group","name":"a","version":1,"value":{}}', 'object');
-	doTest('takes an object with a field that a newer platform adds', 200, '{"kind":"group","name":"a","version":1,"value":{},"owner":"x"}', 'object');
-	doTest('takes the word that there is none', 404, '{"error":"object-missing","message":"there is no group a"}', 'undefined');
-	doTest('tells a wrong base URL from an absent object', 404, '{"message":"Route not found"}', 'PlatformError');
-	doTest('rejects a body that is no JSON', 200, '<html>', 'PlatformError');
+	doTest('accepts an object', 200, '{"kind":"group","name":"a","version":1,"value":{}}', 'object');
+	doTest('accepts an object with a field that a newer platform adds', 200, '{"kind":"group","name":"a","version":1,"value":{},"owner":"x"}', 'object');
+	doTest('returns undefined for an absent object', 404, '{"error":"object-missing","message":"there is no group a"}', 'undefined');
+	doTest('distinguishes a wrong base URL from an absent object', 404, '{"message":"Route not found"}', 'PlatformError');
+	doTest('rejects a body that is not JSON', 200, '<html>', 'PlatformError');
 	doTest('rejects an object without a version', 200, '{"kind":"group","name":"a","value":{}}', 'PlatformError');
-	doTest('rejects an error of the server', 500, '{}', 'PlatformError');
-	doTest('tells a refusal', 400, '{"message":"no such kind"}', 'PlatformRefusedError');
-	doTest('tells a refusal without words', 413, '', 'PlatformRefusedError');
+	doTest('rejects on a server error', 500, '{}', 'PlatformError');
+	doTest('rejects with a refusal', 400, '{"message":"no such kind"}', 'PlatformRefusedError');
+	doTest('rejects with a refusal without a message', 413, '', 'PlatformRefusedError');
 
-	it('rejects at once where nobody listens', async () => {
+	it('rejects at once where no server listens', async () => {
 		const platform = createHttpPlatform({baseUrl: 'http://127.0.0.1:1', clock: createVirtualClock()});
 		expect(await platform.hosts(TIMEOUT_MS).catch(showError)).to.equal('PlatformError');
 	});
 
-	it('opens a fresh connection once a kept one went silent', async () => {
-		// Two connections are kept. A device between the ends forgets both; bytes sent on them vanish, while new
-		// connections work. The client's first call on one ends by its timeout; the next must not try the other.
+	it('opens a new connection once an idle one went silent', async () => {
+		// Two connections are idle. A device on the network path drops the state of both: bytes sent on them are lost,
+		// while new connections work. The client's first call on one times out; the next must not use the other.
 		const known = new Set<Socket>();
 		const arrivals: string[] = [];
 		let forgotten = false;
@@ -92,7 +92,7 @@
 		});
 	});
 
-	it('asks for the host list only where it changed', async () => {
+	it('downloads the host list again only where it changed', async () => {
 		const statuses: number[] = [];
 		const answer = (req: IncomingMessage, res: ServerResponse) => {
 			const isKnown = req.headers['if-none-match'] === '"e1"';
--- a/tests/object-store/platform-contract-tests.ts
+++ b/tests/object-store/platform-contract-tests.ts
@@ -8,7 +8,7 @@
 import {createFaultGate, type FaultGate} from '../../src/stand-ins/platform/platform-faults.js';
 import {createVirtualClock, type VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** What a case may touch. */
+/** The objects that a test case can use. */
 type Bench = {
 	readonly platform: Platform;
 	readonly store: ObjectStore;
@@ -19,7 +19,7 @@
 type Case = {
 	readonly title: string;
 	run(bench: Bench): Promise<unknown>;
-	/** The result as JSON, or the error's name. */
+	/** The result as JSON, or the error's name and message. */
 	readonly expected: string;
 };
 
@@ -31,13 +31,13 @@
 const getNames = ({revision, objects}: Awaited<ReturnType<Platform['list']>>) =>
 	`${revision}: ${objects.map(object => `${object.name}@${object.version}${object.deleted ? ' deleted' : ''}`).join(', ')}`;
 
-/** The outermost line of an error; those of its causes stand before it. */
+/** Returns an error's name and the last line of its message; the lines of its causes come before that one. */
 const getErrorLine = (err: unknown) => {
 	const {name, message} = err as Error;
 	return `${name}: ${message.split('\n').at(-1)}`;
 };
 
-/** Waits for something that real sockets bring about, in rounds of the event loop. */
+/** Waits in turns of the event loop for a condition that depends on real sockets. */
 const until = async (condition: () => boolean) => {
 	while (!condition()) {
 		await setImmediate();
@@ -58,9 +58,9 @@
 		},
 		expected: '{"kind":"group","name":"b","version":2,"value":{"x":2}}',
 	},
-	{title: 'answers undefined for an absent object', run: async ({platform}) => platform.get('group', 'a/b?c', TIMEOUT_MS), expected: 'undefined'},
+	{title: 'returns undefined for an absent object', run: async ({platform}) => platform.get('group', 'a/b?c', TIMEOUT_MS), expected: 'undefined'},
 	{
-		title: 'keeps names with any characters and kinds apart',
+		title: 'supports names with any characters, and separates the kinds',
 		async run({platform}) {
 			await put(platform, 'a/b?c%', 1);
 			return [await platform.get('group', 'a/b?c%', TIMEOUT_MS), await platform.get('claim', 'a/b?c%', TIMEOUT_MS)].map(object => object?.value);
@@ -68,16 +68,16 @@
 		expected: '[1,null]',
 	},
 	{
-		title: 'refuses a put on another version',
+		title: 'rejects a put with another version',
 		async run({platform}) {
 			await put(platform, 'a', 1);
 			return put(platform, 'a', 2);
 		},
 		expected: 'PlatformConflictError: group a is no longer at version 0',
 	},
-	{title: 'refuses a put on an absent object with a version', run: async ({platform}) => put(platform, 'a', 1, 3), expected: 'PlatformConflictError: group a is no longer at version 3'},
+	{title: 'rejects a put with a version for an absent object', run: async ({platform}) => put(platform, 'a', 1, 3), expected: 'PlatformConflictError: group a is no longer at version 3'},
 	{
-		title: 'refuses a delete on another version',
+		title: 'rejects a delete with another version',
 		async run({platform}) {
 			await put(platform, 'a', 1);
 			return platform.delete('group', 'a', 7, TIMEOUT_MS);
@@ -85,17 +85,17 @@
 		expected: 'PlatformConflictError: group a is no longer at version 7',
 	},
 	{
-		title: 'refuses a value over a megabyte',
+		title: 'rejects a value over a megabyte',
 		run: async ({platform}) => put(platform, 'a', 'x'.repeat(MAX_VALUE_BYTES)),
 		expected: 'PlatformRefusedError: the platform refused put group a: the value is over 1048576 bytes',
 	},
 	{
-		title: 'takes a value of just a megabyte',
+		title: 'accepts a value of just a megabyte',
 		run: async ({platform}) => getVersion(await put(platform, 'a', 'x'.repeat(MAX_VALUE_BYTES - 2))),
 		expected: '1',
 	},
 	{
-		title: 'lists by prefix what stands',
+		title: 'lists the existing objects by prefix',
 		async run({platform}) {
 			for (const name of ['a1', 'a2', 'b1', 'a3']) {
 				await put(platform, name, 1);
@@ -119,7 +119,7 @@
 		expected: '1000',
 	},
 	{
-		title: 'answers a watch at once with changes and deletions after the revision',
+		title: 'returns a watch at once with changes and deletions after the revision',
 		async run({platform}) {
 			await put(platform, 'a', 1);
 			await put(platform, 'b', 1);
@@ -130,7 +130,7 @@
 		expected: '["4: a@3, b@4 deleted","4: "]',
 	},
 	{
-		title: 'answers a waiting watch when an object of the kind changes, and no other',
+		title: 'returns a waiting watch when an object of its kind changes, and not for other kinds',
 		async run({platform, store}) {
 			const watch = platform.watch('group', 0, 2000, TIMEOUT_MS);
 			await until(() => store.waitingWatches === 1);
@@ -143,7 +143,7 @@
 		expected: '"2: b@2"',
 	},
 	{
-		title: 'answers a waiting watch empty when its wait ends',
+		title: 'returns a waiting watch without objects when its wait ends',
 		async run({platform, store, clock}) {
 			const watch = platform.watch('group', 0, 2000, TIMEOUT_MS);
 			await until(() => store.waitingWatches === 1);
@@ -153,7 +153,7 @@
 		expected: '"0: "',
 	},
 	{
-		title: 'lists hosts as they were a while ago',
+		title: 'lists hosts with a lag',
 		async run({platform, store, clock}) {
 			store.hostLagMs = 5000;
 			store.setHosts([host]);
@@ -168,7 +168,7 @@
 		expected: '["h1 live","h1 live","h1 live, h2 leaving"]',
 	},
 	{
-		title: 'counts each call as one, a waiting watch too',
+		title: 'counts each call once, including a waiting watch',
 		async run({platform, store}) {
 			await put(platform, 'a', 1);
 			await platform.watch('group', 0, 2000, TIMEOUT_MS);
@@ -194,7 +194,7 @@
 		expected: 'PlatformError: the platform gave no answer to hosts',
 	},
 	{
-		title: 'loses the answer to a change that took effect, once',
+		title: 'loses the response to a change that took effect, once',
 		async run({platform, gate, clock, store}) {
 			gate.faults.lostAnswers = 1;
 			const lost = put(platform, 'a', 1);
