--- a/src/operators/change-commands.ts
+++ b/src/operators/change-commands.ts
@@ -10,14 +10,14 @@
 import type {Clock} from '../time/clock.js';
 import {answerOk, answerRefused} from './answers.js';
 import {describeChange} from './describe-change.js';
-import type {FleetView, PromoteAnswer} from './fleet-view.js';
-import {createGroupChange, createPrimaryNote} from './group-change.js';
+import type {FleetView, PromoteResult} from './fleet-view.js';
+import {createGroupChange, createFailedPromotionNote} from './group-change.js';
 import {createOperatorChange} from './operator-change.js';
 import type {CommandAnswer} from './operator-commands.js';
 
 const IN_FORCE = `In force everywhere within ${IN_FORCE_MS / 1000} s.`;
 
-/** What the commands that change something need. */
+/** Dependencies of the commands that change something. */
 export type ChangeCommandsOptions = {
 	readonly changes: Changes;
 	readonly configuration: Configuration;
@@ -53,17 +53,17 @@
 	return answerOk(`${described.text} ${IN_FORCE}${progress}`, described.data);
 }
 
-/** Runs a command that changes who may operate. */
+/** Runs a command that changes the list of operators. */
 export async function runOperatorCommand(command: OperatorCommand, what: string, author: ChangeAuthor, {changes}: ChangeCommandsOptions): Promise<CommandAnswer> {
 	const answer = await changes.apply(operatorsKind, OPERATORS_OBJECT, createOperatorChange(command, what), author);
 	return describeChange(answer, author.changeId);
 }
 
-type Ordered = {readonly author: ChangeAuthor; readonly described: CommandAnswer};
+type RecordedOrder = {readonly author: ChangeAuthor; readonly described: CommandAnswer};
 
-// The order is in the trail before it is carried out, so that a proxy that dies in between leaves an order without effect
-// and never an effect without an order.
-async function promote({endpoint}: PromoteEndpointCommand, group: string, {author, described}: Ordered, options: ChangeCommandsOptions): Promise<CommandAnswer> {
+// The order is recorded in the audit trail before it is carried out, so that a proxy that dies in between leaves an order
+// without effect and never an effect without an order.
+async function promote({endpoint}: PromoteEndpointCommand, group: string, {author, described}: RecordedOrder, options: ChangeCommandsOptions): Promise<CommandAnswer> {
 	const answer = await tryPromote(group, endpoint, options.fleet);
 	if (answer.promoted) {
 		return answerOk(`${endpoint} is the primary. ${described.text}`, described.data);
@@ -71,13 +71,13 @@
 
 	const {changes, clock, random} = options;
 	const changeId = createRequestId(clock.wall(), random);
-	const note = createPrimaryNote(endpoint, answer.reason);
+	const note = createFailedPromotionNote(endpoint, answer.reason);
 	const noted = await changes.apply(groupKind, group, note, {who: author.who, changeId});
 	const trail = noted.result === ChangeResult.Applied ? 'The audit trail has the order and that it failed.' : 'The audit trail has the order, but not that it failed.';
 	return answerRefused(`Refused, ${endpoint} was not promoted: ${answer.reason}. ${trail}`, {result: 'refused', reason: answer.reason, changeId: author.changeId});
 }
 
-async function tryPromote(group: string, endpoint: string, fleet: FleetView): Promise<PromoteAnswer> {
+async function tryPromote(group: string, endpoint: string, fleet: FleetView): Promise<PromoteResult> {
 	try {
 		return await fleet.promote(group, endpoint);
 	} catch (err) {
--- a/src/operators/command-roles.ts
+++ b/src/operators/command-roles.ts
@@ -6,7 +6,7 @@
 /**
  * The role that each command needs.
  *
- * Guards against a command that changes something and asks for no role: the type demands a line for every kind.
+ * Guards against a command that changes something without requiring a role: the type requires a line for every kind.
  */
 export const commandRoles: Readonly<Record<CommandKind, OperatorRole>> = {
 	[CommandKind.Help]: OperatorRole.View,
@@ -32,12 +32,12 @@
 	[CommandKind.DeleteOperator]: OperatorRole.Operate,
 };
 
-/** Tells whether a command changes something. */
+/** Returns whether a command changes something. */
 export function isChange(command: Command): command is GroupCommand | OperatorCommand {
 	return commandRoles[command.kind] === OperatorRole.Operate;
 }
 
-/** Tells whether a command changes who may operate. */
+/** Returns whether a command changes the list of operators. */
 export function isOperatorCommand(command: Command): command is OperatorCommand {
 	return command.kind === CommandKind.CreateOperator || command.kind === CommandKind.DeleteOperator;
 }
--- a/src/operators/create-fleet-view.ts
+++ b/src/operators/create-fleet-view.ts
@@ -8,13 +8,13 @@
 import type {RecentSessions} from '../sessions/recent-sessions.js';
 import type {Clock} from '../time/clock.js';
 import type {
-	EndpointRow, FleetView, HostRow, PromoteAnswer, SessionRow,
+	EndpointRow, FleetView, HostRow, PromoteResult, SessionRow,
 } from './fleet-view.js';
 import {
-	describeOwnedEndpoint, describeUnseenEndpoint, getAskedGroups, mergeEndpointRows,
-} from './own-view.js';
+	describeOwnedEndpoint, describeUnseenEndpoint, getRequestedGroups, mergeEndpointRows,
+} from './endpoint-rows.js';
 
-/** What the fleet view is made from. */
+/** Options of {@link createFleetView}. */
 export type FleetViewOptions = {
 	readonly clock: Clock;
 	readonly configuration: Configuration;
@@ -25,41 +25,41 @@
 	readonly sightings: RecentSessions;
 };
 
-/** Longest time for one host's part of an answer, in milliseconds. */
+/** Timeout of a query to one host, in milliseconds. */
 const HOST_TIMEOUT_MS = 1000;
 
-/** Hosts asked at once, so that a question does not stir the whole fleet in one moment. */
-const HOSTS_AT_ONCE = 32;
+/** Maximum number of hosts that are queried at the same time, so that one command does not load the whole fleet at once. */
+const MAX_CONCURRENT_CALLS = 32;
 
-/** Most hosts asked for their sessions; the newest sightings at one's own host come first. */
-const MOST_HOSTS_ASKED = 64;
+/** Maximum number of hosts queried for their sessions; each host returns the sessions seen last first. */
+const MAX_HOSTS_QUERIED = 64;
 
-/** Most sessions named. */
-const MOST_SESSIONS = 200;
+/** Maximum number of sessions returned. */
+const MAX_SESSIONS = 200;
 
-/** Bound of a planned change of primary, in milliseconds. */
+/** Time limit of a planned change of primary, in milliseconds. */
 const PROMOTE_DEADLINE_MS = 8000;
 
-/** Creates the operators' view of owners, sessions and hosts, and answers other hosts' questions for theirs. */
+/** Creates the operators' view of owners, sessions and hosts, and registers the peer calls by which other hosts query this one. */
 export function createFleetView(options: FleetViewOptions): FleetView & Service {
 	const {
 		clock, configuration, hosts, owning, owners, peers, sightings,
 	} = options;
 
-	const getMoment = () => ({host: hosts.self.name, now: clock.now(), wallMs: clock.wall()});
+	const getContext = () => ({host: hosts.self.name, now: clock.now(), wallMs: clock.wall()});
 
 	const getOwnEndpoints = (group: string): EndpointRow[] => {
 		const owner = owners.getOwner(group);
 		const endpoints = configuration.getGroup(group)?.cfg.endpoints ?? [];
-		return owner ? endpoints.map(endpoint => describeOwnedEndpoint(owner, endpoint, getMoment())) : [];
+		return owner ? endpoints.map(endpoint => describeOwnedEndpoint(owner, endpoint, getContext())) : [];
 	};
 
 	const getOwnSessions = (sessionId?: string): SessionRow[] => sightings.getAll()
 		.filter(({id}) => sessionId === undefined || id === sessionId)
-		.slice(0, MOST_SESSIONS)
-		.map(sighting => ({...sighting, host: hosts.self.name}));
+		.slice(0, MAX_SESSIONS)
+		.map(session => ({...session, host: hosts.self.name}));
 
-	const promoteHere = async (group: string, endpoint: string, deadlineMs: number): Promise<PromoteAnswer> => {
+	const promoteHere = async (group: string, endpoint: string, deadlineMs: number): Promise<PromoteResult> => {
 		const owner = owners.getOwner(group);
 		if (!owner) {
 			return {promoted: false, reason: `host ${hosts.self.name} does not look after group ${group}`};
@@ -73,8 +73,8 @@
 		}
 	};
 
-	/** Asks one host, this one without a call; undefined where it gave no answer. */
-	const askHost = async <K extends keyof PeerCalls>(host: PlatformHost, kind: K, req: PeerCalls[K]['req'], here: () => PeerCalls[K]['res']) => {
+	/** Queries one host, without a peer call for this host itself; resolves with undefined where the host did not respond. */
+	const queryHost = async <K extends keyof PeerCalls>(host: PlatformHost, kind: K, req: PeerCalls[K]['req'], here: () => PeerCalls[K]['res']) => {
 		if (host.name === hosts.self.name) {
 			return here();
 		}
@@ -86,14 +86,14 @@
 		}
 	};
 
-	const askInWaves = async <T>(asked: readonly PlatformHost[], ask: (host: PlatformHost) => Promise<T>): Promise<T[]> => {
-		const answers: T[] = [];
-		for (let first = 0; first < asked.length; first += HOSTS_AT_ONCE) {
-			const wave = asked.slice(first, first + HOSTS_AT_ONCE);
-			answers.push(...await Promise.all(wave.map(async host => ask(host))));
+	const queryInBatches = async <T>(queried: readonly PlatformHost[], query: (host: PlatformHost) => Promise<T>): Promise<T[]> => {
+		const responses: T[] = [];
+		for (let first = 0; first < queried.length; first += MAX_CONCURRENT_CALLS) {
+			const batch = queried.slice(first, first + MAX_CONCURRENT_CALLS);
+			responses.push(...await Promise.all(batch.map(async host => query(host))));
 		}
 
-		return answers;
+		return responses;
 	};
 
 	const getGroupRows = async (group: string): Promise<EndpointRow[]> => {
@@ -102,12 +102,12 @@
 			return [];
 		}
 
-		const asked = owning.getOwners(group, cfg.owners, clock.now());
-		const answers = await askInWaves(asked, async host => askHost(host, 'fleet-endpoints', {group}, () => ({endpoints: getOwnEndpoints(group)})));
+		const queried = owning.getOwners(group, cfg.owners, clock.now());
+		const responses = await queryInBatches(queried, async host => queryHost(host, 'fleet-endpoints', {group}, () => ({endpoints: getOwnEndpoints(group)})));
 		return cfg.endpoints.map(endpoint => {
 			let row = describeUnseenEndpoint(group, endpoint);
-			for (const answer of answers) {
-				const seen = answer?.endpoints.find(({name}) => name === endpoint.name);
+			for (const response of responses) {
+				const seen = response?.endpoints.find(({name}) => name === endpoint.name);
 				row = seen ? mergeEndpointRows(row, seen) : row;
 			}
 
@@ -115,38 +115,38 @@
 		});
 	};
 
-	const getSessionsOf = async (sessionId?: string): Promise<SessionRow[]> => {
-		const asked = hosts.getUsable(clock.now()).slice(0, MOST_HOSTS_ASKED);
-		const answers = await askInWaves(asked, async host =>
-			askHost(host, 'fleet-sessions', {sessionId}, () => ({sessions: getOwnSessions(sessionId)})));
-		return answers.flatMap(answer => answer?.sessions ?? [])
+	const querySessions = async (sessionId?: string): Promise<SessionRow[]> => {
+		const queried = hosts.getUsable(clock.now()).slice(0, MAX_HOSTS_QUERIED);
+		const responses = await queryInBatches(queried, async host =>
+			queryHost(host, 'fleet-sessions', {sessionId}, () => ({sessions: getOwnSessions(sessionId)})));
+		return responses.flatMap(response => response?.sessions ?? [])
 			.sort((left, right) => right.seenAt - left.seenAt)
-			.slice(0, MOST_SESSIONS);
+			.slice(0, MAX_SESSIONS);
 	};
 
 	const getHostRow = async (host: PlatformHost): Promise<HostRow> => {
-		const answer = await askHost(host, 'fleet-host', {}, () => ({configRevision: configuration.revision}));
+		const response = await queryHost(host, 'fleet-host', {}, () => ({configRevision: configuration.revision}));
 		const {name, availabilityZone, address, state} = host;
 		return {
-			name, availabilityZone, address, state, reachable: answer !== undefined, configRevision: answer?.configRevision,
+			name, availabilityZone, address, state, reachable: response !== undefined, configRevision: response?.configRevision,
 		};
 	};
 
 	return {
 		async getEndpoints(group) {
 			const rows: EndpointRow[] = [];
-			for (const name of getAskedGroups(configuration, group)) {
+			for (const name of getRequestedGroups(configuration, group)) {
 				rows.push(...await getGroupRows(name));
 			}
 
 			return rows;
 		},
-		getSessions: async () => getSessionsOf(),
+		getSessions: async () => querySessions(),
 		async getSession(sessionId) {
-			const [newest] = await getSessionsOf(sessionId);
+			const [newest] = await querySessions(sessionId);
 			return newest;
 		},
-		getHosts: async () => askInWaves(hosts.getAll(), getHostRow),
+		getHosts: async () => queryInBatches(hosts.getAll(), getHostRow),
 		async promote(group, endpoint) {
 			const cfg = configuration.getGroup(group)?.cfg;
 			const [first] = cfg ? owning.getOwners(group, cfg.owners, clock.now()) : [];
--- a/src/operators/create-operator-commands.ts
+++ b/src/operators/create-operator-commands.ts
@@ -25,15 +25,15 @@
 	readonly access: Pick<OperatorAccessService, 'refresh' | 'isCurrent' | 'getOperators'>;
 };
 
-/** Creates what runs the operators' commands. */
+/** Creates the service that runs the operators' commands. */
 export function createOperatorCommands(options: OperatorCommandsOptions): OperatorCommands {
 	const {
 		configuration, fleet, trail, explanations, access, clock, random,
 	} = options;
 
-	// Guards against an operator whose role was taken away, and who gets in through a host that has not heard of it: before
-	// a change the operators are read from the platform, which the change needs anyway.
-	const getObjection = async (who: OperatorIdentity) => {
+	// Guards against an operator whose role was revoked, but who is still accepted by a host that has not received that
+	// change: before each change the operators are read from the platform, which the change needs anyway.
+	const getRefusalReason = async (who: OperatorIdentity) => {
 		if (who.role !== OperatorRole.Operate) {
 			return `${who.name} may view, and not change anything`;
 		}
@@ -50,9 +50,9 @@
 			return answerMalformed('the change id must be a UUIDv7', null);
 		}
 
-		const objection = await getObjection(who);
-		if (objection !== undefined) {
-			return answerRefused(`Refused, nothing was changed: ${objection}.`);
+		const refusalReason = await getRefusalReason(who);
+		if (refusalReason !== undefined) {
+			return answerRefused(`Refused, nothing was changed: ${refusalReason}.`);
 		}
 
 		const author = {who: who.name, changeId: givenId ?? createRequestId(clock.wall(), random)};
@@ -108,7 +108,7 @@
 	return text.trim().replaceAll(/\s+/gv, ' ');
 }
 
-/** The command as the audit trail keeps it: not even the hash of a token is repeated. */
+/** Returns the command for the audit trail, without the hash of a token. */
 function hideHash(text: string): string {
 	return text.replace(/[\da-f]{64}/iv, '…');
 }
--- a/src/operators/describe-change.ts
+++ b/src/operators/describe-change.ts
@@ -4,10 +4,10 @@
 import {answerOk, answerRefused} from './answers.js';
 import type {CommandAnswer} from './operator-commands.js';
 
-/** Longest value written out, in characters; the answer's data has all of it. */
+/** Maximum length of a value in the text, in characters; the answer's data contains the whole value. */
 const MAX_VALUE_LENGTH = 120;
 
-/** Tells an operator how a change ended. */
+/** Returns the answer to an operator that describes the result of a change. */
 export function describeChange(answer: ChangeAnswer, changeId: string): CommandAnswer {
 	const data = {...answer, changeId};
 	switch (answer.result) {
@@ -41,7 +41,7 @@
 	return `From ${describePart(from)} to ${describePart(to)}.`;
 }
 
-/** Writes the fields of a changed part: `name value` for each; a note has none. */
+/** Formats the fields of a changed part as `name value` pairs; returns an empty text for a part that is null. */
 export function describePart(part: unknown): string {
 	return Object.entries(part ?? {})
 		.map(([name, value]) => `${name} ${describeValue(value)}`)
--- a/src/operators/endpoint-orders.ts
+++ b/src/operators/endpoint-orders.ts
@@ -2,28 +2,29 @@
 import {EndpointOrder, getMajority, type GroupConfig} from '../groups/group-config.js';
 import type {EndpointRow} from './fleet-view.js';
 
-/** An order to judge. */
-export type OrderQuestion = {
+/** An order with the state of its group, for {@link validateOrder}. */
+export type OrderToValidate = {
 	readonly cfg: GroupConfig;
 	readonly endpoint: string;
 	readonly order: EndpointOrder;
-	/** What the owners see of the group's endpoints. */
+	/** The group's endpoints as their owners see them. */
 	readonly rows: readonly EndpointRow[];
 };
 
 /**
- * Tells why an order cannot be given, undefined where it can.
+ * Returns the reason why an order cannot be given; undefined where it can.
  *
- * Guards against a planned stop that stops the group: an endpoint that drains or is stopped no longer counts, neither
- * does one that no owner reaches, and what is left must be a majority with a target for the primary's role.
+ * Guards against a planned stop that stops the whole group. Endpoints that drain, are stopped, are leaving or are
+ * reached by no owner do not count. The remaining ones must be a majority, and one of them must be able to take over
+ * if the order is for the primary.
  */
-export function judgeOrder({cfg, endpoint, order, rows}: OrderQuestion): string | undefined {
+export function validateOrder({cfg, endpoint, order, rows}: OrderToValidate): string | undefined {
 	if (order === EndpointOrder.Serve) {
 		return undefined;
 	}
 
 	const left = cfg.endpoints.filter(other => other.name !== endpoint && other.order === EndpointOrder.Serve);
-	const missing = left.map(other => getTrouble(other.name, rows)).filter(trouble => trouble !== undefined);
+	const missing = left.map(other => getFault(other.name, rows)).filter(fault => fault !== undefined);
 	const isPrimary = findPrimary(rows)?.name === endpoint;
 	const remaining = left.length - missing.length;
 	const others = cfg.endpoints.filter(other => other.name !== endpoint && other.order !== EndpointOrder.Serve);
@@ -40,9 +41,9 @@
 }
 
 /**
- * The row of a group's primary, undefined where none is seen.
+ * Returns the row of a group's primary; undefined where no owner sees one.
  *
- * A superseded primary that is cut off may still show itself as one, so the highest term decides.
+ * A superseded primary that is cut off may still report itself as primary, so the one with the highest term is returned.
  */
 export function findPrimary(rows: readonly EndpointRow[]): EndpointRow | undefined {
 	return rows
@@ -50,7 +51,7 @@
 		.toSorted((left, right) => (right.term ?? 0) - (left.term ?? 0))[0];
 }
 
-/** An order as an endpoint's state: `serves`, `drains`, `is stopped`. */
+/** Describes an order as the endpoint's state: `serves`, `drains`, `is stopped`. */
 export function describeOrder(order: EndpointOrder): string {
 	const states = {
 		[EndpointOrder.Serve]: 'serves',
@@ -60,7 +61,7 @@
 	return states[order];
 }
 
-function getTrouble(name: string, rows: readonly EndpointRow[]): string | undefined {
+function getFault(name: string, rows: readonly EndpointRow[]): string | undefined {
 	const row = rows.find(other => other.name === name);
 	if (!row?.seen) {
 		return `${name} was seen by no owner`;
--- a/src/operators/own-view.ts
+++ b/src/operators/endpoint-rows.ts
@@ -3,19 +3,19 @@
 import type {GroupOwner} from '../owners/group-owner.js';
 import type {EndpointRow, RunningWork} from './fleet-view.js';
 
-/** Most rows of running work named for an endpoint. */
-const MOST_WORK = 20;
+/** Maximum number of running requests and transactions listed for an endpoint. */
+const MAX_WORK_ROWS = 20;
 
-/** Where and when a view is taken. */
-export type ViewMoment = {
+/** The host and time of a view. */
+export type ViewContext = {
 	readonly host: string;
-	/** On the clock's `now`. */
+	/** By the monotonic clock, in milliseconds. */
 	readonly now: number;
-	/** By the calendar, milliseconds since the epoch. */
+	/** By the wall clock, in milliseconds since the epoch. */
 	readonly wallMs: number;
 };
 
-/** Describes an endpoint of which no owner told. */
+/** Describes an endpoint that no owner reported. */
 export function describeUnseenEndpoint(group: string, endpoint: EndpointConfig): EndpointRow {
 	return {
 		group,
@@ -34,14 +34,14 @@
 }
 
 /** Describes an endpoint as its owner on this host sees it. */
-export function describeOwnedEndpoint(owner: GroupOwner, endpoint: EndpointConfig, moment: ViewMoment): EndpointRow {
+export function describeOwnedEndpoint(owner: GroupOwner, endpoint: EndpointConfig, context: ViewContext): EndpointRow {
 	const {knowledge, running, getParts} = owner.parts;
 	const group = owner.parts.getGroup().cfg.name;
 	const known = knowledge.get(endpoint.name);
 	const load = getParts(endpoint.name)?.admission.getLoad();
 	const work = running.getAt(endpoint.name);
-	const toWall = (at: number) => Math.round(moment.wallMs - (moment.now - at));
-	const ageMs = knowledge.getAgeMs(endpoint.name, moment.now);
+	const toWall = (at: number) => Math.round(context.wallMs - (context.now - at));
+	const ageMs = knowledge.getAgeMs(endpoint.name, context.now);
 	return {
 		...describeUnseenEndpoint(group, endpoint),
 		seen: true,
@@ -53,21 +53,21 @@
 		log: known?.status?.log,
 		ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
 		running: work.length,
-		work: work.slice(0, MOST_WORK).map(({what, requestId, since}): RunningWork => ({
-			what, requestId, host: moment.host, since: toWall(since),
+		work: work.slice(0, MAX_WORK_ROWS).map(({what, requestId, since}): RunningWork => ({
+			what, requestId, host: context.host, since: toWall(since),
 		})),
 		queued: load ? load.queued.deadline + load.queued.interactive + load.queued.background : 0,
 	};
 }
 
-/** The groups that a question names: one, or all that are configured. */
-export function getAskedGroups(configuration: Configuration, group: string | undefined): readonly string[] {
+/** Returns the requested group, or all configured groups where none is named. */
+export function getRequestedGroups(configuration: Configuration, group: string | undefined): readonly string[] {
 	return configuration.getGroups()
 		.filter(({cfg, deleted}) => !deleted && (group === undefined || cfg.name === group))
 		.map(({cfg}) => cfg.name);
 }
 
-/** Joins what several owners see of one endpoint: the latest state, all their work together. */
+/** Merges the rows of two owners for one endpoint: the state of the latest response, with the work of both. */
 export function mergeEndpointRows(left: EndpointRow, right: EndpointRow): EndpointRow {
 	const newest = (right.answeredAt ?? 0) > (left.answeredAt ?? 0) ? right : left;
 	const work = [...left.work, ...right.work].sort((one, other) => one.since - other.since);
@@ -78,6 +78,6 @@
 		leaving: left.leaving || right.leaving,
 		running: left.running + right.running,
 		queued: left.queued + right.queued,
-		work: work.slice(0, MOST_WORK),
+		work: work.slice(0, MAX_WORK_ROWS),
 	};
 }
--- a/src/operators/fleet-calls.ts
+++ b/src/operators/fleet-calls.ts
@@ -1,19 +1,19 @@
-import type {EndpointRow, PromoteAnswer, SessionRow} from './fleet-view.js';
+import type {EndpointRow, PromoteResult, SessionRow} from './fleet-view.js';
 
-/** One owner's part of an operator's question about endpoints; times are ages in milliseconds, so that no clocks are compared. */
-export type FleetEndpointsAnswer = {
+/** The endpoints of a group as one owner sees them. The age of an endpoint's data is sent as an age in milliseconds, so that no clocks are compared. */
+export type FleetEndpointsResponse = {
 	readonly endpoints: readonly EndpointRow[];
 };
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		/** The endpoints of a group as this owner sees them. */
-		'fleet-endpoints': {req: {readonly group: string}; res: FleetEndpointsAnswer};
-		/** The sessions that this host saw lately, or one of them. */
+		/** Returns the endpoints of a group as the called owner sees them. */
+		'fleet-endpoints': {req: {readonly group: string}; res: FleetEndpointsResponse};
+		/** Returns the sessions that the called host saw lately, or one of them. */
 		'fleet-sessions': {req: {readonly sessionId?: string}; res: {readonly sessions: readonly SessionRow[]}};
-		/** How far this host's configuration is. */
+		/** Returns the revision of the called host's configuration. */
 		'fleet-host': {req: Record<string, never>; res: {readonly configRevision: number}};
-		/** Hands a group's primary role to an endpoint. */
-		'fleet-promote': {req: {readonly group: string; readonly endpoint: string; readonly deadlineMs: number}; res: PromoteAnswer};
+		/** Makes an endpoint the primary of its group. */
+		'fleet-promote': {req: {readonly group: string; readonly endpoint: string; readonly deadlineMs: number}; res: PromoteResult};
 	}
 }
--- a/src/operators/fleet-view.ts
+++ b/src/operators/fleet-view.ts
@@ -2,17 +2,17 @@
 import type {EndpointOrder} from '../groups/group-config.js';
 import type {LogPosition} from '../terms/log-position.js';
 
-/** What the operators' commands need of the rest of the fleet; it asks owners and peers. */
+/** The state of the fleet for the operators' commands, queried from owners and peers. */
 export type FleetView = {
-	/** The endpoints of one group or of all as their owners see them; an endpoint that no owner told of has `seen: false`. */
+	/** Returns the endpoints of one group or of all groups as their owners see them; an endpoint that no owner reported has `seen: false`. */
 	getEndpoints(group?: string): Promise<readonly EndpointRow[]>;
-	/** The sessions that the hosts saw lately, newest first. */
+	/** Returns the sessions that the hosts saw lately, the one seen last first. */
 	getSessions(): Promise<readonly SessionRow[]>;
-	/** The newest sighting of one session. */
+	/** Returns a session as the host that saw it last recorded it; undefined where no host saw it lately. */
 	getSession(sessionId: string): Promise<SessionRow | undefined>;
 	getHosts(): Promise<readonly HostRow[]>;
-	/** Hands the primary's role to an endpoint; resolves once it has it, or with the reason why not. */
-	promote(group: string, endpoint: string): Promise<PromoteAnswer>;
+	/** Makes an endpoint the primary; resolves once it is, or with the reason why it is not. */
+	promote(group: string, endpoint: string): Promise<PromoteResult>;
 };
 
 /** An endpoint as its owners see it. Times are milliseconds since the epoch. */
@@ -23,23 +23,23 @@
 	readonly availabilityZone: string;
 	readonly order: EndpointOrder;
 	readonly orderedAt?: number;
-	/** An owner told of it. */
+	/** Whether an owner reported it. */
 	readonly seen: boolean;
-	/** It answered its owner's last exchange. */
+	/** Whether it responded to an owner's last exchange. */
 	readonly reachable: boolean;
-	/** When it last answered. */
+	/** Time of its last response. */
 	readonly answeredAt?: number;
-	/** The server's own word, or the platform's, that it is about to leave. */
+	/** Whether the server itself or the platform reports that it is about to leave. */
 	readonly leaving: boolean;
 	readonly role?: EndpointRole;
 	/** Highest term it has promised. */
 	readonly term?: number;
 	readonly log?: LogPosition;
-	/** Upper bound of the age of what it holds, in milliseconds. */
+	/** Upper bound of the age of its data, in milliseconds. */
 	readonly ageMs?: number;
-	/** Requests and transactions that run there. */
+	/** Number of requests and transactions that run there. */
 	readonly running: number;
-	/** The longest-running of them, oldest first, 20 at most. */
+	/** The longest-running of them, oldest first, at most 20. */
 	readonly work: readonly RunningWork[];
 	readonly queued: number;
 };
@@ -54,7 +54,7 @@
 	readonly since: number;
 };
 
-/** A session as a host saw it last. */
+/** A session as a host last recorded it. */
 export type SessionRow = {
 	readonly id: string;
 	/** Name of the host. */
@@ -63,7 +63,7 @@
 	/** Group of its last request. */
 	readonly group: string;
 	readonly requestId: string;
-	/** For each group the session's floor. */
+	/** The session's floor for each group. */
 	readonly floors: Readonly<Record<string, LogPosition>>;
 };
 
@@ -73,14 +73,14 @@
 	readonly availabilityZone: string;
 	readonly address: string;
 	readonly state: 'live' | 'leaving';
-	/** It answered just now. */
+	/** Whether it responded to this query. */
 	readonly reachable: boolean;
-	/** Highest store revision whose configuration it has in force. */
+	/** The store revision up to which it has received every change of the configuration. */
 	readonly configRevision?: number;
 };
 
-/** How a promotion ended. */
-export type PromoteAnswer = {readonly promoted: true} | {readonly promoted: false; readonly reason: string};
+/** The result of a promotion. */
+export type PromoteResult = {readonly promoted: true} | {readonly promoted: false; readonly reason: string};
 
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
--- a/src/operators/group-change.ts
+++ b/src/operators/group-change.ts
@@ -8,15 +8,15 @@
 import {
 	CommandKind, type CreateGroupCommand, type GroupCommand, type OrderEndpointCommand, type PromoteEndpointCommand, type SetSharesCommand,
 } from '../language/command.js';
-import {describeOrder, findPrimary, judgeOrder} from './endpoint-orders.js';
+import {describeOrder, findPrimary, validateOrder} from './endpoint-orders.js';
 import type {EndpointRow} from './fleet-view.js';
 
 type Decision = ChangeDecision<GroupState>;
 
-/** The field of a group's object that stands for its primary's role. */
+/** The field that represents the primary's role in a group's changes. */
 const PRIMARY_FIELD = 'primary';
 
-/** Makes the change that a command asks of a group. */
+/** Creates the change that a command makes to a group. */
 export function createGroupChange(command: GroupCommand & {readonly group: string}, what: string, rows: readonly EndpointRow[]): Change<GroupState> {
 	return {
 		what,
@@ -35,8 +35,8 @@
 	};
 }
 
-/** Makes the note that an order to promote was not carried out; it changes nothing but the audit trail. */
-export function createPrimaryNote(endpoint: string, reason: string): Change<GroupState> {
+/** Creates the note that an order to promote was not carried out; it changes only the audit trail. */
+export function createFailedPromotionNote(endpoint: string, reason: string): Change<GroupState> {
 	return {
 		what: `promote endpoint ${endpoint} failed: ${reason}`,
 		decide: current => current
@@ -101,9 +101,9 @@
 		return refuse(fields, `the audit trail calls its own object ${OPERATORS_OBJECT}; take another name`);
 	}
 
-	const twice = findTwice(endpoints.flatMap(({name, address}) => [name, address]));
-	if (twice !== undefined) {
-		return refuse(fields, `two endpoints have ${twice}`);
+	const duplicate = findDuplicate(endpoints.flatMap(({name, address}) => [name, address]));
+	if (duplicate !== undefined) {
+		return refuse(fields, `two endpoints have ${duplicate}`);
 	}
 
 	const cfg = groupConfigSchema.safeParse({name: group, endpoints});
@@ -155,7 +155,7 @@
 		return {kind: DecisionKind.Unchanged, fields: [field]};
 	}
 
-	const reason = judgeOrder({
+	const reason = validateOrder({
 		cfg, endpoint, order, rows,
 	});
 	if (reason !== undefined) {
@@ -174,7 +174,7 @@
 	};
 }
 
-/** Records the order to promote; the group's owners carry it out. */
+/** Decides on the record of an order to promote, which the group's owners carry out afterwards. */
 function promoteEndpoint({endpoint}: PromoteEndpointCommand, current: GroupState, rows: readonly EndpointRow[]): Decision {
 	const fields = [PRIMARY_FIELD];
 	const target = current.cfg.endpoints.find(other => other.name === endpoint);
@@ -209,6 +209,6 @@
 	return {kind: DecisionKind.Refuse, fields, reason};
 }
 
-function findTwice(texts: readonly string[]): string | undefined {
+function findDuplicate(texts: readonly string[]): string | undefined {
 	return texts.find((text, index) => texts.indexOf(text) !== index);
 }
--- a/src/operators/operator-access.ts
+++ b/src/operators/operator-access.ts
@@ -1,23 +1,23 @@
-/** What an operator may do. */
+/** The roles of operators. */
 export const OperatorRole = {
-	/** Ask and inspect. */
+	/** May run the commands that only read. */
 	View: 'view',
-	/** Issue changes as well. */
+	/** May also run the commands that change something. */
 	Operate: 'operate',
 } as const;
 
 /** One of the roles in {@link OperatorRole}. */
 export type OperatorRole = typeof OperatorRole[keyof typeof OperatorRole];
 
-/** Who issues a command, as the audit trail names them. */
+/** The operator who issues a command; the audit trail contains the name. */
 export type OperatorIdentity = {
 	readonly name: string;
 	readonly role: OperatorRole;
 };
 
-/** Tells operators apart by their bearer tokens. */
+/** Identifies operators by their bearer tokens. */
 export type OperatorAccess = {
-	/** Returns undefined for an absent or unknown token. */
+	/** Returns the operator with a token; undefined for an absent or unknown token. */
 	identify(bearerToken: string | undefined): OperatorIdentity | undefined;
 };
 
--- a/src/operators/operator-change.ts
+++ b/src/operators/operator-change.ts
@@ -3,7 +3,7 @@
 import {CommandKind, type OperatorCommand} from '../language/command.js';
 import {BOOTSTRAP_OPERATOR} from './create-operator-access.js';
 
-/** Makes the change that a command asks of the list of operators; the audit trail names roles, never hashes. */
+/** Creates the change that a command makes to the list of operators; the audit trail contains roles, but no hashes. */
 export function createOperatorChange(command: OperatorCommand, what: string): Change<readonly OperatorRecord[]> {
 	const {operator: name} = command;
 	const fields = [`operator ${name}`];
--- a/src/operators/operator-commands.ts
+++ b/src/operators/operator-commands.ts
@@ -1,32 +1,32 @@
 import type {OperatorIdentity} from './operator-access.js';
 
-/** How a command ended. */
+/** The status of a command's answer. */
 export const CommandStatus = {
 	Ok: 'ok',
-	/** It was understood, and not carried out; the text says why. */
+	/** The command was valid but was not carried out; the text contains the reason. */
 	Refused: 'refused',
-	/** It was not understood; the text points at the column. */
+	/** The command is malformed; the text contains the reason, for a syntax error with its column. */
 	Malformed: 'malformed',
 } as const;
 
-/** One of the ways in {@link CommandStatus}. */
+/** One of the values in {@link CommandStatus}. */
 export type CommandStatus = typeof CommandStatus[keyof typeof CommandStatus];
 
 /** The answer to an operator's command. */
 export type CommandAnswer = {
 	readonly status: CommandStatus;
-	/** For people: a sentence or a table, lines parted by `\n`. */
+	/** Human-readable: sentences or a table, with lines separated by `\n`. */
 	readonly text: string;
-	/** The same for machines; fit for JSON. */
+	/** The same in machine-readable form, serializable as JSON. */
 	readonly data: unknown;
 };
 
 /** Runs the operators' command language. */
 export type OperatorCommands = {
 	/**
-	 * Runs one command. Resolves with an answer for everything that an operator may type.
+	 * Runs one command. Resolves with an answer for any text that an operator may enter.
 	 *
-	 * @param changeId UUIDv7 that marks a change, so that one sent again after a lost answer takes effect once.
+	 * @param changeId UUIDv7 that identifies a change, so that a change sent again after a lost answer takes effect once.
 	 */
 	run(command: string, who: OperatorIdentity, changeId: string | undefined): Promise<CommandAnswer>;
 };
--- a/src/operators/operator-http.ts
+++ b/src/operators/operator-http.ts
@@ -7,13 +7,13 @@
 import {CommandStatus, type CommandAnswer, type OperatorCommands} from './operator-commands.js';
 import type {Operators} from './operators.js';
 
-/** The longest command taken, in characters. */
+/** Maximum length of a command, in characters. */
 export const MAX_COMMAND_LENGTH = 10_000;
 
-/** Largest body taken, in bytes: the longest command with every character escaped. */
+/** Maximum size of a request body, in bytes: enough for the longest command with every character escaped. */
 const MAX_BODY_BYTES = 131_072;
 
-/** How long an operator's client may take to send a command, in milliseconds. */
+/** How long an operator's client may take to send a request, in milliseconds. */
 const REQUEST_ARRIVAL_MS = 10_000;
 
 const STATUS_UNAUTHORIZED = 401;
@@ -24,16 +24,16 @@
 	[CommandStatus.Malformed]: 400,
 };
 
-/** Checks the body of a command. */
+/** Validates the request body of a command. */
 const commandSchema = z.strictObject({
 	command: z.string().min(1).max(MAX_COMMAND_LENGTH),
 	changeId: z.uuidv7('expected a UUIDv7').optional(),
 });
 
-/** Tells whether the balancer may send callers here. */
+/** Whether the load balancer may send callers to this host. */
 export type Readiness = {readonly ready: true} | {readonly ready: false; readonly reason: string};
 
-/** What the operator port needs. The calls find services that may be registered after it. */
+/** Options of {@link createOperatorHttp}. The `get…` functions return services that may be registered after the operator port. */
 export type OperatorHttpOptions = {
 	readonly log: Log;
 	readonly metrics: Metrics;
@@ -46,7 +46,7 @@
 	readonly getCommands: () => OperatorCommands;
 };
 
-/** Creates the port for operators: commands, metrics, and the balancer's checks. */
+/** Creates the operator port: commands, metrics, and the load balancer's health checks. */
 export function createOperatorHttp(options: OperatorHttpOptions): Operators {
 	const app = fastify({
 		bodyLimit: MAX_BODY_BYTES,
@@ -64,7 +64,7 @@
 			return answerCommand(reply, statusCode, malformed(message));
 		}
 
-		// No CommandAnswer: a change may have taken effect, and the client sends it again under its change id.
+		// The body is not a CommandAnswer: a change may have taken effect, so the client sends it again with its change id.
 		options.log.error('the operator port failed', {err});
 		void reply.code(500);
 		return {error: 'this host failed; send the command again with the same changeId'};
--- a/src/operators/operators.ts
+++ b/src/operators/operators.ts
@@ -1,10 +1,10 @@
-/** The port for operators, metrics and the platform's balancer, as the daemon drives it. */
+/** The port for operators, metrics and the health checks of the platform's load balancer. */
 export type Operators = {
-	/** Begins to listen. */
+	/** Starts listening. */
 	start(): Promise<void>;
-	/** Ends every connection. */
+	/** Stops listening and closes every connection. */
 	stop(): Promise<void>;
-	/** The port listened on; known once started. */
+	/** The port number; known once started. */
 	readonly port: number;
 };
 
--- a/src/operators/show-commands.ts
+++ b/src/operators/show-commands.ts
@@ -14,7 +14,7 @@
 import {formatEndpoints} from './show-endpoints.js';
 import {formatCell, formatTable, NO_VALUE} from './text-table.js';
 
-/** What the commands that inspect need. */
+/** Dependencies of the `show` commands. */
 export type ShowCommandsOptions = {
 	readonly configuration: Configuration;
 	readonly fleet: FleetView;
@@ -22,13 +22,13 @@
 	getOperators(): readonly OperatorIdentity[];
 };
 
-/** A command that inspects. */
+/** A `show` command. */
 export type ShowCommand = Exclude<ViewCommand, HelpCommand | WhyCommand>;
 
-/** Longest text of a changed value in a table, in characters; `--json` has all of it. */
+/** Maximum length of a changed value or command in a table, in characters; the output of `--json` contains all of it. */
 const MAX_PART_LENGTH = 48;
 
-/** Runs a command that inspects. */
+/** Runs a `show` command. */
 export async function runShow(command: ShowCommand, options: ShowCommandsOptions): Promise<CommandAnswer> {
 	const {configuration, fleet} = options;
 	switch (command.kind) {
@@ -169,7 +169,7 @@
 	return Object.values(WorkClass).map(name => `${name} ${Math.round(shares[name] * 100)}%`).join(' ');
 }
 
-/** A changed part: `name value` for each field. */
+/** Formats a changed part as `name value` pairs. */
 function formatPart(part: unknown): string {
 	if (typeof part !== 'object' || part === null) {
 		return NO_VALUE;
--- a/src/operators/show-endpoints.ts
+++ b/src/operators/show-endpoints.ts
@@ -7,7 +7,7 @@
 
 const HEADING = ['GROUP', 'ENDPOINT', 'ZONE', 'ORDER', 'STATE', 'ROLE', 'TERM', 'POSITION', 'AGE', 'RUNNING', 'QUEUED'] as const;
 
-/** Writes endpoints as a table, and under it the progress of each order. */
+/** Formats endpoints as a table with the progress of each order below it. */
 export function formatEndpoints(rows: readonly EndpointRow[]): string {
 	const table = formatTable(HEADING, rows.map(row => [
 		row.group,
@@ -38,7 +38,7 @@
 	return row.leaving ? 'leaving' : 'ok';
 }
 
-/** Says how far a drain or a stop has come. */
+/** Describes the progress of a drain or a stop. */
 function describeProgress(row: EndpointRow): string {
 	const since = row.orderedAt === undefined ? '' : ` since ${formatInstant(row.orderedAt)}`;
 	const sentences = [`${row.name} ${describeOrder(row.order)}${since}.`];
--- a/src/operators/text-table.ts
+++ b/src/operators/text-table.ts
@@ -1,7 +1,7 @@
-/** What stands in a cell without a value. */
+/** Text of a cell without a value. */
 export const NO_VALUE = '-';
 
-/** Writes rows under a heading in columns as wide as their longest cell; an empty table is said in words. */
+/** Formats rows under a heading, in columns as wide as their longest cell; returns `(none)` where there are no rows. */
 export function formatTable(heading: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
 	if (rows.length === 0) {
 		return '(none)';
@@ -14,7 +14,7 @@
 		.join('\n');
 }
 
-/** A cell's text for a value that may be missing. */
+/** Returns a cell's text for a value that may be missing. */
 export function formatCell(value: string | number | undefined): string {
 	return value === undefined ? NO_VALUE : String(value);
 }
--- a/src/operators/why-command.ts
+++ b/src/operators/why-command.ts
@@ -13,7 +13,7 @@
 	[RecordSource.None]: '',
 };
 
-/** Explains a refusal or a delay by its request's id or by its ticket. */
+/** Runs `why`: explains a refusal or a delay by the request's id or by its ticket. */
 export async function runWhy({subject}: WhyCommand, explanations: Explanations & ExplanationSearch): Promise<CommandAnswer> {
 	if ('requestId' in subject) {
 		return explainRequest(subject.requestId, await explanations.search(subject.requestId));
@@ -40,7 +40,7 @@
 	return number === undefined ? sentences : `(${number})\n${sentences}`;
 }
 
-/** Says what a search without a result means, so that no record is not taken for no refusal. */
+/** Explains a search without a result, so that a missing record is not mistaken for a request without a refusal. */
 function explainNothing(requestId: string, search: ExplanationSearchResult): string {
 	const {hostsAsked, hostsSilent, platformAnswered, notKept} = search;
 	const sentences = [
--- a/tests/operators/create-operator-access-tests.ts
+++ b/tests/operators/create-operator-access-tests.ts
@@ -42,7 +42,7 @@
 }
 
 describe('operators\' access', () => {
-	describe('lets in', () => {
+	describe('identifies', () => {
 		const doTest = (title: string, token: string | undefined, expected: unknown) => {
 			it(title, async () => {
 				const bench = createBench();
@@ -53,16 +53,16 @@
 		};
 
 		doTest('an operator by their token', 'token of dana', {name: 'dana', role: 'operate'});
-		doTest('one who may only view, as such', 'token of iva', {name: 'iva', role: 'view'});
-		doTest('whoever holds the token of the settings', 'token of the settings', {name: 'bootstrap', role: 'operate'});
+		doTest('an operator with the role view', 'token of iva', {name: 'iva', role: 'view'});
+		doTest('the holder of the token from the settings', 'token of the settings', {name: 'bootstrap', role: 'operate'});
 		doTest('nobody without a token', undefined, undefined);
 		doTest('nobody with an empty token', '', undefined);
 		doTest('nobody with an unknown token', 'token of eve', undefined);
-		doTest('nobody with a token of another case', 'TOKEN OF DANA', undefined);
+		doTest('nobody with a token in different case', 'TOKEN OF DANA', undefined);
 		doTest('nobody with the hash itself', DANA.tokenHash, undefined);
 	});
 
-	it('follows changes as they come, and stays through an outage of the platform', async () => {
+	it('applies changes as they arrive, and keeps the known operators during an outage of the platform', async () => {
 		const bench = createBench();
 		await bench.access.start!();
 		expect(bench.access.identify('token of dana')).to.equal(undefined);
@@ -82,8 +82,8 @@
 		expect(bench.logged.filter(line => secrets.test(line))).to.deep.equal([]);
 	});
 
-	// An operator is let out. An answer of the platform that was read before, and held back on its way, arrives after the newer one.
-	it('never goes back to an older version', async () => {
+	// An operator is deleted. A delayed response of the platform from before that arrives after the newer one.
+	it('never returns to an older version', async () => {
 		const bench = createBench();
 		bench.put(DANA);
 		bench.platform.gate.faults.overtakenMs = 1000;
--- a/tests/operators/create-operator-commands-tests.ts
+++ b/tests/operators/create-operator-commands-tests.ts
@@ -81,25 +81,25 @@
 		};
 
 		const drainA = 'drain endpoint nights-a of group nights';
-		doTest('unless a majority would be lost with what does not answer', unreachable('nights-c'), 'stop endpoint nights-b', 'a majority is 2: nights-c gives no answer');
-		doTest('also the very one that gives no answer', unreachable('nights-c'), 'stop endpoint nights-c', 'Done');
-		doTest('unless nobody could take over from the primary', unreachable('nights-b', 'nights-c'), drainA, 'nights-a is the primary, and no endpoint is left to take over: nights-b gives');
-		doTest('unless what is left was seen by no owner', bench => {
+		doTest('unless fewer than a majority that responds would remain', unreachable('nights-c'), 'stop endpoint nights-b', 'a majority is 2: nights-c gives no answer');
+		doTest('also where the ordered endpoint itself does not respond', unreachable('nights-c'), 'stop endpoint nights-c', 'Done');
+		doTest('unless no endpoint could take over from the primary', unreachable('nights-b', 'nights-c'), drainA, 'nights-a is the primary, and no endpoint is left to take over: nights-b gives');
+		doTest('unless a remaining endpoint was seen by no owner', bench => {
 			bench.setState('nights-b', {seen: false});
 		}, drainA, 'nights-b was seen by no owner');
-		doTest('unless what is left is leaving', bench => {
+		doTest('unless a remaining endpoint is leaving', bench => {
 			bench.setState('nights-b', {leaving: true});
 		}, drainA, 'nights-b is leaving');
 		const before = async (bench: Awaited<ReturnType<typeof createBench>>) => bench.run(1, BOOTSTRAP_TOKEN, drainA);
-		doTest('a second time without harm', before, drainA, 'Nothing to change, it stands so already: "drain endpoint nights-a of group nights" by bootstrap');
-		doTest('a stop after a drain', before, 'stop endpoint nights-a of group nights', 'From order of nights-a drain to order of nights-a stop');
+		doTest('a second time without effect', before, drainA, 'Nothing to change, it stands so already: "drain endpoint nights-a of group nights" by bootstrap');
+		doTest('to stop after a drain', before, 'stop endpoint nights-a of group nights', 'From order of nights-a drain to order of nights-a stop');
 		doTest('to be promoted only where they serve', async bench => bench.run(1, BOOTSTRAP_TOKEN, 'drain endpoint nights-b'), 'promote endpoint nights-b', 'nights-b drains');
-		doTest('to be promoted only where they answer', unreachable('nights-b'), 'promote endpoint nights-b', 'no owner reaches nights-b');
+		doTest('to be promoted only where they respond', unreachable('nights-b'), 'promote endpoint nights-b', 'no owner reaches nights-b');
 	});
 
-	// The order to promote is in the audit trail, and then the owners cannot carry it out. Were the trail left so, it would name
-	// a primary that never was.
-	it('note in the audit trail that a promotion failed', async () => {
+	// The order to promote is recorded in the audit trail, and then the owners cannot carry it out. Without a note of that,
+	// the trail would name a primary that never existed.
+	it('record in the audit trail that a promotion failed', async () => {
 		const bench = await createBench();
 		bench.failPromotions('nights-b is behind by 40 entries');
 		const answer = await bench.run(0, 'token of dana', 'promote endpoint nights-b');
@@ -111,7 +111,7 @@
 		]);
 	});
 
-	it('carry a promotion out once where it is sent twice', async () => {
+	it('carry out a promotion once where it is sent twice', async () => {
 		const bench = await createBench();
 		const changeId = createRequestId(bench.clock.wall(), bench.random);
 		await bench.run(0, BOOTSTRAP_TOKEN, 'promote endpoint nights-b', changeId);
@@ -122,7 +122,7 @@
 		expect(bench.promotions).to.deep.equal(['nights-b', 'nights-c']);
 	});
 
-	describe('are refused, to one who may only view,', () => {
+	describe('are refused for an operator with the role view', () => {
 		for (const {example} of getHelp()) {
 			if (!/^(?:help|why|show) /v.test(example)) {
 				it(example, async () => {
@@ -136,8 +136,8 @@
 		}
 	});
 
-	// Dana is let out. A host whose watch has gone silent still knows her, and lets her in.
-	it('are refused, where they change something, to one who was let out, at a host that has not heard of it', async () => {
+	// Dana is deleted. A host whose watch has gone silent still identifies her as an operator.
+	it('are refused, where they change something, for a deleted operator at a host that has not received the deletion', async () => {
 		const bench = await createBench();
 		await bench.runUnheard('delete operator dana');
 		expect(bench.access.identify('token of dana')).to.deep.equal({name: 'dana', role: 'operate'});
@@ -145,12 +145,12 @@
 		expect(answer).to.include({status: 'refused', text: 'Refused, nothing was changed: dana may not change anything any more.'});
 	});
 
-	it('are malformed with a change id that is none', async () => {
+	it('are malformed with an invalid change id', async () => {
 		const bench = await createBench();
 		expect(await bench.run(0, BOOTSTRAP_TOKEN, 'set group nights owners 3', 'seven')).to.include({status: 'malformed', text: 'the change id must be a UUIDv7'});
 	});
 
-	it('are refused while they need the platform and it gives no answer', async () => {
+	it('are refused where they need the platform and it does not respond', async () => {
 		const bench = await createBench();
 		bench.platform.gate.faults.outage = Outage.Silent;
 		expect(await bench.run(0, BOOTSTRAP_TOKEN, 'show changes')).to.include({status: 'refused', text: 'Refused: the platform gave no answer to list group.'});
--- a/tests/operators/operator-http-tests.ts
+++ b/tests/operators/operator-http-tests.ts
@@ -56,7 +56,7 @@
 		return {status: res.status, body: await res.json() as CommandAnswer};
 	};
 
-	it('tells the balancer whether callers may come', async () => {
+	it('reports to the load balancer whether the host accepts callers', async () => {
 		expect(await get('/ready')).to.deep.equal({status: 200, text: '{"ready":true}'});
 		readiness = {ready: false, reason: 'leaving'};
 		expect(await get('/ready')).to.deep.equal({status: 503, text: '{"ready":false,"reason":"leaving"}'});
@@ -87,7 +87,7 @@
 		doTest('malformed', 400);
 	});
 
-	describe('what is no command', () => {
+	describe('invalid commands', () => {
 		const doTest = (body: string, authorization: string, status: number, expected: CommandAnswer['status'], text: string) => {
 			it(`${body.slice(0, 30)} with ${authorization}: ${text}`, async () => {
 				expect(await post(body, authorization)).to.deep.equal({status, body: {status: expected, text, data: null}});
@@ -104,8 +104,9 @@
 		doTest('{"command":', 'Bearer good', 400, 'malformed', 'Body is not valid JSON but content-type is set to \'application/json\'');
 	});
 
-	// A command fails half-way through a fault of the host. Answered like a refusal, the operator would take it as not done.
-	it('gives no command\'s answer to a fault of its own', async () => {
+	// A command fails half-way because of a fault of the host. If the response looked like a refusal, the operator would
+	// assume that nothing was changed.
+	it('does not report a fault of the host as the answer to a command', async () => {
 		answer = new Error('bug');
 		const {status, body} = await post('{"command":"show groups"}');
 		expect(status).to.equal(500);
