--- a/src/cli/cli-errors.ts
+++ b/src/cli/cli-errors.ts
@@ -1,9 +1,9 @@
 import ModernError from 'modern-errors';
 
-/** The command line was not understood; nothing was sent. */
+/** The command line is invalid; nothing was sent. */
 export const UsageError = ModernError.subclass('UsageError');
 
-/** No host answered; a change may have taken effect. */
+/** No host gave an answer; a change may have taken effect. */
 export const UnreachableError = ModernError.subclass('UnreachableError');
 
 /** @internal */
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -6,14 +6,14 @@
 import {withinMs} from '../time/deadline.js';
 import {throwUnreachable} from './cli-errors.js';
 
-/** Times that a command is sent before its host counts as unreachable. */
-const MAX_TRIES = 4;
+/** Maximum number of attempts before the hosts count as unreachable. */
+const MAX_ATTEMPTS = 4;
 
-/** How long one try may take, in milliseconds; commands that wait for a change in force are the longest. */
-const TRY_TIMEOUT_MS = 15_000;
+/** Timeout of one attempt, in milliseconds; commands that apply a change take the longest. */
+const ATTEMPT_TIMEOUT_MS = 15_000;
 
-/** Pause before the second try, in milliseconds; each further one is twice as long, with jitter. */
-const FIRST_PAUSE_MS = 200;
+/** Delay before the second attempt, in milliseconds; it doubles for each further attempt and has jitter. */
+const FIRST_RETRY_DELAY_MS = 200;
 
 const answerSchema = z.object({
 	status: z.enum(CommandStatus),
@@ -21,9 +21,9 @@
 	data: z.unknown(),
 });
 
-/** What the client needs. */
+/** Options of {@link createOperatorClient}. */
 export type OperatorClientOptions = {
-	/** Base URLs of operator ports; a try that brings no answer goes on to the next. */
+	/** Base URLs of operator ports; after an attempt without an answer the next URL is used. */
 	readonly urls: readonly string[];
 	readonly token: string;
 	readonly clock: Clock;
@@ -32,14 +32,14 @@
 
 /** Sends operators' commands to a host. */
 export type OperatorClient = {
-	/** Sends a command until it has an answer; rejects with UnreachableError. */
+	/** Sends a command, with retries until it has an answer; rejects with UnreachableError after the last attempt. */
 	run(command: string): Promise<SentAnswer>;
 };
 
-/** An answer with the id under which its command was sent. */
+/** An answer with the change id of its command. */
 export type SentAnswer = CommandAnswer & {readonly changeId: string};
 
-/** Creates a client. */
+/** Creates a client of the operator port. */
 export function createOperatorClient({urls, token, clock, random}: OperatorClientOptions): OperatorClient {
 	const send = async (url: string, body: string, signal: AbortSignal) => {
 		const res = await fetch(new URL('/v1/commands', url), {
@@ -52,11 +52,11 @@
 		return answer.success ? answer.data : undefined;
 	};
 
-	/** Undefined where no answer came, whatever the reason. */
-	const tryOnce = async (url: string, body: string) => {
+	/** Makes one attempt; resolves with undefined where there is no valid answer, whatever the reason. */
+	const attemptOnce = async (url: string, body: string) => {
 		const abort = new AbortController();
 		try {
-			const answer = await withinMs(clock, TRY_TIMEOUT_MS, send(url, body, abort.signal));
+			const answer = await withinMs(clock, ATTEMPT_TIMEOUT_MS, send(url, body, abort.signal));
 			return answer.timedOut ? undefined : answer.value;
 		} catch {
 			return undefined;
@@ -67,16 +67,16 @@
 
 	return {
 		async run(command) {
-			// The answer to a change may be lost after it took effect. Sent again under the same id, it is found among the
-			// changes made and not made twice.
+			// The answer to a change may be lost after the change took effect. If the command is sent again with the same id,
+			// the host finds the change in the audit trail and does not apply it twice.
 			const changeId = createRequestId(clock.wall(), random);
 			const body = JSON.stringify({command, changeId});
-			for (let tries = 0; tries < MAX_TRIES; tries++) {
-				if (tries > 0) {
-					await clock.sleep(FIRST_PAUSE_MS * (2 ** (tries - 1)) * (0.5 + random.fraction()));
+			for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+				if (attempt > 0) {
+					await clock.sleep(FIRST_RETRY_DELAY_MS * (2 ** (attempt - 1)) * (0.5 + random.fraction()));
 				}
 
-				const answer = await tryOnce(urls[tries % urls.length]!, body);
+				const answer = await attemptOnce(urls[attempt % urls.length]!, body);
 				if (answer) {
 					return {...answer, changeId};
 				}
--- a/src/cli/read-command-line.ts
+++ b/src/cli/read-command-line.ts
@@ -1,12 +1,12 @@
 import {defineCommand, parseArgs, renderUsage} from 'citty';
 import {throwUsage} from './cli-errors.js';
 
-/** What the command line and the environment ask for. */
+/** The options from the command line and the environment. */
 export type CommandLine = {
 	readonly urls: readonly string[];
 	readonly token: string;
 	readonly json: boolean;
-	/** Undefined: read commands from standard input. */
+	/** Undefined where commands are to be read from standard input. */
 	readonly command?: string;
 };
 
@@ -21,18 +21,18 @@
 	},
 } as const;
 
-/** The tool as citty describes it in `--help`. */
+/** The definition of the tool, from which citty renders the text of `--help`. */
 export const aldercroftCommand = defineCommand({
 	meta: {name: 'aldercroft', version: '0.1.0', description: 'Ask and instruct aldercroft. Exit codes: 0 done, 2 not understood, 3 refused, 4 unreachable'},
 	args,
 });
 
-/** The text of `--help`. */
+/** Returns the text of `--help`. */
 export async function getUsage(): Promise<string> {
 	return renderUsage(aldercroftCommand);
 }
 
-/** Reads the command line; throws UsageError. */
+/** Parses the command line; throws a UsageError where it is invalid. */
 export function readCommandLine(rawArgs: readonly string[], env: Readonly<Record<string, string | undefined>>): CommandLine {
 	const parsed = parseArgs<typeof args>([...rawArgs], args);
 	const unknown = Object.keys(parsed).find(name => name !== '_' && !Object.hasOwn(args, name));
--- a/src/cli/run-cli.ts
+++ b/src/cli/run-cli.ts
@@ -7,9 +7,9 @@
 import {runReport} from './run-report.js';
 import {aldercroftCommand, getUsage, readCommandLine} from './read-command-line.js';
 
-/** What the tool needs of its process. */
+/** Options of {@link runCli}: the parts of its process that the tool uses. */
 export type CliOptions = {
-	/** The command line without the program. */
+	/** The command-line arguments without the program's name. */
 	readonly args: readonly string[];
 	readonly env: Readonly<Record<string, string | undefined>>;
 	readonly input: NodeJS.ReadableStream & {readonly isTTY?: boolean};
@@ -21,10 +21,10 @@
 
 const PROMPT = 'aldercroft> ';
 
-/** Commands that the prompt keeps for the arrow keys. */
+/** Number of commands in the prompt's history. */
 const HISTORY_SIZE = 500;
 
-/** Runs the operators' tool; resolves with its exit code. */
+/** Runs the operators' command-line tool; resolves with its exit code. */
 export async function runCli(options: CliOptions): Promise<ExitCode> {
 	const {args, env, output, errors} = options;
 	if (args.includes('--help') || args.includes('-h')) {
@@ -110,7 +110,7 @@
 	return code;
 }
 
-/** An answer may quote a statement; control signs in it could rewrite what the operator sees. */
+/** Replaces control characters: an answer may quote a statement, in which they could alter the operator's terminal output. */
 function toPrintable(text: string): string {
 	return text.replaceAll(/[\p{Cc}--[\n\t]]/gv, '\u{FFFD}');
 }
--- a/src/cli/run-report.ts
+++ b/src/cli/run-report.ts
@@ -5,7 +5,7 @@
 import {throwUsage} from './cli-errors.js';
 import {ExitCode} from './exit-code.js';
 
-/** What a report needs of its process. */
+/** Options of {@link runReport}: the parts of its process that a report uses. */
 export type ReportOptions = {
 	readonly args: readonly string[];
 	readonly input: NodeJS.ReadableStream;
@@ -15,7 +15,7 @@
 const JSON_FLAG = '--json';
 const STANDARD_INPUT = '-';
 
-/** Runs `aldercroft report LOG…`: reads logs line by line, `-` for standard input, and prints what they tell; throws UsageError. */
+/** Runs `aldercroft report LOG…`: reads logs line by line, `-` for standard input, and prints a report of them. Rejects with UsageError for invalid arguments and for files that cannot be read. */
 export async function runReport({args, input, output}: ReportOptions): Promise<ExitCode> {
 	const unknown = args.find(argument => argument.startsWith('--') && argument !== JSON_FLAG);
 	const files = args.filter(argument => argument !== JSON_FLAG);
--- a/src/language/command-parser.ts
+++ b/src/language/command-parser.ts
@@ -12,17 +12,17 @@
 } from './token-values.js';
 import * as t from './tokens.js';
 
-/** Changes shown where the command says no number. */
+/** Number of changes shown where the command contains no number. */
 export const DEFAULT_LAST_CHANGES = 20;
 
-/** The grammar; each rule reads like the line of `help` that explains it. */
+/** The grammar of the command language; each rule corresponds to the syntax line in `help`. */
 class CommandParser extends EmbeddedActionsParser {
 	constructor() {
 		super(t.tokens, {recoveryEnabled: false, maxLookahead: 2});
 		this.performSelfAnalysis();
 	}
 
-	/** The rule that every command begins with. */
+	/** The start rule. */
 	public command = this.RULE('command', (): Command => this.OR([
 		{ALT: () => this.SUBRULE(this.help)},
 		{ALT: () => this.SUBRULE(this.why)},
@@ -55,14 +55,14 @@
 	private readonly show = this.RULE('show', (): Command => {
 		this.CONSUME(t.Show);
 		return this.OR<Command>([
-			{ALT: () => this.just(() => this.CONSUME(t.Sessions), {kind: CommandKind.ShowSessions})},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Sessions), {kind: CommandKind.ShowSessions})},
 			{ALT: () => this.SUBRULE(this.showSession)},
 			{ALT: () => this.SUBRULE(this.showEndpoints)},
-			{ALT: () => this.just(() => this.CONSUME(t.Groups), {kind: CommandKind.ShowGroups})},
-			{ALT: () => this.just(() => this.CONSUME(t.Hosts), {kind: CommandKind.ShowHosts})},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Groups), {kind: CommandKind.ShowGroups})},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Hosts), {kind: CommandKind.ShowHosts})},
 			{ALT: () => this.SUBRULE(this.showConfig)},
 			{ALT: () => this.SUBRULE(this.showChanges)},
-			{ALT: () => this.just(() => this.CONSUME(t.Operators), {kind: CommandKind.ShowOperators})},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Operators), {kind: CommandKind.ShowOperators})},
 		]);
 	});
 
@@ -142,8 +142,8 @@
 		const operator = this.SUBRULE(this.operatorName);
 		this.CONSUME(t.Role);
 		const role = this.OR<OperatorRole>([
-			{ALT: () => this.just(() => this.CONSUME(t.View), OperatorRole.View)},
-			{ALT: () => this.just(() => this.CONSUME(t.Operate), OperatorRole.Operate)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.View), OperatorRole.View)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Operate), OperatorRole.Operate)},
 		]);
 		this.CONSUME(t.Hash);
 		const tokenHash = this.CONSUME(t.TokenHash).image.toLowerCase();
@@ -192,8 +192,8 @@
 	private readonly durability = this.RULE('durability', (): Durability => {
 		this.CONSUME(t.Durable);
 		return this.OR<Durability>([
-			{ALT: () => this.just(() => this.CONSUME(t.Majority), Durability.Majority)},
-			{ALT: () => this.just(() => this.CONSUME(t.Primary), Durability.Primary)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Majority), Durability.Majority)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Primary), Durability.Primary)},
 		]);
 	});
 
@@ -228,9 +228,9 @@
 
 	private readonly order = this.RULE('order', (): Command => {
 		const order = this.OR<EndpointOrder>([
-			{ALT: () => this.just(() => this.CONSUME(t.Drain), EndpointOrder.Drain)},
-			{ALT: () => this.just(() => this.CONSUME(t.Stop), EndpointOrder.Stop)},
-			{ALT: () => this.just(() => this.CONSUME(t.Resume), EndpointOrder.Serve)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Drain), EndpointOrder.Drain)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Stop), EndpointOrder.Stop)},
+			{ALT: () => this.consumeAs(() => this.CONSUME(t.Resume), EndpointOrder.Serve)},
 		]);
 		return {kind: CommandKind.OrderEndpoint, ...this.SUBRULE(this.endpointOfGroup), order};
 	});
@@ -267,12 +267,12 @@
 		return this.ACTION(() => getName(token));
 	});
 
-	/** Consumes a keyword and answers what it stands for. */
-	private just<T>(consume: () => unknown, value: T): T {
+	/** Consumes a keyword and returns the value that it represents. */
+	private consumeAs<T>(consume: () => unknown, value: T): T {
 		consume();
 		return value;
 	}
 }
 
-/** The parser; it holds its input between calls, which do not interleave. */
+/** The shared parser. It keeps its input from call to call, which is safe because calls are synchronous and cannot interleave. */
 export const commandParser = new CommandParser();
--- a/src/language/command.ts
+++ b/src/language/command.ts
@@ -1,7 +1,7 @@
 import type {Durability, EndpointOrder, WorkClass} from '../groups/group-config.js';
 import type {OperatorRole} from '../operators/operator-access.js';
 
-/** What an operator's command does; the commands that change something need the role `operate`. */
+/** The kinds of operators' commands; those that change something require the role `operate`. */
 export const CommandKind = {
 	Help: 'help',
 	Why: 'why',
@@ -32,10 +32,10 @@
 /** Lists every command, or explains the one that begins with `topic`. */
 export type HelpCommand = {readonly kind: typeof CommandKind.Help; readonly topic?: string};
 
-/** Explains a refusal or a delay by the request's id or by the ticket that its caller got. */
+/** Explains a refusal or a delay by the request's id or by the ticket that its caller received. */
 export type WhyCommand = {readonly kind: typeof CommandKind.Why; readonly subject: WhySubject};
 
-/** What the caller can name. */
+/** The request id or the ticket that identifies the refusal. */
 export type WhySubject = {readonly requestId: string} | {readonly ticket: string};
 
 export type ShowSessionsCommand = {readonly kind: typeof CommandKind.ShowSessions};
@@ -46,13 +46,13 @@
 export type ShowConfigCommand = {readonly kind: typeof CommandKind.ShowConfig; readonly group?: string};
 export type ShowOperatorsCommand = {readonly kind: typeof CommandKind.ShowOperators};
 
-/** Shows the audit trail, newest first, of everything or of one group or of `operators`. */
+/** Shows the audit trail, newest first, of all subjects, of one group or of `operators`. */
 export type ShowChangesCommand = {readonly kind: typeof CommandKind.ShowChanges; readonly subject?: string; readonly last: number};
 
 /** Creates a group with all its endpoints. */
 export type CreateGroupCommand = {readonly kind: typeof CommandKind.CreateGroup; readonly group: string; readonly endpoints: readonly NewEndpoint[]};
 
-/** An endpoint as the command names it. */
+/** An endpoint as given in the command. */
 export type NewEndpoint = {
 	readonly name: string;
 	/** `ip:port`. */
@@ -68,14 +68,14 @@
 export type SetOwnersCommand = {readonly kind: typeof CommandKind.SetOwners; readonly group: string; readonly owners: number};
 export type SetKeyRetentionCommand = {readonly kind: typeof CommandKind.SetKeyRetention; readonly group: string; readonly keyRetentionMs: number};
 
-/** Sets the share of one or more classes; the others keep theirs. */
+/** Sets the share of one or more classes; the other classes keep theirs. */
 export type SetSharesCommand = {
 	readonly kind: typeof CommandKind.SetShares;
 	readonly group: string;
 	readonly shares: Readonly<Partial<Record<WorkClass, number>>>;
 };
 
-/** Drains, stops or resumes an endpoint; `group` is needed where two groups have an endpoint of that name. */
+/** Drains, stops or resumes an endpoint; `group` is required where two groups have an endpoint of that name. */
 export type OrderEndpointCommand = {
 	readonly kind: typeof CommandKind.OrderEndpoint;
 	readonly endpoint: string;
@@ -85,7 +85,7 @@
 
 export type PromoteEndpointCommand = {readonly kind: typeof CommandKind.PromoteEndpoint; readonly endpoint: string; readonly group?: string};
 
-/** Lets an operator in whose token has this SHA-256 hash, in lower-case hex. */
+/** Creates an operator. The token's SHA-256 hash is in lower-case hex. */
 export type CreateOperatorCommand = {
 	readonly kind: typeof CommandKind.CreateOperator;
 	readonly operator: string;
@@ -105,7 +105,7 @@
 	| CreateGroupCommand | DeleteGroupCommand | SetReadAgeCommand | SetDurabilityCommand | SetSharesCommand | SetOwnersCommand
 	| SetKeyRetentionCommand | OrderEndpointCommand | PromoteEndpointCommand;
 
-/** A command that changes who may operate. */
+/** A command that changes the list of operators. */
 export type OperatorCommand = CreateOperatorCommand | DeleteOperatorCommand;
 
 /** A parsed command. */
--- a/src/language/help.ts
+++ b/src/language/help.ts
@@ -1,15 +1,15 @@
 import {CommandKind} from './command.js';
 
-/** How one command is written. */
+/** The help for one command. */
 export type HelpEntry = {
-	/** Capitals stand for what the operator fills in, brackets for what may be left out. */
+	/** Words in capitals are placeholders, brackets enclose optional parts. */
 	readonly syntax: string;
 	readonly explanation: string;
-	/** A whole command; a test parses each. */
+	/** A complete command; a test parses each example. */
 	readonly example: string;
 };
 
-/** Every command's help; the type keeps a new kind of command from going without. */
+/** The help for every command; the type requires an entry for each new kind of command. */
 export const helpEntries: Readonly<Record<CommandKind, readonly HelpEntry[]>> = {
 	[CommandKind.Help]: [{
 		syntax: 'help [COMMAND]',
@@ -131,13 +131,13 @@
 	}],
 };
 
-/** The entries whose command begins with the topic, or all. */
+/** Returns the entries whose command begins with the topic, or all entries without one. */
 export function getHelp(topic = ''): readonly HelpEntry[] {
 	const wanted = topic.toLowerCase();
 	return Object.values(helpEntries).flat().filter(entry => entry.syntax.startsWith(wanted));
 }
 
-/** Writes entries out: each with its syntax, explanation and example on lines of their own. */
+/** Formats entries, each with its syntax, explanation and example on separate lines. */
 export function formatHelp(entries: readonly HelpEntry[]): string {
 	return entries
 		.map(entry => `${entry.syntax}\n    ${entry.explanation}\n    Example: ${entry.example}`)
--- a/src/language/language-errors.ts
+++ b/src/language/language-errors.ts
@@ -1,25 +1,25 @@
 import ModernError from 'modern-errors';
 
-/** A command that is not one; `column` counts from 1. */
+/** A syntax error in a command; `column` counts from 1. */
 export const LanguageError = ModernError.subclass('LanguageError', {
 	props: {column: 1, expected: '', found: ''},
 });
 
-/** Narrows to a LanguageError. */
-export function isLanguageError(err: unknown): err is InstanceType<typeof LanguageError> & WrongPlace {
+/** Returns whether an error is a LanguageError. */
+export function isLanguageError(err: unknown): err is InstanceType<typeof LanguageError> & SyntaxErrorDetails {
 	return err instanceof LanguageError;
 }
 
-/** Where a command is wrong and what was expected there. */
-export type WrongPlace = {
-	/** Column of the first character that does not belong, from 1. */
+/** The position of a syntax error and what was expected there. */
+export type SyntaxErrorDetails = {
+	/** Column of the first unexpected character, from 1. */
 	readonly column: number;
 	readonly expected: string;
-	/** The text found there, empty at the end. */
+	/** The text found there; empty at the end of the command. */
 	readonly found: string;
 };
 
 /** @internal */
-export function throwNotExpected(place: WrongPlace): never {
-	throw new LanguageError(`column ${place.column}: expected ${place.expected}`, {props: place});
+export function throwUnexpectedToken(details: SyntaxErrorDetails): never {
+	throw new LanguageError(`column ${details.column}: expected ${details.expected}`, {props: details});
 }
--- a/src/language/parse-command.ts
+++ b/src/language/parse-command.ts
@@ -1,21 +1,21 @@
 import {EOF, type IToken} from 'chevrotain';
 import type {Command} from './command.js';
 import {commandParser} from './command-parser.js';
-import {isLanguageError, type WrongPlace} from './language-errors.js';
+import {isLanguageError, type SyntaxErrorDetails} from './language-errors.js';
 import {commandLexer} from './tokens.js';
 
-/** A command, or the place where the text is none. */
+/** The parsed command, or its first syntax error. */
 export type ParsedCommand =
 	| {readonly ok: true; readonly command: Command}
-	| {readonly ok: false; readonly wrong: WrongPlace};
+	| {readonly ok: false; readonly syntaxError: SyntaxErrorDetails};
 
-/** What is said where the command could end. */
+/** Label in the list of what was expected, where the command could also end. */
 const END_OF_COMMAND = 'the end of the command';
 
-/** Most things named as expected; where the text is empty every verb is. */
+/** Maximum number of labels in the list of what was expected; enough for every verb, which an empty command needs. */
 const MAX_EXPECTED = 12;
 
-/** Reads one command of the operators' language. */
+/** Parses one command of the operators' language. */
 export function parseCommand(text: string): ParsedCommand {
 	const line = toLine(text);
 	const {tokens} = commandLexer.tokenize(line);
@@ -23,7 +23,7 @@
 		return parseTokens(line, tokens);
 	} catch (err) {
 		if (isLanguageError(err)) {
-			return {ok: false, wrong: {column: err.column, expected: err.expected, found: err.found}};
+			return {ok: false, syntaxError: {column: err.column, expected: err.expected, found: err.found}};
 		}
 
 		throw err;
@@ -42,19 +42,19 @@
 	const before = found ? tokens.slice(0, tokens.indexOf(found)) : tokens;
 	return {
 		ok: false,
-		wrong: {
+		syntaxError: {
 			column: found?.startColumn ?? text.trimEnd().length + 1,
-			expected: getExpected(before),
+			expected: formatExpected(before),
 			found: found?.image ?? '',
 		},
 	};
 }
 
-/** Names everything that may follow the tokens. */
-function getExpected(before: IToken[]): string {
+/** Returns a list of everything that may follow the tokens. */
+function formatExpected(before: IToken[]): string {
 	const next = commandParser.computeContentAssist('command', before);
 	const labels = new Set(next.map(path => path.nextTokenType.LABEL ?? path.nextTokenType.name));
-	if (isWhole(before)) {
+	if (isComplete(before)) {
 		labels.add(END_OF_COMMAND);
 	}
 
@@ -63,23 +63,23 @@
 	return named.length > 0 ? `${named.join(', ')} or ${last}` : last;
 }
 
-function isWhole(tokens: IToken[]): boolean {
+function isComplete(tokens: IToken[]): boolean {
 	commandParser.input = tokens;
 	commandParser.command();
 	return commandParser.errors.length === 0;
 }
 
-/** Says what is wrong with a command: the text, a mark under the column, and what was expected there. */
-export function explainWrongPlace(text: string, wrong: WrongPlace): string {
-	const found = wrong.found === '' ? 'the end' : `"${wrong.found}"`;
+/** Describes a syntax error: the text, a mark under the column, and what was expected there. */
+export function formatSyntaxError(text: string, details: SyntaxErrorDetails): string {
+	const found = details.found === '' ? 'the end' : `"${details.found}"`;
 	return [
 		toLine(text),
-		`${' '.repeat(wrong.column - 1)}^`,
-		`column ${wrong.column}: expected ${wrong.expected}, found ${found}`,
+		`${' '.repeat(details.column - 1)}^`,
+		`column ${details.column}: expected ${details.expected}, found ${found}`,
 	].join('\n');
 }
 
-/** Puts a text on one line, so that its columns count through. */
+/** Puts a text on one line, so that a column identifies one position in the whole text. */
 function toLine(text: string): string {
 	return text.replaceAll(/\s/gv, ' ');
 }
--- a/src/language/tokens.ts
+++ b/src/language/tokens.ts
@@ -3,7 +3,7 @@
 /**
  * The tokens of the command language.
  *
- * A name may look like a keyword or a number, so every kind of name is a category to which all tokens but the comma belong.
+ * A name may look like a keyword or a number, so every kind of name is a category that contains all tokens except the comma.
  */
 
 function createName(name: string, label: string): TokenType {
@@ -25,7 +25,7 @@
 
 const Word = createToken({name: 'Word', pattern: /[^\s,]+/u, categories: names});
 
-/** A value with a form of its own. */
+/** Creates a token for a value with its own pattern. */
 function createValue(name: string, pattern: RegExp, label: string): TokenType {
 	return createToken({
 		name, pattern, label, longer_alt: Word, categories: names,
@@ -42,7 +42,7 @@
 
 const keywords: TokenType[] = [];
 
-/** A fixed word of the language, in any case. */
+/** Creates a token for a keyword, in upper or lower case. */
 function createKeyword(word: string): TokenType {
 	const token = createToken({
 		name: `Keyword ${word}`,
@@ -98,10 +98,10 @@
 export const Operate = createKeyword('operate');
 export const Hash = createKeyword('token-hash');
 
-/** Every token; the lexer takes the first that matches, or the word that goes on beyond it. */
+/** Every token. The lexer uses the first that matches, or `Word` where that matches a longer text. */
 export const tokens: TokenType[] = [
 	Blank, Comma, RequestId, Ticket, TokenHash, Address, Duration, Percent, Count, ...keywords, Word, ...names,
 ];
 
-/** Splits a command into tokens; every text has a split, so that what is wrong is told by the grammar. */
+/** Splits a command into tokens. Every text can be split, so that all syntax errors are reported by the grammar. */
 export const commandLexer = new Lexer(tokens, {positionTracking: 'full'});
--- a/src/operators/create-operator-commands.ts
+++ b/src/operators/create-operator-commands.ts
@@ -6,7 +6,7 @@
 	CommandKind, type Command, type GroupCommand, type HelpCommand, type OperatorCommand,
 } from '../language/command.js';
 import {formatHelp, getHelp} from '../language/help.js';
-import {explainWrongPlace, parseCommand} from '../language/parse-command.js';
+import {formatSyntaxError, parseCommand} from '../language/parse-command.js';
 import {PlatformError} from '../object-store/platform-errors.js';
 import {createRequestId, getRequestIdTime} from '../random/request-id.js';
 import {answerMalformed, answerOk, answerRefused} from './answers.js';
@@ -81,7 +81,7 @@
 		async run(command, who, changeId): Promise<CommandAnswer> {
 			const parsed = parseCommand(command);
 			if (!parsed.ok) {
-				return answerMalformed(explainWrongPlace(command, parsed.wrong), parsed.wrong);
+				return answerMalformed(formatSyntaxError(command, parsed.syntaxError), parsed.syntaxError);
 			}
 
 			try {
--- a/tests/cli/run-cli-tests.ts
+++ b/tests/cli/run-cli-tests.ts
@@ -14,7 +14,7 @@
 	res.writeHead(httpStatus, {'content-type': 'application/json'}).end(JSON.stringify({status, text, data: {n: 1}}));
 };
 
-/** The command takes effect, its answer is lost. */
+/** Closes the connection without an answer, as when a command takes effect and its answer is lost. */
 const lose: Step = res => {
 	res.destroy();
 };
@@ -96,9 +96,10 @@
 		expect(received[0]!.changeId).to.match(/^[\da-f\-]{14}7/v);
 	});
 
-	// An operator drains an endpoint; the host makes the change and dies before it answers. Sent again as a new command, the
-	// drain would be made twice, or refused as made already by "another" operator. The same id lets the next host find it.
-	it('sends a command again under the same id when its answer was lost', async () => {
+	// An operator drains an endpoint; the host applies the change and dies before it answers. If the drain were sent again as
+	// a new command, it would be applied twice or refused as a conflict with "another" operator. With the same id the next
+	// host recognizes it.
+	it('sends a command again with the same id when its answer was lost', async () => {
 		steps = [lose, res => res.writeHead(500).end('{}'), res => res.writeHead(502).end('<html>'), answer('ok', 'drained')];
 		const {code, output} = await run(['drain endpoint e-1']);
 		expect([code, output]).to.deep.equal([0, 'drained\n']);
@@ -106,20 +107,20 @@
 		expect(new Set(received.map(sent => sent.changeId)).size).to.equal(1);
 	});
 
-	it('goes on to the next URL', async () => {
+	it('tries the next URL where the first does not answer', async () => {
 		steps = [answer('ok', 'done')];
 		const {code} = await run(['--url', `http://127.0.0.1:1, ${url}`, 'show groups']);
 		expect([code, received.length]).to.deep.equal([0, 1]);
 	});
 
-	it('tells a host that never answers from a refusal', async () => {
+	it('reports a host that never answers as unreachable, not as a refusal', async () => {
 		steps = [];
 		const {code, output, errors} = await run(['drain endpoint e-1']);
 		expect([code, output, received.length]).to.deep.equal([4, '', 4]);
 		expect(errors).to.include(`no answer from ${url}; a change may have taken effect, "show changes" lists it under ${received[0]!.changeId}`);
 	});
 
-	it('gives up a try on a connection that has gone silent', async () => {
+	it('times out an attempt on a silent connection and tries again', async () => {
 		const clock = createVirtualClock();
 		steps = [hang, answer('ok', 'done')];
 		const running = run(['show groups'], '', clock);
@@ -137,7 +138,7 @@
 	});
 
 	describe('standard input', () => {
-		it('runs each line and ends with the code of the last', async () => {
+		it('runs each line and exits with the code of the last', async () => {
 			steps = [answer('ok', 'one'), answer('refused', 'two', 409)];
 			const result = await run([], 'show groups\n\n  show hosts\nexit\nshow config\n');
 			expect(result).to.deep.equal({code: 3, output: 'one\n', errors: 'two\n'});
--- a/tests/language/parse-command-tests.ts
+++ b/tests/language/parse-command-tests.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import {getHelp} from '../../src/language/help.js';
-import {explainWrongPlace, parseCommand} from '../../src/language/parse-command.js';
+import {formatSyntaxError, parseCommand} from '../../src/language/parse-command.js';
 
 const REQUEST = '019b8c8e-8a00-7000-8000-00000000002a';
 const HASH = 'ab'.repeat(32);
 
 describe('command language', () => {
-	describe('reads', () => {
+	describe('parses', () => {
 		const doTest = (text: string, expected: unknown) => {
 			it(text, () => {
 				const parsed = parseCommand(text);
-				expect(parsed.ok ? parsed.command : explainWrongPlace(text, parsed.wrong)).to.deep.equal(expected);
+				expect(parsed.ok ? parsed.command : formatSyntaxError(text, parsed.syntaxError)).to.deep.equal(expected);
 			});
 		};
 
@@ -63,11 +63,11 @@
 		doTest('delete operator dana', {kind: 'delete-operator', operator: 'dana'});
 	});
 
-	describe('points at what is wrong', () => {
+	describe('reports the position of the syntax error in', () => {
 		const doTest = (text: string, column: number, expected: string, found: string) => {
 			it(text === '' ? 'an empty command' : text, () => {
 				const parsed = parseCommand(text);
-				expect(parsed).to.deep.equal({ok: false, wrong: {column, expected, found}});
+				expect(parsed).to.deep.equal({ok: false, syntaxError: {column, expected, found}});
 			});
 		};
 
@@ -97,10 +97,10 @@
 		doTest('drain nights-a', 7, '"endpoint"', 'nights-a');
 	});
 
-	it('puts a mark under the column', () => {
+	it('marks the column of a syntax error', () => {
 		const text = 'set group nights read-age five';
 		const parsed = parseCommand(text);
-		expect(parsed.ok ? '' : explainWrongPlace(text, parsed.wrong)).to.equal([
+		expect(parsed.ok ? '' : formatSyntaxError(text, parsed.syntaxError)).to.equal([
 			'set group nights read-age five',
 			'                          ^',
 			'column 27: expected a duration such as 500ms, 5s, 2m or 24h, found "five"',
