--- a/src/audit/audit-archive.ts
+++ b/src/audit/audit-archive.ts
@@ -19,7 +19,7 @@
 const archiveSchema = z.object({entries: z.array(auditEntrySchema)});
 
 /** Identifies the audit trail of one object; the names of its archives are derived from it. */
-export type Trail = {
+export type TrailId = {
 	readonly kind: ObjectKind;
 	readonly name: string;
 };
@@ -31,7 +31,7 @@
 };
 
 /** Returns the name of an archive object. */
-export function getArchiveName({kind, name}: Trail, sequence: number): string {
+export function getArchiveName({kind, name}: TrailId, sequence: number): string {
 	return `${kind}.${name}.${String(sequence).padStart(SEQUENCE_DIGITS, '0')}`;
 }
 
@@ -48,7 +48,7 @@
  * that it contains are removed, matched by change id. Until the update the entries are in both places, and readers
  * ignore an archive whose number is not below the object's `nextArchive`.
  */
-export async function archiveOldest(platform: Platform, trail: Trail, {audit, nextArchive}: LiveTrail, timeoutMs: number): Promise<LiveTrail> {
+export async function archiveOldest(platform: Platform, trail: TrailId, {audit, nextArchive}: LiveTrail, timeoutMs: number): Promise<LiveTrail> {
 	const count = audit.length >= MAX_LIVE_ENTRIES ? audit.length - MIN_LIVE_ENTRIES : Math.ceil(audit.length / 2);
 	const name = getArchiveName(trail, nextArchive);
 	let archived = audit.slice(0, count);
--- a/src/audit/audit-trail.ts
+++ b/src/audit/audit-trail.ts
@@ -1,7 +1,7 @@
 import {ObjectKind, type Platform} from '../object-store/platform.js';
 import type {AuditEntry} from './audit-entry.js';
 import {
-	getArchiveName, parseArchive, readArchive, type Trail,
+	getArchiveName, parseArchive, readArchive, type TrailId,
 } from './audit-archive.js';
 import {groupKind, OPERATORS_OBJECT, operatorsKind} from './audited-kinds.js';
 import type {AuditedKind, AuditedObject} from './change.js';
@@ -22,7 +22,7 @@
 
 type AnyObject = AuditedObject<unknown>;
 
-type NamedObject = Trail & {readonly object: AnyObject};
+type NamedObject = TrailId & {readonly object: AnyObject};
 
 /** Creates a reader of the audit trail. */
 export function createAuditTrail({platform}: {readonly platform: Platform}): AuditTrail {
@@ -37,7 +37,7 @@
 			return [];
 		}
 
-		const trail: Trail = {kind: kind.kind, name};
+		const trail: TrailId = {kind: kind.kind, name};
 		let entries = [...object.audit];
 		for (let sequence = object.nextArchive - 1; sequence >= 0 && entries.length < last; sequence--) {
 			const older = await readArchive(platform, getArchiveName(trail, sequence), CALL_TIMEOUT_MS) ?? [];
--- a/src/audit/create-changes.ts
+++ b/src/audit/create-changes.ts
@@ -71,8 +71,8 @@
 	const write = async <T>(attempt: Attempt<T>, version: number, object: AuditedObject<T>, entry: AuditEntry) => {
 		const {kind, name} = attempt;
 		const trail = {kind: kind.kind, name};
-		const kept = isArchivingDue(object.audit) ? await archiveOldest(platform, trail, object, CALL_TIMEOUT_MS) : object;
-		const value = kind.format({state: object.state, audit: [...kept.audit, entry], nextArchive: kept.nextArchive});
+		const live = isArchivingDue(object.audit) ? await archiveOldest(platform, trail, object, CALL_TIMEOUT_MS) : object;
+		const value = kind.format({state: object.state, audit: [...live.audit, entry], nextArchive: live.nextArchive});
 		attempt.sent = true;
 		const written = await platform.put({
 			kind: kind.kind, name, value, expectedVersion: version,
--- a/src/audit/find-change.ts
+++ b/src/audit/find-change.ts
@@ -1,7 +1,7 @@
 import type {Platform} from '../object-store/platform.js';
 import {getRequestIdTime} from '../random/request-id.js';
 import type {AuditEntry} from './audit-entry.js';
-import {getArchiveName, readArchive, type Trail} from './audit-archive.js';
+import {getArchiveName, readArchive, type TrailId} from './audit-archive.js';
 
 /** Maximum assumed difference between the wall clocks of hosts and operators, in milliseconds. */
 const MAX_CLOCK_SKEW_MS = 600_000;
@@ -9,7 +9,7 @@
 /** Returns the entry of a change from its object or from the archives that are recent enough to contain it; undefined where there is none. */
 export async function findChange(
 	platform: Platform,
-	trail: Trail & {readonly audit: readonly AuditEntry[]; readonly nextArchive: number},
+	trail: TrailId & {readonly audit: readonly AuditEntry[]; readonly nextArchive: number},
 	changeId: string,
 	timeoutMs: number,
 ): Promise<AuditEntry | undefined> {
--- a/src/configuration/configuration-watch.ts
+++ b/src/configuration/configuration-watch.ts
@@ -25,14 +25,14 @@
 /** How long a late response is still accepted, while further requests are already under way. */
 const LATE_RESPONSE_TIMEOUT_MS = 8000;
 /** Mean pause after a watch that returned before its wait was over. The pause varies by up to half, so that the calls of a fleet that was notified at once are spread. */
-const MEAN_SPREAD_MS = 1000;
+const MEAN_SPREAD_PAUSE_MS = 1000;
 const MIN_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 4000;
 
 /**
  * Creates the tasks that load the configuration from the store: one lists all groups once and then watches for changes, the other repeats the full list at long intervals.
  *
- * Starting does not wait for the first response; `loaded` of the configuration shows whether the configuration is complete.
+ * Starting does not wait for the first response; `loaded` of the configuration becomes true once the whole configuration was received.
  */
 export function createConfigurationWatch(options: ConfigurationWatchOptions): Service {
 	const {configuration, platform, clock, random, waitMs = 2000, listIntervalMs = 3_600_000} = options;
@@ -91,7 +91,7 @@
 		}
 
 		failures = 0;
-		return clock.now() - startedAt < waitMs ? MEAN_SPREAD_MS * (0.5 + random.fraction()) : 0;
+		return clock.now() - startedAt < waitMs ? MEAN_SPREAD_PAUSE_MS * (0.5 + random.fraction()) : 0;
 	};
 
 	const runWatch = async () => {
--- a/tests/configuration/peer-rotation-tests.ts
+++ b/tests/configuration/peer-rotation-tests.ts
@@ -16,16 +16,16 @@
 
 	doTest('returns undefined where no address is usable', () => createPeerRotation(createSeededRandom(1)).next([]), undefined);
 	doTest('uses four addresses in turn', () => {
-		const asked = takeNext(createPeerRotation(createSeededRandom(1)), 12);
-		return [new Set(asked).size, asked.slice(0, 4).join(' ') === asked.slice(4, 8).join(' ')];
+		const addresses = takeNext(createPeerRotation(createSeededRandom(1)), 12);
+		return [new Set(addresses).size, addresses.slice(0, 4).join(' ') === addresses.slice(4, 8).join(' ')];
 	}, [4, true]);
 	doTest('replaces a member after some requests', () => new Set(takeNext(createPeerRotation(createSeededRandom(1)), 48)).size, 6);
 	doTest('replaces an address that did not respond', () => {
 		const rotation = createPeerRotation(createSeededRandom(1));
 		const [first] = takeNext(rotation, 1);
 		rotation.drop(first!);
-		const asked = takeNext(rotation, 8);
-		return [asked.includes(first!), new Set(asked).size];
+		const addresses = takeNext(rotation, 8);
+		return [addresses.includes(first!), new Set(addresses).size];
 	}, [false, 4]);
 	doTest('drops addresses that are no longer usable', () => {
 		const rotation = createPeerRotation(createSeededRandom(1));
--- a/tests/object-store/http-platform-tests.ts
+++ b/tests/object-store/http-platform-tests.ts
@@ -7,12 +7,12 @@
 
 const TIMEOUT_MS = 3000;
 
-/** Runs a test against a client whose server sends the responses of `answer`. */
+/** Runs a test against a client whose server handles requests with `respond`. */
 const withServer = async (
-	answer: (req: IncomingMessage, res: ServerResponse) => void,
+	respond: (req: IncomingMessage, res: ServerResponse) => void,
 	test: (platform: ReturnType<typeof createHttpPlatform>, clock: ReturnType<typeof createVirtualClock>) => Promise<void>,
 ) => {
-	const server = createServer(answer);
+	const server = createServer(respond);
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
@@ -62,12 +62,12 @@
 		// while new connections work. The client's first call on one times out; the next must not use the other.
 		const known = new Set<Socket>();
 		const arrivals: string[] = [];
-		let forgotten = false;
-		const answer = (req: IncomingMessage, res: ServerResponse) => {
+		let isStateLost = false;
+		const respond = (req: IncomingMessage, res: ServerResponse) => {
 			const isKept = known.has(req.socket);
 			arrivals.push(isKept ? 'kept' : 'fresh');
 			known.add(req.socket);
-			if (!(forgotten && isKept)) {
+			if (!(isStateLost && isKept)) {
 				void setImmediate().then(() => res.end('{"revision":1,"objects":[]}'));
 			}
 		};
@@ -78,9 +78,9 @@
 			}
 		};
 
-		await withServer(answer, async (platform, clock) => {
+		await withServer(respond, async (platform, clock) => {
 			await Promise.all([platform.list('group', '', TIMEOUT_MS), platform.list('group', '', TIMEOUT_MS)]);
-			forgotten = true;
+			isStateLost = true;
 			const lost = platform.list('group', '', TIMEOUT_MS).catch(showError);
 			await waitForArrivals(3);
 			expect(await clock.runUntil(lost)).to.equal('PlatformError');
@@ -94,7 +94,7 @@
 
 	it('downloads the host list again only where it changed', async () => {
 		const statuses: number[] = [];
-		const answer = (req: IncomingMessage, res: ServerResponse) => {
+		const respond = (req: IncomingMessage, res: ServerResponse) => {
 			const isKnown = req.headers['if-none-match'] === '"e1"';
 			statuses.push(isKnown ? 304 : 200);
 			const hosts = [{
@@ -103,7 +103,7 @@
 			res.writeHead(isKnown ? 304 : 200, {etag: '"e1"'}).end(isKnown ? undefined : JSON.stringify(hosts));
 		};
 
-		await withServer(answer, async platform => {
+		await withServer(respond, async platform => {
 			const first = await platform.hosts(TIMEOUT_MS);
 			expect(await platform.hosts(TIMEOUT_MS)).to.deep.equal(first);
 			expect(first.map(host => host.name)).to.deep.equal(['h1']);
--- a/tests/object-store/platform-contract-tests.ts
+++ b/tests/object-store/platform-contract-tests.ts
@@ -199,8 +199,8 @@
 			gate.faults.lostAnswers = 1;
 			const lost = put(platform, 'a', 1);
 			await until(() => store.calls.put === 1);
-			const answer = await clock.runUntil(lost.catch((err: unknown) => (err as Error).name));
-			return [answer, getVersion(await put(platform, 'a', 2, 1))];
+			const errorName = await clock.runUntil(lost.catch((err: unknown) => (err as Error).name));
+			return [errorName, getVersion(await put(platform, 'a', 2, 1))];
 		},
 		expected: '["PlatformError",2]',
 	},
