--- a/tests/object-store/http-platform-tests.ts
+++ b/tests/object-store/http-platform-tests.ts
@@ -7,12 +7,12 @@
 
 const TIMEOUT_MS = 3000;
 
-/** Runs a test against a client whose server answers by `answer`. */
+/** Runs a test against a client whose server handles requests with `respond`. */
 const withServer = async (
-	answer: (req: IncomingMessage, res: ServerResponse) => void,
+	respond: (req: IncomingMessage, res: ServerResponse) => void,
 	test: (platform: ReturnType<typeof createHttpPlatform>, clock: ReturnType<typeof createVirtualClock>) => Promise<void>,
 ) => {
-	const server = createServer(answer);
+	const server = createServer(respond);
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
@@ -42,32 +42,32 @@
 		});
 	};
 
-	doTest('takes an object', 200, '{"kind":"group","name":"a","version":1,"value":{}}', 'object');
-	doTest('takes an object with a field that a newer platform adds', 200, '{"kind":"group","name":"a","version":1,"value":{},"owner":"x"}', 'object');
-	doTest('takes the word that there is none', 404, '{"error":"object-missing","message":"there is no group a"}', 'undefined');
-	doTest('tells a wrong base URL from an absent object', 404, '{"message":"Route not found"}', 'PlatformError');
-	doTest('rejects a body that is no JSON', 200, '<html>', 'PlatformError');
+	doTest('accepts an object', 200, '{"kind":"group","name":"a","version":1,"value":{}}', 'object');
+	doTest('accepts an object with a field that a newer platform adds', 200, '{"kind":"group","name":"a","version":1,"value":{},"owner":"x"}', 'object');
+	doTest('returns undefined for an absent object', 404, '{"error":"object-missing","message":"there is no group a"}', 'undefined');
+	doTest('distinguishes a wrong base URL from an absent object', 404, '{"message":"Route not found"}', 'PlatformError');
+	doTest('rejects a body that is not JSON', 200, '<html>', 'PlatformError');
 	doTest('rejects an object without a version', 200, '{"kind":"group","name":"a","value":{}}', 'PlatformError');
-	doTest('rejects an error of the server', 500, '{}', 'PlatformError');
-	doTest('tells a refusal', 400, '{"message":"no such kind"}', 'PlatformRefusedError');
-	doTest('tells a refusal without words', 413, '', 'PlatformRefusedError');
+	doTest('rejects on a server error', 500, '{}', 'PlatformError');
+	doTest('rejects with a refusal', 400, '{"message":"no such kind"}', 'PlatformRefusedError');
+	doTest('rejects with a refusal without a message', 413, '', 'PlatformRefusedError');
 
-	it('rejects at once where nobody listens', async () => {
+	it('rejects at once where no server listens', async () => {
 		const platform = createHttpPlatform({baseUrl: 'http://127.0.0.1:1', clock: createVirtualClock()});
 		expect(await platform.hosts(TIMEOUT_MS).catch(showError)).to.equal('PlatformError');
 	});
 
-	it('opens a fresh connection once a kept one went silent', async () => {
-		// Two connections are kept. A device between the ends forgets both; bytes sent on them vanish, while new
-		// connections work. The client's first call on one ends by its timeout; the next must not try the other.
+	it('opens a new connection once an idle one went silent', async () => {
+		// Two connections are idle. A device on the network path drops the state of both: bytes sent on them are lost,
+		// while new connections work. The client's first call on one times out; the next must not use the other.
 		const known = new Set<Socket>();
 		const arrivals: string[] = [];
-		let forgotten = false;
-		const answer = (req: IncomingMessage, res: ServerResponse) => {
+		let isStateLost = false;
+		const respond = (req: IncomingMessage, res: ServerResponse) => {
 			const isKept = known.has(req.socket);
 			arrivals.push(isKept ? 'kept' : 'fresh');
 			known.add(req.socket);
-			if (!(forgotten && isKept)) {
+			if (!(isStateLost && isKept)) {
 				void setImmediate().then(() => res.end('{"revision":1,"objects":[]}'));
 			}
 		};
@@ -78,9 +78,9 @@
 			}
 		};
 
-		await withServer(answer, async (platform, clock) => {
+		await withServer(respond, async (platform, clock) => {
 			await Promise.all([platform.list('group', '', TIMEOUT_MS), platform.list('group', '', TIMEOUT_MS)]);
-			forgotten = true;
+			isStateLost = true;
 			const lost = platform.list('group', '', TIMEOUT_MS).catch(showError);
 			await waitForArrivals(3);
 			expect(await clock.runUntil(lost)).to.equal('PlatformError');
@@ -92,9 +92,9 @@
 		});
 	});
 
-	it('asks for the host list only where it changed', async () => {
+	it('downloads the host list again only where it changed', async () => {
 		const statuses: number[] = [];
-		const answer = (req: IncomingMessage, res: ServerResponse) => {
+		const respond = (req: IncomingMessage, res: ServerResponse) => {
 			const isKnown = req.headers['if-none-match'] === '"e1"';
 			statuses.push(isKnown ? 304 : 200);
 			const hosts = [{
@@ -103,7 +103,7 @@
 			res.writeHead(isKnown ? 304 : 200, {etag: '"e1"'}).end(isKnown ? undefined : JSON.stringify(hosts));
 		};
 
-		await withServer(answer, async platform => {
+		await withServer(respond, async platform => {
 			const first = await platform.hosts(TIMEOUT_MS);
 			expect(await platform.hosts(TIMEOUT_MS)).to.deep.equal(first);
 			expect(first.map(host => host.name)).to.deep.equal(['h1']);
