--- a/src/audit/create-changes.ts
+++ b/src/audit/create-change-applier.ts
@@ -11,7 +11,7 @@
 import {findChange} from './find-change.js';
 
 /** Applies accepted changes to objects in the platform, each together with its audit entry. */
-export type Changes = {
+export type ChangeApplier = {
 	/**
 	 * Retries a change until it is in force or refused, or until {@link CHANGE_DEADLINE_MS} has passed. Platform errors do
 	 * not reject but lead to a refused or unknown result.
@@ -57,7 +57,7 @@
 };
 
 /** Creates the service that applies changes. */
-export function createChanges({platform, clock, random, onSeen}: ChangeApplierOptions): Changes {
+export function createChangeApplier({platform, clock, random, onSeen}: ChangeApplierOptions): ChangeApplier {
 	const read = async <T>({kind, name}: Attempt<T>) => {
 		const stored = await platform.get(kind.kind, name, CALL_TIMEOUT_MS);
 		if (stored) {
--- a/src/bench/control/inside-one-node.ts
+++ b/src/bench/control/inside-one-node.ts
@@ -46,7 +46,7 @@
 	const bytes = await measureHeapBytes(() => {
 		const configuration = createConfiguration({log: createSilentLog()});
 		takeMs = timeMs(() => {
-			configuration.takeList(platformListSchema.parse(JSON.parse(text)), 0);
+			configuration.applyList(platformListSchema.parse(JSON.parse(text)), 0);
 		});
 		return configuration;
 	});
--- a/src/configuration/configuration-watch.ts
+++ b/src/configuration/configuration-watch.ts
@@ -43,7 +43,7 @@
 	const list = async () => {
 		const groups = await platform.list(ObjectKind.Group, '', LATE_RESPONSE_TIMEOUT_MS);
 		if (!stopped.signal.aborted) {
-			configuration.takeList(groups, clock.now());
+			configuration.applyList(groups, clock.now());
 		}
 	};
 
--- a/src/configuration/create-configuration.ts
+++ b/src/configuration/create-configuration.ts
@@ -13,7 +13,7 @@
  */
 export type ConfigurationState = Configuration & {
 	/** Applies a full list of the groups in the store. */
-	takeList(list: PlatformList, now: number): void;
+	applyList(list: PlatformList, now: number): void;
 	/** Applies the changes in the store after some revision that was not above `revision`. */
 	applyChanges(changes: PlatformList, now: number): void;
 	/** Applies the entries that a peer holds above `since`, once all its pages have arrived. */
@@ -174,7 +174,7 @@
 		get revision() {
 			return revision;
 		},
-		takeList(list, now) {
+		applyList(list, now) {
 			applyStoredList(list, now);
 			const listed = new Set(list.objects.map(object => object.name));
 			const missing = [...entries.keys()].filter(name => !listed.has(name));
--- a/src/daemon/register-operators.ts
+++ b/src/daemon/register-operators.ts
@@ -1,6 +1,6 @@
 import {groupKind, type GroupState} from '../audit/audited-kinds.js';
 import {createAuditTrail} from '../audit/audit-trail.js';
-import {createChanges, type Changes} from '../audit/create-changes.js';
+import {createChangeApplier, type ChangeApplier} from '../audit/create-change-applier.js';
 import {checkStoredGroup} from '../configuration/group-entry.js';
 import type {ExplanationsService} from '../explanations/create-explanations.js';
 import type {Kernel} from '../kernel/kernel.js';
@@ -12,7 +12,7 @@
 
 declare module '../kernel/service-map.js' {
 	interface ServiceMap {
-		changes: Changes;
+		changes: ChangeApplier;
 	}
 }
 
@@ -22,7 +22,7 @@
  */
 export function registerChanges(kernel: Kernel): void {
 	const configuration = kernel.getOrThrow('configuration');
-	kernel.register('changes', createChanges({
+	kernel.register('changes', createChangeApplier({
 		...getCommonDependencies(kernel),
 		platform: kernel.getOrThrow('platform'),
 		onSeen(object) {
@@ -47,7 +47,7 @@
 		owning: kernel.getOrThrow('owning'),
 		owners: kernel.getOrThrow('owners'),
 		peers: kernel.getOrThrow('peers'),
-		sightings: kernel.getOrThrow('recentSessions'),
+		recentSessions: kernel.getOrThrow('recentSessions'),
 	});
 	const access = createOperatorAccess({...common, platform, bootstrapTokenHash: bootstrapTokenHash === '' ? undefined : bootstrapTokenHash});
 	kernel.register('fleetView', fleet);
--- a/src/object-store/http-exchange.ts
+++ b/src/object-store/http-client.ts
@@ -10,7 +10,7 @@
 import {throwPlatformSilent} from './platform-errors.js';
 
 /** One HTTP request. */
-export type HttpExchange = {
+export type HttpRequest = {
 	/** Description of the call for error messages. */
 	readonly what: string;
 	readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
@@ -23,7 +23,7 @@
 };
 
 /** The response to a request. */
-export type HttpAnswer = {
+export type HttpResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	/** The body, decompressed. */
@@ -33,7 +33,7 @@
 /** Exchanges JSON with one HTTP server over keep-alive connections. */
 export type HttpClient = {
 	/** Sends a request and resolves with the response; rejects with PlatformError where no complete response arrives within the request's timeout. */
-	exchange(exchange: HttpExchange): Promise<HttpAnswer>;
+	exchange(exchange: HttpRequest): Promise<HttpResponse>;
 	/** Closes every connection at once. */
 	close(): void;
 };
@@ -51,7 +51,7 @@
 const unzip = promisify(gunzip);
 
 /** Creates a client on `node:http`, which took a third of the CPU time and less than half the memory of the global `fetch`. */
-export function createHttpExchanger({baseUrl, clock}: HttpClientOptions): HttpClient {
+export function createHttpClient({baseUrl, clock}: HttpClientOptions): HttpClient {
 	const agent = new Agent({keepAlive: true, maxFreeSockets: MAX_IDLE_CONNECTIONS});
 
 	/*
@@ -82,7 +82,7 @@
 	};
 }
 
-function openRequest(baseUrl: string, {method, path, body, headers}: HttpExchange, agent: Agent) {
+function openRequest(baseUrl: string, {method, path, body, headers}: HttpRequest, agent: Agent) {
 	const req = request(new URL(path, baseUrl), {method, agent, headers});
 	if (body === undefined) {
 		req.end();
@@ -96,7 +96,7 @@
 	return req;
 }
 
-async function readResponse(req: ClientRequest): Promise<HttpAnswer> {
+async function readResponse(req: ClientRequest): Promise<HttpResponse> {
 	const res = await new Promise<IncomingMessage>((resolve, reject) => {
 		req.once('response', resolve);
 		req.on('error', reject);
--- a/src/object-store/http-platform.ts
+++ b/src/object-store/http-platform.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import type {Service} from '../kernel/service.js';
 import type {Clock} from '../time/clock.js';
-import {createHttpExchanger, type HttpAnswer, type HttpExchange} from './http-exchange.js';
+import {createHttpClient, type HttpResponse, type HttpRequest} from './http-client.js';
 import type {Platform, PlatformHost} from './platform.js';
 import {throwPlatformRefused, throwPlatformSilent, throwVersionConflict} from './platform-errors.js';
 import {platformHostsSchema, platformListSchema, platformObjectSchema} from './platform-schemas.js';
@@ -30,10 +30,10 @@
 
 /** Creates a client of the platform's HTTP object API. */
 export function createHttpPlatform({baseUrl, clock}: HttpPlatformOptions): Platform & Service {
-	const client = createHttpExchanger({baseUrl, clock});
+	const client = createHttpClient({baseUrl, clock});
 	let cachedHosts: {readonly etag: string; readonly hosts: readonly PlatformHost[]} | undefined;
 
-	const sendRequest = async (req: HttpExchange) => {
+	const sendRequest = async (req: HttpRequest) => {
 		const res = await client.exchange(req);
 		if (res.status === Status.BadRequest || res.status === Status.TooLarge) {
 			throwPlatformRefused(req.what, getErrorMessage(res));
@@ -111,7 +111,7 @@
 }
 
 /** Returns the platform's own error message where the body has the expected shape, otherwise the HTTP status. */
-function getErrorMessage(res: HttpAnswer) {
+function getErrorMessage(res: HttpResponse) {
 	try {
 		return errorSchema.parse(JSON.parse(res.text)).message;
 	} catch {
@@ -120,11 +120,11 @@
 }
 
 /** Distinguishes an absent object from a wrong base URL, which also leads to status 404. */
-function isObjectMissing(res: HttpAnswer) {
+function isObjectMissing(res: HttpResponse) {
 	return res.text.includes('"object-missing"');
 }
 
-function parseResponse<T>(what: string, res: HttpAnswer, schema: z.ZodType<T>): T {
+function parseResponse<T>(what: string, res: HttpResponse, schema: z.ZodType<T>): T {
 	if (res.status !== Status.Ok) {
 		throwPlatformSilent(what, new Error(`HTTP status ${res.status}`));
 	}
--- a/src/operators/change-commands.ts
+++ b/src/operators/change-commands.ts
@@ -1,6 +1,6 @@
 import {groupKind, OPERATORS_OBJECT, operatorsKind} from '../audit/audited-kinds.js';
 import {ChangeResult, type ChangeAuthor} from '../audit/change.js';
-import {IN_FORCE_MS, type Changes} from '../audit/create-changes.js';
+import {IN_FORCE_MS, type ChangeApplier} from '../audit/create-change-applier.js';
 import type {Configuration} from '../configuration/configuration.js';
 import {
 	CommandKind, type GroupCommand, type OperatorCommand, type OrderEndpointCommand, type PromoteEndpointCommand,
@@ -19,7 +19,7 @@
 
 /** Dependencies of the commands that change something. */
 export type ChangeCommandsOptions = {
-	readonly changes: Changes;
+	readonly changes: ChangeApplier;
 	readonly configuration: Configuration;
 	readonly fleet: FleetView;
 	readonly clock: Clock;
--- a/src/operators/create-fleet-view.ts
+++ b/src/operators/create-fleet-view.ts
@@ -22,7 +22,7 @@
 	readonly owning: Owning;
 	readonly owners: OwnersService;
 	readonly peers: Peers;
-	readonly sightings: RecentSessions;
+	readonly recentSessions: RecentSessions;
 };
 
 /** Timeout of a query to one host, in milliseconds. */
@@ -43,7 +43,7 @@
 /** Creates the operators' view of owners, sessions and hosts, and registers the peer calls by which other hosts query this one. */
 export function createFleetView(options: FleetViewOptions): FleetView & Service {
 	const {
-		clock, configuration, hosts, owning, owners, peers, sightings,
+		clock, configuration, hosts, owning, owners, peers, recentSessions,
 	} = options;
 
 	const getContext = () => ({host: hosts.self.name, now: clock.now(), wallMs: clock.wall()});
@@ -54,7 +54,7 @@
 		return owner ? endpoints.map(endpoint => describeOwnedEndpoint(owner, endpoint, getContext())) : [];
 	};
 
-	const getOwnSessions = (sessionId?: string): SessionRow[] => sightings.getAll()
+	const getOwnSessions = (sessionId?: string): SessionRow[] => recentSessions.getAll()
 		.filter(({id}) => sessionId === undefined || id === sessionId)
 		.slice(0, MAX_SESSIONS)
 		.map(session => ({...session, host: hosts.self.name}));
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -3,7 +3,7 @@
 	RecordKind, type MetadataStore, type StoredRecord,
 } from '../mirror/metadata-store.js';
 import {getWithinGeneration, qualifyByGeneration} from '../mirror/store-generation.js';
-import {createHttpExchanger, type HttpAnswer, type HttpExchange} from '../object-store/http-exchange.js';
+import {createHttpClient, type HttpResponse, type HttpRequest} from '../object-store/http-client.js';
 import {throwPlatformRefused, throwPlatformSilent, throwVersionConflict} from '../object-store/platform-errors.js';
 import type {RegisteredEndpoint} from '../routes/routing.js';
 import type {Log} from '../log/log.js';
@@ -54,11 +54,11 @@
 } as const;
 
 /** A response of the store and the store generation that it states. */
-type StoreResponse = HttpAnswer & {readonly generation: number};
+type StoreResponse = HttpResponse & {readonly generation: number};
 
 /** Creates an HTTP client of the platform's metadata store. */
 export function createHttpMetadataStore({address, clock, log: parentLog, onCall, onGeneration}: HttpMetadataStoreOptions): MetadataStore {
-	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
+	const exchanger = createHttpClient({baseUrl: `http://${address}`, clock});
 	const log = parentLog.withPrefix('store: ');
 	const unusableEntries = createUnusableEntryLog(log);
 	let lastGeneration: number | undefined;
@@ -72,7 +72,7 @@
 		onGeneration(generation);
 	};
 
-	const exchange = async (call: string, req: HttpExchange): Promise<StoreResponse> => {
+	const exchange = async (call: string, req: HttpRequest): Promise<StoreResponse> => {
 		try {
 			const res = await exchanger.exchange(req);
 			onCall(call, String(res.status));
@@ -191,7 +191,7 @@
 }
 
 /** Whether a conditional write was rejected. A deleted record counts like one with another version, since the condition no longer holds either way. */
-function isConditionUnmet(res: HttpAnswer) {
+function isConditionUnmet(res: HttpResponse) {
 	return res.status === Status.Conflict || res.status === Status.NotFound;
 }
 
@@ -199,7 +199,7 @@
 	return {name: meta.name, version: qualifyByGeneration(generation, meta.modRevision), value: spec};
 }
 
-function parse<T>(what: string, res: HttpAnswer, schema: z.ZodType<T>): T {
+function parse<T>(what: string, res: HttpResponse, schema: z.ZodType<T>): T {
 	if (res.status !== Status.Ok) {
 		throwPlatformRefused(what, `HTTP status ${res.status}`);
 	}
--- a/src/platform/http-promotion-orders.ts
+++ b/src/platform/http-promotion-orders.ts
@@ -1,5 +1,5 @@
 import {OrderOutcome, type PromotionOrders} from '../leadership/promotion-orders.js';
-import {createHttpExchanger} from '../object-store/http-exchange.js';
+import {createHttpClient} from '../object-store/http-client.js';
 import {PlatformError} from '../object-store/platform-errors.js';
 import type {Clock} from '../time/clock.js';
 import {getServerId} from './endpoint-identity.js';
@@ -17,7 +17,7 @@
 
 /** Creates the HTTP client that orders the platform to promote a server to primary. */
 export function createHttpPromotionOrders({address, clock, onCall}: HttpPromotionOrdersOptions): PromotionOrders {
-	const exchanger = createHttpExchanger({baseUrl: `http://${address}`, clock});
+	const exchanger = createHttpClient({baseUrl: `http://${address}`, clock});
 
 	return {
 		async promote({group, endpointId, holder, token}, timeoutMs) {
--- a/tests/audit/create-changes-tests.ts
+++ b/tests/audit/create-change-applier-tests.ts
@@ -3,7 +3,7 @@
 import {createAuditTrail} from '../../src/audit/audit-trail.js';
 import {groupKind, type GroupState} from '../../src/audit/audited-kinds.js';
 import type {Change, ChangeAnswer} from '../../src/audit/change.js';
-import {createChanges, IN_FORCE_MS} from '../../src/audit/create-changes.js';
+import {createChangeApplier, IN_FORCE_MS} from '../../src/audit/create-change-applier.js';
 import type {GroupCommand} from '../../src/language/command.js';
 import {parseCommand} from '../../src/language/parse-command.js';
 import {createGroupChange} from '../../src/operators/group-change.js';
@@ -25,7 +25,7 @@
 	const random = createSeededRandom(11);
 	const store = createObjectStore({clock});
 	const platforms = [createInMemoryPlatform({store, clock}), createInMemoryPlatform({store, clock})] as const;
-	const proxies = platforms.map(platform => createChanges({platform, clock, random}));
+	const proxies = platforms.map(platform => createChangeApplier({platform, clock, random}));
 	const rows: EndpointRow[] = ['nights-a', 'nights-b', 'nights-c'].map((name, index) => ({
 		group: 'nights', name, address: `10.0.0.${index + 1}:5432`, availabilityZone: 'hall-a', order: 'serve', seen: true, reachable: true,
 		leaving: false, role: index === 0 ? 'primary' : 'replica', running: 0, work: [], queued: 0,
--- a/tests/configuration/create-configuration-tests.ts
+++ b/tests/configuration/create-configuration-tests.ts
@@ -20,7 +20,7 @@
 	{
 		title: 'hides a deleted group',
 		run(configuration) {
-			configuration.takeList({revision: 2, objects: [store('a', 1), store('b', 2, {deleted: true})]}, 0);
+			configuration.applyList({revision: 2, objects: [store('a', 1), store('b', 2, {deleted: true})]}, 0);
 			return [configuration.getGroup('b'), configuration.getGroups().map(group => group.cfg.name)];
 		},
 		expected: '[null,["a"]]',
@@ -35,10 +35,10 @@
 		// following watch would return at once with changes that are known already.
 		title: 'does not lower its revision on a late response',
 		run(configuration) {
-			configuration.takeList({revision: 7, objects: []}, 0);
+			configuration.applyList({revision: 7, objects: []}, 0);
 			configuration.applyChanges({revision: 5, objects: []}, 0);
 			const afterChanges = configuration.revision;
-			configuration.takeList({revision: 4, objects: []}, 0);
+			configuration.applyList({revision: 4, objects: []}, 0);
 			const afterList = configuration.revision;
 			configuration.applyPeerEntries({
 				since: 0, revision: 3, loaded: true, entries: [],
@@ -50,9 +50,9 @@
 	{
 		title: 'marks a group that is missing from a list as deleted, unless it is newer than the list',
 		run(configuration) {
-			configuration.takeList({revision: 2, objects: [store('a', 1), store('b', 2)]}, 0);
+			configuration.applyList({revision: 2, objects: [store('a', 1), store('b', 2)]}, 0);
 			configuration.applyChanges({revision: 6, objects: [store('c', 6)]}, 0);
-			configuration.takeList({revision: 5, objects: [store('b', 2)]}, 0);
+			configuration.applyList({revision: 5, objects: [store('b', 2)]}, 0);
 			return configuration.getEntries(0).map(({name, version, deleted}) => [name, version, deleted]);
 		},
 		expected: '[["a",5,true],["b",2,false],["c",6,false]]',
@@ -60,7 +60,7 @@
 	{
 		title: 'accepts an older valid version of a group whose object is malformed',
 		run(configuration) {
-			configuration.takeList({revision: 9, objects: [{...store('a', 9), value: {}}]}, 0);
+			configuration.applyList({revision: 9, objects: [{...store('a', 9), value: {}}]}, 0);
 			return [configuration.getGroup('a'), configuration.offer('a', {version: 3, cfg: createGroupConfig('a')})];
 		},
 		expected: '[null,true]',
--- a/tests/configuration/in-force-everywhere-tests.ts
+++ b/tests/configuration/in-force-everywhere-tests.ts
@@ -123,7 +123,7 @@
 			put('a', 2000);
 			put('c', 1000);
 			await clock.advance(IN_FORCE_MS);
-			proxies[0]!.configuration.takeList(late, clock.now());
+			proxies[0]!.configuration.applyList(late, clock.now());
 			proxies[0]!.configuration.applyChanges({...late, objects: late.objects.slice(0, 1)}, clock.now());
 			gate.faults.overtakenMs = 900;
 			put('b', 2000);
--- a/tests/golden/on-call-bench.ts
+++ b/tests/golden/on-call-bench.ts
@@ -1,6 +1,6 @@
 import {createAuditTrail} from '../../src/audit/audit-trail.js';
 import {groupKind} from '../../src/audit/audited-kinds.js';
-import {createChanges} from '../../src/audit/create-changes.js';
+import {createChangeApplier} from '../../src/audit/create-change-applier.js';
 import type {Configuration, VersionedGroup} from '../../src/configuration/configuration.js';
 import {createSilentLog} from '../../src/log/silent-log.js';
 import {BOOTSTRAP_OPERATOR, createOperatorAccess, hashToken} from '../../src/operators/create-operator-access.js';
@@ -78,7 +78,7 @@
 		platform, clock, random, log: createSilentLog(), bootstrapTokenHash: hashToken(BOOTSTRAP_TOKEN),
 	});
 	const options = {
-		changes: createChanges({platform, clock, random}),
+		changes: createChangeApplier({platform, clock, random}),
 		trail: createAuditTrail({platform}),
 		configuration,
 		fleet,
--- a/tests/operators/create-operator-commands-tests.ts
+++ b/tests/operators/create-operator-commands-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {IN_FORCE_MS} from '../../src/audit/create-changes.js';
+import {IN_FORCE_MS} from '../../src/audit/create-change-applier.js';
 import {getHelp} from '../../src/language/help.js';
 import {hashToken} from '../../src/operators/create-operator-access.js';
 import {createRequestId} from '../../src/random/request-id.js';
