--- a/src/explanations/batch-recorder.ts
+++ b/src/explanations/batch-recorder.ts
@@ -9,32 +9,32 @@
 import type {RefusalRecord} from './refusal-record.js';
 
 /**
- * Writes records to the platform in batches, within a stated budget of calls and bytes.
+ * Writes records to the platform in batches and limits both the call rate and the bytes written.
  *
- * The budget follows from the fleet: 900 hosts that all refuse at once make at most 900 / 30 s = 30 writes a second,
- * and as many deletions after the retention, of the several hundred writes a second that the platform takes; a batch of
- * at most 40 KB each 30 s is 1.4 KB a second of the 2 KB that a host may spend on control.
+ * The limits are sized for the whole fleet. If 900 hosts refuse requests at once, they make at most 900 / 30 s = 30 writes
+ * per second, and as many deletions after the retention period; the platform accepts several hundred writes per second.
+ * A batch of at most 40 KB every 30 s is 1.4 KB per second of the 2 KB that a host may spend on control traffic.
  */
 export type BatchRecorder = {
 	add(record: RefusalRecord): void;
-	/** Sends batches until the signal aborts; never rejects. */
+	/** Sends batches until the signal aborts. The promise never rejects. */
 	run(signal: AbortSignal): Promise<void>;
-	/** Sends what is still here, until the platform gives no answer; only once `run` has ended. */
+	/** Sends the remaining batches until the platform fails to answer or the timeout expires. Call it only after `run` has resolved. */
 	flush(timeoutMs: number): Promise<void>;
-	/** What became of the records so far. */
+	/** Counts of the records handled so far. */
 	readonly figures: RecorderFigures;
 };
 
-/** What became of the records that a recorder was given. */
+/** Counts of the records that a recorder received, and of its calls to the platform. */
 export type RecorderFigures = {
 	readonly seen: number;
-	/** In the platform. */
+	/** Records stored in the platform. */
 	readonly kept: number;
-	/** Counted in the platform, their records left out over the budget. */
+	/** Refusals that stored batches count but whose records were omitted to stay within the limits. */
 	readonly leftOut: number;
-	/** Lost with their batches in an outage of the platform; the next batch that arrives says how many. */
+	/** Records lost because their batches were dropped during a platform outage. The next stored batch states how many. */
 	readonly lost: number;
-	/** Calls to the platform. */
+	/** Write calls made to the platform. */
 	readonly calls: number;
 };
 
@@ -47,31 +47,31 @@
 	readonly log: Log;
 };
 
-/** Least time between two writes once the first two are spent, in milliseconds. */
+/** Minimum average interval between writes after a burst of {@link WRITE_BURST}, in milliseconds. */
 export const WRITE_INTERVAL_MS = 30_000;
 
-/** Writes that may follow each other at once after a quiet time. */
+/** Number of writes that may follow each other without a delay after an idle period. */
 const WRITE_BURST = 2;
 
-/** A first record waits this long for others, with jitter up to twice and more, so that hosts in one storm spread their writes. */
+/** How long the first record of a batch waits for others, in milliseconds. The jitter spreads the writes of hosts that refuse requests at the same time. */
 const GATHER_MS = 2000;
 const GATHER_JITTER_MS = 8000;
 
-/** Records gathered for one batch, and kinds of refusal told apart in it. */
+/** Maximum number of records, and of distinct kinds of refusal, in one batch. */
 const MAX_RECORDS = 1000;
 const MAX_KINDS = 64;
 
-/** Batches that wait for the platform, and the longest time that one batch covers during an outage. */
-const MAX_WAITING = 20;
-const LONGEST_SPAN_MS = 60_000;
+/** Maximum number of batches that wait for the platform, and the time that one batch covers during an outage. */
+const MAX_PENDING_BATCHES = 20;
+const MAX_BATCH_SPAN_MS = 60_000;
 
 const PUT_TIMEOUT_MS = 5000;
 
-/** Creates a recorder that has nothing to write. */
+/** Creates a recorder without records. */
 export function createBatchRecorder({host, platform, clock, random, log}: BatchRecorderOptions): BatchRecorder {
 	const sampler = createRecordSampler({capacity: MAX_RECORDS, maxKinds: MAX_KINDS});
-	const waiting: RecordBatch[] = [];
-	let firstAt: number | undefined;
+	const pendingBatches: RecordBatch[] = [];
+	let firstRecordAt: number | undefined;
 	let wake: (() => void) | undefined;
 	let lostSinceBatch = 0;
 	let seen = 0;
@@ -79,11 +79,11 @@
 	let leftOut = 0;
 	let lost = 0;
 	let calls = 0;
-	let credit = WRITE_BURST;
-	let creditedAt = clock.now();
+	let writeTokens = WRITE_BURST;
+	let refilledAt = clock.now();
 
 	const waitForRecord = async (signal: AbortSignal) => {
-		if (firstAt !== undefined || waiting.length > 0 || signal.aborted) {
+		if (firstRecordAt !== undefined || pendingBatches.length > 0 || signal.aborted) {
 			return;
 		}
 
@@ -96,54 +96,54 @@
 		wake = undefined;
 	};
 
-	const waitForCredit = async (signal: AbortSignal) => {
+	const waitForWriteToken = async (signal: AbortSignal) => {
 		const now = clock.now();
-		credit = Math.min(WRITE_BURST, credit + ((now - creditedAt) / WRITE_INTERVAL_MS));
-		creditedAt = now;
-		if (credit < 1) {
-			await clock.sleep((1 - credit) * WRITE_INTERVAL_MS, signal);
-			credit = 1;
-			creditedAt = clock.now();
+		writeTokens = Math.min(WRITE_BURST, writeTokens + ((now - refilledAt) / WRITE_INTERVAL_MS));
+		refilledAt = now;
+		if (writeTokens < 1) {
+			await clock.sleep((1 - writeTokens) * WRITE_INTERVAL_MS, signal);
+			writeTokens = 1;
+			refilledAt = clock.now();
 		}
 
-		credit--;
+		writeTokens--;
 	};
 
-	// Guards against memory that grows through an outage of the platform: a bounded number of batches waits for it,
-	// the oldest gives way, and what was in it is counted as lost in the next batch that arrives.
+	// Bounds memory during a platform outage: only a limited number of batches waits, the oldest is dropped, and its
+	// records are counted as lost in the next batch that is created.
 	const dropOldest = () => {
-		while (waiting.length > MAX_WAITING) {
-			const dropped = waiting.shift()!;
+		while (pendingBatches.length > MAX_PENDING_BATCHES) {
+			const dropped = pendingBatches.shift()!;
 			lost += dropped.seen;
 			lostSinceBatch += dropped.seen + dropped.value.lostBefore;
 			log.warn('a batch of records was lost, the platform gave no answer for too long', {records: dropped.seen});
 		}
 	};
 
-	const close = () => {
-		if (firstAt === undefined) {
+	const closeBatch = () => {
+		if (firstRecordAt === undefined) {
 			return;
 		}
 
-		const from = firstAt;
+		const from = firstRecordAt;
 		const lostBefore = lostSinceBatch;
 		const sample = sampler.take();
-		firstAt = undefined;
+		firstRecordAt = undefined;
 		lostSinceBatch = 0;
-		waiting.push(createRecordBatch({
+		pendingBatches.push(createRecordBatch({
 			host, sample, suffix: Buffer.from(random.bytes(4)).toString('hex'), from, lostBefore,
 		}));
 		dropOldest();
 	};
 
-	const put = async ({name, value}: RecordBatch, timeoutMs: number) => {
+	const putBatch = async ({name, value}: RecordBatch, timeoutMs: number) => {
 		calls++;
 		try {
 			await platform.put({
 				kind: ObjectKind.Explanations, name, value, expectedVersion: 0,
 			}, timeoutMs);
 		} catch (err) {
-			// A lost answer: the name is this batch's own, so an object that stands under it is this batch.
+			// The answer to an earlier attempt was lost. The name is unique to this batch, so the existing object is this batch.
 			if (err instanceof PlatformConflictError) {
 				return;
 			}
@@ -153,26 +153,26 @@
 	};
 
 	const sendOldest = async (timeoutMs: number) => {
-		const batch = waiting[0]!;
+		const batch = pendingBatches[0]!;
 		try {
-			await put(batch, timeoutMs);
+			await putBatch(batch, timeoutMs);
 		} catch {
-			log.warn('a batch of records waits, the platform gave no answer', {waiting: waiting.length});
+			log.warn('a batch of records waits, the platform gave no answer', {waiting: pendingBatches.length});
 			return false;
 		}
 
-		waiting.shift();
+		pendingBatches.shift();
 		kept += batch.kept;
 		leftOut += batch.seen - batch.kept;
 		return true;
 	};
 
-	const isDue = () => waiting.length === 0 || (firstAt !== undefined && clock.wall() - firstAt >= LONGEST_SPAN_MS);
+	const isDue = () => pendingBatches.length === 0 || (firstRecordAt !== undefined && clock.wall() - firstRecordAt >= MAX_BATCH_SPAN_MS);
 
 	return {
 		add(record) {
 			seen++;
-			firstAt ??= clock.wall();
+			firstRecordAt ??= clock.wall();
 			sampler.add(record, random.fraction());
 			wake?.();
 		},
@@ -180,10 +180,10 @@
 			while (!signal.aborted) {
 				await waitForRecord(signal);
 				await clock.sleep(GATHER_MS + (random.fraction() * GATHER_JITTER_MS), signal);
-				await waitForCredit(signal);
+				await waitForWriteToken(signal);
 				if (!signal.aborted) {
 					if (isDue()) {
-						close();
+						closeBatch();
 					}
 
 					await sendOldest(PUT_TIMEOUT_MS);
@@ -191,9 +191,9 @@
 			}
 		},
 		async flush(timeoutMs) {
-			close();
+			closeBatch();
 			const until = clock.now() + timeoutMs;
-			while (waiting.length > 0 && clock.now() < until) {
+			while (pendingBatches.length > 0 && clock.now() < until) {
 				if (!await sendOldest(until - clock.now())) {
 					return;
 				}
--- a/src/explanations/batch-sweeper.ts
+++ b/src/explanations/batch-sweeper.ts
@@ -4,17 +4,17 @@
 import type {Clock} from '../time/clock.js';
 import {getMinute} from './record-batch.js';
 
-/** How long batches are kept, in milliseconds. */
+/** Retention period of batches, in milliseconds. */
 export const BATCH_RETENTION_MS = 7 * 86_400_000;
 
 const MINUTE_MS = 60_000;
 
-/** Each minute is swept a second time this much later, in milliseconds, for what a dying host left. */
-const SECOND_SWEEP_MS = 3_600_000;
+/** Delay of the second sweep of each minute, in milliseconds. It deletes what a host that stopped during the first sweep left. */
+const SECOND_SWEEP_DELAY_MS = 3_600_000;
 
 const CALL_TIMEOUT_MS = 5000;
 
-/** Least time between two deletions, in milliseconds. */
+/** Pause after each deletion, in milliseconds. */
 const DELETE_INTERVAL_MS = 200;
 
 /** Options of {@link createBatchSweeper}. */
@@ -25,22 +25,22 @@
 	readonly log: Log;
 };
 
-/** Deletes batches past their retention. */
+/** Deletes batches whose retention period has ended. */
 export type BatchSweeper = {
-	/** Sweeps until the signal aborts; never rejects. */
+	/** Sweeps until the signal aborts. The promise never rejects. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 /**
  * Creates the sweeper of this host.
  *
- * A batch's writer may be gone for long when its retention ends, so the minutes are shared out over the hosts that live
- * then: one list call a minute, and a second one an hour later, for the whole fleet.
+ * The host that wrote a batch may no longer exist when the retention period ends, so the minutes are distributed over the
+ * hosts that are usable at that time. For the whole fleet this takes one list call per minute, and a second one an hour later.
  */
 export function createBatchSweeper({platform, clock, hosts, log}: BatchSweeperOptions): BatchSweeper {
-	// Guards against batches that stay for ever because the host whose turn it was is dead, and the host list lags or lies:
-	// the second sweep of a minute falls to another host.
-	const isOurs = (minute: number, sweepNumber: number, now: number) => {
+	// The second sweep of a minute is assigned to another host, so that batches are also deleted if the first host is dead
+	// while the host list is outdated or wrong.
+	const isAssignedToThisHost = (minute: number, sweepNumber: number, now: number) => {
 		const names = hosts.getUsable(now).map(host => host.name).toSorted();
 		return names[(minute + sweepNumber) % names.length] === hosts.self.name;
 	};
@@ -57,8 +57,8 @@
 		}
 	};
 
-	const sweepIfOurs = async (minute: number, sweepNumber: number, signal: AbortSignal) => {
-		if (!isOurs(minute, sweepNumber, clock.now())) {
+	const sweepIfAssigned = async (minute: number, sweepNumber: number, signal: AbortSignal) => {
+		if (!isAssignedToThisHost(minute, sweepNumber, clock.now())) {
 			return;
 		}
 
@@ -77,8 +77,8 @@
 				const reached = Math.floor(clock.wall() / MINUTE_MS);
 				for (; current < reached && !signal.aborted; current++) {
 					const expired = current - (BATCH_RETENTION_MS / MINUTE_MS) - 1;
-					await sweepIfOurs(expired, 0, signal);
-					await sweepIfOurs(expired - (SECOND_SWEEP_MS / MINUTE_MS), 1, signal);
+					await sweepIfAssigned(expired, 0, signal);
+					await sweepIfAssigned(expired - (SECOND_SWEEP_DELAY_MS / MINUTE_MS), 1, signal);
 				}
 			}
 		},
--- a/src/explanations/bounded-record.ts
+++ b/src/explanations/bounded-record.ts
@@ -1,51 +1,51 @@
 import {RefusalCode, type RefusalFacts} from '../refusals/refusal.js';
 import type {RefusalRecord} from './refusal-record.js';
 
-/** Most facts kept of one record. */
+/** Maximum number of facts in one record. */
 const MAX_FACTS = 24;
 
-/** Longest name and longest text of a fact, in characters. */
-const MAX_FACT_NAME = 40;
-const MAX_FACT_TEXT = 120;
+/** Maximum lengths of a fact's name and of its text, in characters. */
+const MAX_FACT_NAME_LENGTH = 40;
+const MAX_FACT_TEXT_LENGTH = 120;
 
-/** Longest reason, in characters. */
-const MAX_REASON = 240;
+/** Maximum length of a reason, in characters. */
+const MAX_REASON_LENGTH = 240;
 
-/** Longest name or id, in characters; request ids and group names may be whatever a caller sent. */
-const MAX_NAME = 64;
+/** Maximum length of a name or id, in characters. Request ids and group names can be any text that a caller sent. */
+const MAX_NAME_LENGTH = 64;
 
-/** What marks a text that was cut. */
-const CUT_MARK = '…';
+/** Marks the place of removed text. */
+const TRUNCATION_MARK = '…';
 
-/** The fact that says how many others were left out. */
+/** Name of the fact that states how many other facts were omitted. */
 export const LEFT_OUT_FACT = 'factsLeftOut';
 
 /**
- * Cuts a record to a bounded size.
+ * Returns a copy of a record with truncated texts and a limited number of facts.
  *
- * Guards against a caller who sends long names and ids in a storm of refusals: without it the memory that holds
- * records, bounded by their count, would grow with what callers choose to send.
+ * The memory for records is limited by their count only. Without this limit on their size, a caller that sends long names
+ * and ids in many refused requests could make that memory grow.
  */
 export function boundRecord(record: RefusalRecord): RefusalRecord {
 	return {
 		code: record.code,
-		reason: cut(hideValues(record), MAX_REASON),
+		reason: truncateText(redactQuotedValues(record), MAX_REASON_LENGTH),
 		retryAfterMs: record.retryAfterMs,
 		facts: boundFacts(record.facts),
-		requestId: cut(record.requestId, MAX_NAME),
-		group: cut(record.group, MAX_NAME),
-		asked: cut(record.asked, MAX_NAME),
-		class: cut(record.class, MAX_NAME),
-		sessionId: record.sessionId === undefined ? undefined : cut(record.sessionId, MAX_NAME),
+		requestId: truncateText(record.requestId, MAX_NAME_LENGTH),
+		group: truncateText(record.group, MAX_NAME_LENGTH),
+		asked: truncateText(record.asked, MAX_NAME_LENGTH),
+		class: truncateText(record.class, MAX_NAME_LENGTH),
+		sessionId: record.sessionId === undefined ? undefined : truncateText(record.sessionId, MAX_NAME_LENGTH),
 		outcome: record.outcome,
-		host: cut(record.host, MAX_NAME),
+		host: truncateText(record.host, MAX_NAME_LENGTH),
 		at: record.at,
 		configVersion: record.configVersion,
 	};
 }
 
-/** Leaves out the last facts until `count` are left, and says so among them. */
-export function keepFacts(facts: RefusalFacts, count: number): RefusalFacts {
+/** Returns the first `count` facts, with a further fact that states how many were omitted, if any. */
+export function limitFacts(facts: RefusalFacts, count: number): RefusalFacts {
 	const entries = Object.entries(facts).filter(([name]) => name !== LEFT_OUT_FACT);
 	const before = Number(facts[LEFT_OUT_FACT] ?? 0);
 	const leftOut = before + Math.max(0, entries.length - count);
@@ -62,24 +62,24 @@
 		}
 
 		const value = facts[name];
-		bounded[cut(name, MAX_FACT_NAME)] = typeof value === 'string' ? cut(value, MAX_FACT_TEXT) : value;
+		bounded[truncateText(name, MAX_FACT_NAME_LENGTH)] = typeof value === 'string' ? truncateText(value, MAX_FACT_TEXT_LENGTH) : value;
 		count++;
 	}
 
-	return count > MAX_FACTS ? keepFacts(bounded, MAX_FACTS) : bounded;
+	return count > MAX_FACTS ? limitFacts(bounded, MAX_FACTS) : bounded;
 }
 
 /**
- * The record's reason without what a database server quotes.
+ * Returns the record's reason without the values that a database server quotes.
  *
- * Guards against a caller's values in records: a server's error message repeats them between quotes, and a record
- * outlives the request in memory and in the platform.
+ * A server's error message repeats the caller's values between quotes or in parentheses. They must not be kept, because a
+ * record outlives its request in memory and in the platform.
  */
-function hideValues({code, reason}: RefusalRecord): string {
-	return code === RefusalCode.StatementFailed ? reason.replaceAll(/"[^"]*"|'[^']*'|\([^\)]*\)/gv, CUT_MARK) : reason;
+function redactQuotedValues({code, reason}: RefusalRecord): string {
+	return code === RefusalCode.StatementFailed ? reason.replaceAll(/"[^"]*"|'[^']*'|\([^\)]*\)/gv, TRUNCATION_MARK) : reason;
 }
 
-/** Cuts a text to `length` characters. */
-export function cut(text: string, length: number): string {
-	return text.length <= length ? text : text.slice(0, length - 1) + CUT_MARK;
+/** Truncates a text to at most `length` characters, the truncation mark included. */
+export function truncateText(text: string, length: number): string {
+	return text.length <= length ? text : text.slice(0, length - 1) + TRUNCATION_MARK;
 }
--- a/src/explanations/create-explanations.ts
+++ b/src/explanations/create-explanations.ts
@@ -14,22 +14,22 @@
 import {createRecordRing} from './record-ring.js';
 import {createRefusalTickets} from './refusal-tickets.js';
 
-/** Records kept in a host's memory: 7 MB, measured with records of ten facts. */
+/** Number of records kept in a host's memory. Records with ten facts each take 7 MB. */
 export const RING_CAPACITY = 10_000;
 
-/** Peers asked at once. */
-const PEERS_AT_ONCE = 16;
+/** Maximum number of peers that are queried concurrently. */
+const MAX_CONCURRENT_PEER_CALLS = 16;
 
 const PEER_TIMEOUT_MS = 1000;
 
-/** Longest time that asking peers may take in all, in milliseconds. */
-const ALL_PEERS_MS = 5000;
+/** No further peers are queried after this time, in milliseconds. */
+const PEER_SEARCH_TIMEOUT_MS = 5000;
 
-/** Longest time that the last batch may take when the host stops, in milliseconds. */
-const LAST_FLUSH_MS = 2000;
+/** Maximum time for writing the remaining batches when the host stops, in milliseconds. */
+const FINAL_FLUSH_TIMEOUT_MS = 2000;
 
-/** Most records of one request that a peer answers with. */
-const MAX_RECORDS_ANSWERED = 20;
+/** Maximum number of records of one request in a peer's response. */
+const MAX_RECORDS_PER_PEER_RESPONSE = 20;
 
 /** Options of {@link createExplanations}. */
 export type ExplanationsOptions = {
@@ -39,17 +39,17 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Log;
-	/** Keys that sign tickets, current first. */
+	/** Keys for ticket signatures, the current key first. */
 	readonly signingKeys: readonly string[];
 };
 
-/** Keeps and finds the reasons of refusals, with its background work and figures. */
+/** Stores and finds the reasons of refusals, and runs the background work that this takes. */
 export type ExplanationsService = Explanations & ExplanationSearch & Service & {
-	/** What became of the records of this host. */
+	/** Counts of the records of this host. */
 	readonly figures: RecorderFigures;
 };
 
-/** Creates the keeper of this host's records. */
+/** Creates the explanations service of this host. */
 export function createExplanations(options: ExplanationsOptions): ExplanationsService {
 	const {platform, peers, hosts, clock, random} = options;
 	const log = options.log.part('explanations: ');
@@ -64,28 +64,28 @@
 	const abort = new AbortController();
 	let work: Promise<unknown> = Promise.resolve();
 
-	peers.handle('explain', async ({requestId}) => ({records: ring.getRecords(requestId).slice(-MAX_RECORDS_ANSWERED)}));
+	peers.handle('explain', async ({requestId}) => ({records: ring.getRecords(requestId).slice(-MAX_RECORDS_PER_PEER_RESPONSE)}));
 
-	const askPeer = async (host: PlatformHost, requestId: string) => {
+	const queryPeer = async (host: PlatformHost, requestId: string) => {
 		try {
-			const answer = await peers.call(host.address, 'explain', {requestId}, PEER_TIMEOUT_MS);
-			return answer.records;
+			const response = await peers.call(host.address, 'explain', {requestId}, PEER_TIMEOUT_MS);
+			return response.records;
 		} catch {
 			return undefined;
 		}
 	};
 
-	const askPeers = async (requestId: string) => {
+	const queryPeers = async (requestId: string) => {
 		const others = hosts.getUsable(clock.now()).filter(host => host.name !== hosts.self.name);
-		const until = clock.now() + ALL_PEERS_MS;
+		const until = clock.now() + PEER_SEARCH_TIMEOUT_MS;
 		let silent = 0;
 		let asked = 0;
 		while (asked < others.length && clock.now() < until) {
-			const wave = others.slice(asked, asked + PEERS_AT_ONCE);
-			asked += wave.length;
-			const answers = await Promise.all(wave.map(async host => askPeer(host, requestId)));
-			silent += answers.filter(answer => answer === undefined).length;
-			const records = answers.flatMap(answer => answer ?? []);
+			const nextPeers = others.slice(asked, asked + MAX_CONCURRENT_PEER_CALLS);
+			asked += nextPeers.length;
+			const responses = await Promise.all(nextPeers.map(async host => queryPeer(host, requestId)));
+			silent += responses.filter(response => response === undefined).length;
+			const records = responses.flatMap(response => response ?? []);
 			if (records.length > 0) {
 				return {records, asked, silent};
 			}
@@ -102,7 +102,7 @@
 			};
 		}
 
-		const fromPeers = await askPeers(requestId);
+		const fromPeers = await queryPeers(requestId);
 		const asked = {hostsAsked: fromPeers.asked + 1, hostsSilent: fromPeers.silent};
 		if (fromPeers.records.length > 0) {
 			return {
@@ -142,7 +142,7 @@
 		async stop() {
 			abort.abort();
 			await work;
-			await recorder.flush(LAST_FLUSH_MS);
+			await recorder.flush(FINAL_FLUSH_TIMEOUT_MS);
 		},
 	};
 }
--- a/src/explanations/describe-facts.ts
+++ b/src/explanations/describe-facts.ts
@@ -2,7 +2,7 @@
 import type {RefusalFacts} from '../refusals/refusal.js';
 import {LEFT_OUT_FACT} from './bounded-record.js';
 
-/** How a fact is said; facts without a phrase are said by their name. */
+/** Phrases by the name of a fact. A fact without a phrase is described by its name. */
 const phrases: Readonly<Record<string, (value: string) => string>> = {
 	endpoint: value => `the endpoint was ${value}`,
 	host: value => `the host was ${value}`,
@@ -39,7 +39,7 @@
 	[LEFT_OUT_FACT]: value => `${value} more facts did not fit`,
 };
 
-/** Says each fact in a few words. */
+/** Returns a short phrase for each fact. */
 export function describeFacts(facts: RefusalFacts): string[] {
 	return Object.entries(facts)
 		.filter(([, value]) => value !== undefined)
@@ -68,7 +68,7 @@
 	return String(value);
 }
 
-/** `budgetLeft` as `budget left`. */
+/** Splits a camel-case name into words: `budgetLeft` becomes `budget left`. */
 function toWords(name: string): string {
 	return name.replace(/Ms$/v, '').replaceAll(/[A-Z]/gv, letter => ` ${letter.toLowerCase()}`);
 }
--- a/src/explanations/explain-refusal.ts
+++ b/src/explanations/explain-refusal.ts
@@ -6,27 +6,27 @@
 import {refusalExplanations, type RefusalExplanation} from './refusal-explanations.js';
 import type {RefusalRecord} from './refusal-record.js';
 
-/** What is said of a code that a newer version has added. */
+/** Explanation of a code that a newer version has added. */
 const UNKNOWN_CODE: RefusalExplanation = {
 	rule: 'this version does not know the code; the reason is all it has',
 	notRun: 'The host that decided said so.',
 	advice: 'Ask a host of the newer version.',
 };
 
-/** Explains a refusal or a delay in sentences that can be read aloud to its caller. */
+/** Explains a refusal or a delay in whole sentences that an operator can read aloud to the caller. */
 export function explainRefusal(record: RefusalRecord): string[] {
 	const explanation = Object.hasOwn(refusalExplanations, record.code) ? refusalExplanations[record.code] : UNKNOWN_CODE;
 	return [
-		describeQuestion(record),
-		describeKnowledge(record),
+		describeRequest(record),
+		describeKnownFacts(record),
 		`The rule that decided (${record.code}): ${explanation.rule}.`,
 		describeOutcome(record, explanation),
-		describeReturn(record),
+		describeRetryDelay(record),
 		explanation.advice,
 	].filter(sentence => sentence !== '');
 }
 
-function describeQuestion(record: RefusalRecord): string {
+function describeRequest(record: RefusalRecord): string {
 	const verb = record.code === RefusalCode.Delayed ? 'served late' : 'did not serve';
 	const workClass = record.class === '' ? '' : ` of class ${record.class}`;
 	const group = record.group === '' ? '' : ` on group ${record.group}`;
@@ -35,7 +35,7 @@
 		+ `id ${record.requestId}${session}: ${record.reason}.`;
 }
 
-function describeKnowledge({facts, configVersion}: RefusalRecord): string {
+function describeKnownFacts({facts, configVersion}: RefusalRecord): string {
 	const config = configVersion > 0 && facts.configVersion === undefined ? {...facts, configVersion} : facts;
 	const known = describeFacts(config);
 	return known.length > 0 ? `What the host knew then: ${known.join('; ')}.` : '';
@@ -59,7 +59,7 @@
 	}
 }
 
-function describeReturn({outcome, retryAfterMs}: RefusalRecord): string {
+function describeRetryDelay({outcome, retryAfterMs}: RefusalRecord): string {
 	if (outcome === Outcome.Done) {
 		return '';
 	}
--- a/src/explanations/explanation-search.ts
+++ b/src/explanations/explanation-search.ts
@@ -8,35 +8,35 @@
 	Peer: 'peer',
 	/** In a batch in the platform. */
 	Platform: 'platform',
-	/** Nowhere. */
+	/** No records were found. */
 	None: 'none',
 } as const;
 
 /** One of the sources in {@link RecordSource}. */
 export type RecordSource = typeof RecordSource[keyof typeof RecordSource];
 
-/** What became of a search, so that nothing found is never taken for nothing refused. */
+/** Result of a search. It states which sources did not answer, so that an empty result is not taken to mean that nothing was refused. */
 export type ExplanationSearchResult = {
 	readonly records: readonly RefusalRecord[];
 	readonly source: RecordSource;
-	/** Hosts asked, this one among them. */
+	/** Number of queried hosts, including this one. */
 	readonly hostsAsked: number;
-	/** Hosts that gave no answer. */
+	/** Number of hosts that did not answer, including those that were not queried within the time limit. */
 	readonly hostsSilent: number;
-	/** False where the platform was asked and gave no answer. */
+	/** False if the platform was queried and did not answer. */
 	readonly platformAnswered: boolean;
-	/** Refusals around that time whose records were left out over the budget, or lost in an outage. */
+	/** Number of refusals around that time whose records were omitted to stay within the limits, or lost in an outage. */
 	readonly notKept: number;
 };
 
-/** Searches as {@link Explanations.find} does, and tells how the search went. */
+/** Searches like {@link Explanations.find}, and also reports which sources were queried and answered. */
 export type ExplanationSearch = {
 	search(requestId: string): Promise<ExplanationSearchResult>;
 };
 
 declare module '../peers/peer-calls.js' {
 	interface PeerCalls {
-		/** Asks a proxy's memory for the records of a request. */
+		/** Requests the records of a request from a proxy's memory. */
 		explain: {req: {readonly requestId: string}; res: {readonly records: readonly RefusalRecord[]}};
 	}
 }
--- a/src/explanations/explanations.ts
+++ b/src/explanations/explanations.ts
@@ -1,12 +1,12 @@
 import type {RefusalRecord} from './refusal-record.js';
 
-/** Keeps the reason of every refusal and delay: in memory, in the ticket the caller gets, and batched in the platform. */
+/** Stores the reason of every refusal and delay: in memory, in the ticket that the caller receives, and in batches in the platform. */
 export type Explanations = {
-	/** Keeps a record and returns its ticket. */
+	/** Stores a record and returns its ticket. */
 	record(record: RefusalRecord): string;
-	/** Reads a ticket signed by any proxy with a current or previous key; undefined where it is none. */
+	/** Reads a ticket that any proxy signed with a current or previous key. Returns undefined if it is not a valid ticket. */
 	openTicket(ticket: string): RefusalRecord | undefined;
-	/** Finds what is known of a request: in memory here, at peers, then in the platform. */
+	/** Finds the records of a request: in this host's memory, then at peers, then in the platform. */
 	find(requestId: string): Promise<readonly RefusalRecord[]>;
 };
 
--- a/src/explanations/record-batch.ts
+++ b/src/explanations/record-batch.ts
@@ -8,45 +8,45 @@
 
 const inflate = promisify(inflateRaw);
 
-/** Largest batch, in bytes of its compressed records as text. */
+/** Maximum size of a batch's compressed records as base64 text, in bytes. */
 export const MAX_BATCH_BYTES = 40_960;
 
-/** Largest text that a batch may inflate to, in bytes. */
+/** Maximum inflated size of a batch's records, in bytes. */
 const MAX_INFLATED_BYTES = 8_388_608;
 
-/** How far under its bound a batch that was too large is aimed. */
+/** Fraction of the maximum size that an oversized batch is reduced to, by estimate. */
 const FIT_SHARE = 0.95;
 
-/** Minutes from the calendar time in a name. */
+/** Length of the time at the start of a batch name, which has a resolution of one minute. */
 const MINUTE_LENGTH = 'YYYYMMDDTHHMM'.length;
 
-/** A batch of records on its way to the platform, small enough for one object. */
+/** A batch of records for the platform, small enough for one object. */
 export type RecordBatch = {
-	/** `MINUTE.HOST.RANDOM`; the minute is that of the first record. */
+	/** `MINUTE.HOST.RANDOM`, where MINUTE is the minute of the first record. */
 	readonly name: string;
 	readonly value: StoredBatch;
-	/** Refusals whose records are in it. */
+	/** Number of records in the batch. */
 	readonly kept: number;
-	/** Refusals that it counts. */
+	/** Number of refusals that the batch counts, including those whose records were omitted. */
 	readonly seen: number;
 };
 
 const storedBatchSchema = z.object({
 	host: z.string(),
-	/** How many refusals of each kind there were, and how many of them are in `records`. */
+	/** The number of refusals of each kind, and how many of them are in `records`. */
 	counts: z.array(z.object({
 		group: z.string(), code: z.string(), seen: z.number(), kept: z.number(),
 	})),
-	/** Refusals before this batch whose batch was lost in an outage of the platform. */
+	/** Number of earlier refusals whose batches were lost in a platform outage. */
 	lostBefore: z.number(),
-	/** The records: MessagePack, deflated, in base64. */
+	/** The records as MessagePack, deflated, in base64. */
 	records: z.string(),
 });
 
 /** The value of a platform object of kind `explanations`. */
 export type StoredBatch = z.infer<typeof storedBatchSchema>;
 
-/** What a batch tells of one request. */
+/** The records of one request in a batch, with the batch's counts. */
 export type BatchReading = {
 	readonly records: readonly RefusalRecord[];
 	readonly counts: readonly RefusalCount[];
@@ -57,14 +57,14 @@
 export type RecordBatchOptions = {
 	readonly host: string;
 	readonly sample: RecordSample;
-	/** Random part of the name. */
+	/** Random last part of the name. */
 	readonly suffix: string;
-	/** When the first record was added, milliseconds since the epoch. */
+	/** Time at which the first record was added, in milliseconds since the epoch. */
 	readonly from: number;
 	readonly lostBefore: number;
 };
 
-/** Compresses a sample; leaves out records all along it until it fits. */
+/** Compresses a sample, and omits records at even intervals until it fits. */
 export function createRecordBatch({host, sample, suffix, from, lostBefore}: RecordBatchOptions): RecordBatch {
 	let {records} = sample;
 	let text = compress(records);
@@ -84,7 +84,7 @@
 	};
 }
 
-/** Finds the records of one request in a batch; undefined where the value is no batch. */
+/** Finds the records of one request in a batch. Resolves to undefined if the value is not a batch. */
 export async function readRecordBatch(value: unknown, requestId: string): Promise<BatchReading | undefined> {
 	const parsed = storedBatchSchema.safeParse(value);
 	if (!parsed.success) {
@@ -94,7 +94,7 @@
 	const {records, counts, lostBefore} = parsed.data;
 	try {
 		const packed = await inflate(Buffer.from(records, 'base64'), {maxOutputLength: MAX_INFLATED_BYTES});
-		// A storm leaves hundreds of batches in a minute, and the id stands as text in the one that is looked for.
+		// Many refusals leave hundreds of batches in one minute. Only a batch that contains the id as text is unpacked.
 		const found = packed.includes(requestId) ? unpackRecords(packed) : [];
 		return {records: found.filter(record => record.requestId === requestId), counts, lostBefore};
 	} catch {
@@ -102,12 +102,12 @@
 	}
 }
 
-/** The minute of a time in milliseconds since the epoch, as batch names begin: `20260105T0612`. */
+/** Formats the minute of a time, in milliseconds since the epoch, as batch names start: `20260105T0612`. */
 export function getMinute(ms: number): string {
 	return new Date(ms).toISOString().replaceAll(/[\-:]/gv, '').slice(0, MINUTE_LENGTH);
 }
 
-/** Keeps a share of the records, evenly along them. */
+/** Returns a fraction of the records, selected at even intervals. */
 function keepShare(records: readonly RefusalRecord[], share: number): RefusalRecord[] {
 	return records.filter((_, index) => Math.floor((index + 1) * share) > Math.floor(index * share));
 }
--- a/src/explanations/record-codec.ts
+++ b/src/explanations/record-codec.ts
@@ -6,10 +6,10 @@
 
 const packr = new Packr({useRecords: false});
 
-/** A record on the wire: its fields in a fixed order, since their names would take half of a ticket. */
+/** A serialized record: its fields in a fixed order, because their names would take up half of a ticket. */
 type PackedRecord = readonly unknown[];
 
-/** Codes of a newer version are kept as they are, so that its tickets can still be read out. */
+/** The code is any text, so that tickets of a newer version with unknown codes can be read. */
 const packedRecordSchema = z.tuple([
 	z.string(), // code
 	z.string(), // reason
@@ -31,7 +31,7 @@
 	return packr.pack(toPacked(record));
 }
 
-/** Reads a packed record; undefined where it is none. */
+/** Reads a packed record. Returns undefined if the bytes are not a record. */
 export function unpackRecord(bytes: Uint8Array): RefusalRecord | undefined {
 	return fromPacked(unpack(bytes));
 }
@@ -41,7 +41,7 @@
 	return packr.pack(records.map(record => toPacked(record)));
 }
 
-/** Reads a batch; passes over what is no record. */
+/** Reads a batch of records, and skips items that are not records. */
 export function unpackRecords(bytes: Uint8Array): readonly RefusalRecord[] {
 	const packed = unpack(bytes);
 	return Array.isArray(packed) ? packed.map(item => fromPacked(item)).filter(record => record !== undefined) : [];
--- a/src/explanations/record-ring.ts
+++ b/src/explanations/record-ring.ts
@@ -1,12 +1,12 @@
 import type {RefusalRecord} from './refusal-record.js';
 
-/** The newest records of this host, in bounded memory. */
+/** Ring buffer of the newest records of this host, indexed by request id. */
 export type RecordRing = {
-	/** Keeps a record; the oldest gives way. */
+	/** Adds a record. A full ring drops the oldest one. */
 	add(record: RefusalRecord): void;
-	/** The records of one request, oldest first. */
+	/** Returns the records of one request, oldest first. */
 	getRecords(requestId: string): readonly RefusalRecord[];
-	/** Records kept now. */
+	/** Number of records in the ring. */
 	readonly size: number;
 };
 
@@ -16,7 +16,7 @@
 	const byRequest = new Map<string, RefusalRecord[]>();
 	let next = 0;
 
-	const forget = (record: RefusalRecord) => {
+	const removeFromIndex = (record: RefusalRecord) => {
 		const records = byRequest.get(record.requestId)!;
 		if (records.length === 1) {
 			byRequest.delete(record.requestId);
@@ -30,7 +30,7 @@
 		add(record) {
 			const oldest = slots[next];
 			if (oldest) {
-				forget(oldest);
+				removeFromIndex(oldest);
 			}
 
 			slots[next] = record;
--- a/src/explanations/record-sampler.ts
+++ b/src/explanations/record-sampler.ts
@@ -1,26 +1,26 @@
 import type {RefusalRecord} from './refusal-record.js';
 
 /**
- * Gathers records for one batch in bounded memory.
+ * Collects records for one batch in bounded memory.
  *
- * Over its capacity it keeps a sample that is fair between kinds of refusal (group and code), so that a storm of one
- * kind does not hide the one refusal of another; within a kind each record has the same chance.
+ * Beyond its capacity it keeps a sample stratified by the kind of refusal (group and code), so that many refusals of one
+ * kind do not displace a single refusal of another. Within a kind, each record has the same chance to be kept.
  */
 export type RecordSampler = {
-	/** @param fraction Chance, from 0 up to 1. */
+	/** @param fraction Random number from 0 (inclusive) to 1 (exclusive). */
 	add(record: RefusalRecord, fraction: number): void;
-	/** Takes out what was gathered. */
+	/** Returns the collected sample and empties the sampler. */
 	take(): RecordSample;
 	readonly size: number;
 };
 
-/** What was gathered, with the count of what was not kept. */
+/** The kept records, with the counts of all refusals by kind. */
 export type RecordSample = {
 	readonly records: readonly RefusalRecord[];
 	readonly counts: readonly RefusalCount[];
 };
 
-/** How many refusals of one kind there were, and of how many the record was kept. */
+/** Number of refusals of one kind, and of those whose records were kept. */
 export type RefusalCount = {
 	readonly group: string;
 	readonly code: string;
@@ -30,13 +30,13 @@
 
 /** Options of {@link createRecordSampler}. */
 export type RecordSamplerOptions = {
-	/** Most records kept. */
+	/** Maximum number of kept records. */
 	readonly capacity: number;
-	/** Most kinds told apart; further groups are counted together as {@link OTHER_GROUPS}. */
+	/** Maximum number of kinds that are counted separately. Further groups are counted together as {@link OTHER_GROUPS}. */
 	readonly maxKinds: number;
 };
 
-/** Stands for the groups beyond the kinds told apart. */
+/** Name under which the groups beyond the maximum number of kinds are counted. */
 export const OTHER_GROUPS = '*';
 
 type Stratum = {
@@ -66,7 +66,7 @@
 		return stratum;
 	};
 
-	const makeRoom = (fraction: number) => {
+	const evictFromLargestStratum = (fraction: number) => {
 		let largest: Stratum | undefined;
 		for (const stratum of strata.values()) {
 			if (!largest || stratum.kept.length > largest.kept.length) {
@@ -74,7 +74,7 @@
 			}
 		}
 
-		dropOne(largest!.kept, fraction);
+		dropRandomItem(largest!.kept, fraction);
 		size--;
 	};
 
@@ -89,15 +89,15 @@
 			}
 
 			if (stratum.kept.length < Math.floor(capacity / strata.size)) {
-				makeRoom(fraction);
+				evictFromLargestStratum(fraction);
 				stratum.kept.push(record);
 				size++;
 				return;
 			}
 
-			const place = Math.floor(fraction * stratum.seen);
-			if (place < stratum.kept.length) {
-				stratum.kept[place] = record;
+			const index = Math.floor(fraction * stratum.seen);
+			if (index < stratum.kept.length) {
+				stratum.kept[index] = record;
 			}
 		},
 		take() {
@@ -117,11 +117,11 @@
 	};
 }
 
-/** Drops one item by chance. */
-function dropOne(items: RefusalRecord[], fraction: number): void {
+/** Removes a random item. The last item takes its place. */
+function dropRandomItem(items: RefusalRecord[], fraction: number): void {
 	const last = items.pop()!;
-	const place = Math.floor(fraction * (items.length + 1));
-	if (place < items.length) {
-		items[place] = last;
+	const index = Math.floor(fraction * (items.length + 1));
+	if (index < items.length) {
+		items[index] = last;
 	}
 }
--- a/src/explanations/refusal-explanations.ts
+++ b/src/explanations/refusal-explanations.ts
@@ -1,10 +1,10 @@
 import {RefusalCode} from '../refusals/refusal.js';
 
-/** What an on-call person can say of a refusal code. */
+/** The explanation of a refusal code, for on-call operators. */
 export type RefusalExplanation = {
-	/** The rule that decides, as the end of "the rule that decided: …". */
+	/** The rule that decided, as the end of the sentence "The rule that decided (CODE): …". */
 	readonly rule: string;
-	/** Why "not run" is true where it is said, as a sentence. */
+	/** Why the request did not run if its outcome is "not run", as a sentence. */
 	readonly notRun: string;
 	/** What the caller or the operator can do, as a sentence. */
 	readonly advice: string;
@@ -12,7 +12,7 @@
 
 const NOTHING_SENT = 'Nothing of it was sent to any endpoint.';
 
-/** Every code's explanation; docs/REFUSALS.md has the same words, and a test compares the two. */
+/** The explanation of each code. docs/REFUSALS.md has the same texts, and a test compares the two. */
 export const refusalExplanations: Readonly<Record<RefusalCode, RefusalExplanation>> = {
 	[RefusalCode.Malformed]: {
 		rule: 'a request that does not have the form of one is not taken',
--- a/src/explanations/refusal-record.ts
+++ b/src/explanations/refusal-record.ts
@@ -1,21 +1,21 @@
 import type {Outcome} from '../callers/caller-answer.js';
 import type {Refusal} from '../refusals/refusal.js';
 
-/** A refusal or a delay as it is kept: all that is needed to explain it after every proxy that saw it is gone. */
+/** A stored refusal or delay, with everything that is needed to explain it after the proxies that handled the request are gone. */
 export type RefusalRecord = Refusal & {
 	readonly requestId: string;
 	readonly group: string;
-	/** What was asked: `read`, `write`, `begin`, `commit`, … Never the statement's values. */
+	/** The kind of request: `read`, `write`, `begin`, `commit`, … It never contains the statement's values. */
 	readonly asked: string;
 	readonly class: string;
-	/** Id of the caller's session, where it had one. */
+	/** Id of the caller's session, if it had one. */
 	readonly sessionId?: string;
-	/** What the caller was told. */
+	/** The outcome that was reported to the caller. */
 	readonly outcome: Outcome;
 	/** Name of the host that decided. */
 	readonly host: string;
-	/** When, milliseconds since the epoch by the deciding host's calendar. */
+	/** Time of the decision by that host's clock, in milliseconds since the epoch. */
 	readonly at: number;
-	/** Version of the group's configuration in force there. */
+	/** Version of the group's configuration that was in force on that host. */
 	readonly configVersion: number;
 };
--- a/src/reports/fleet-report.ts
+++ b/src/reports/fleet-report.ts
@@ -1,6 +1,6 @@
 import {parseLogEvent, type LogEvent} from './log-event.js';
 
-/** How often something was seen, by its cause. */
+/** Number of occurrences by cause. */
 export type Counts = Readonly<Record<string, number>>;
 
 /** A change of a group's primary. */
@@ -9,87 +9,87 @@
 	readonly host: string;
 	readonly group: string;
 	readonly primary: string;
-	/** Why it was replaced; undefined where the beginning is not in the logs. */
+	/** Why the former primary was replaced. Undefined if the line that started the change is not in the logs. */
 	readonly reason?: string;
-	/** Time of its parts, in milliseconds, as the host that did it tells them. */
+	/** Duration of each step in milliseconds, as logged by the host that replaced the primary. */
 	readonly partsMs: Counts;
 };
 
-/** How a version of the configuration spread. */
+/** How a version of the configuration reached the hosts. */
 export type ConfigurationSpread = {
 	readonly version: number;
-	/** Hosts that have it. */
+	/** Number of hosts that logged it. */
 	readonly hosts: number;
 	readonly firstAt: number;
-	/** When the last of these had it. */
+	/** Time at which the last of these hosts logged it. */
 	readonly lastAt: number;
 };
 
-/** A return of the platform's store from a copy. */
-export type StoreReturn = {
+/** A restore of the platform's store from a backup. */
+export type StoreRestore = {
 	readonly generation: number;
-	/** Hosts that tell of it. */
+	/** Number of hosts that logged it. */
 	readonly hosts: number;
 	readonly firstAt: number;
-	/** When the last of these saw it. */
+	/** Time at which the last of these hosts logged it. */
 	readonly lastAt: number;
-	/** Records of leadership that hosts wrote again. */
+	/** Number of leadership records that hosts rewrote. */
 	readonly recordsWritten: number;
 };
 
-/** What the logs of a fleet tell. */
+/** Summary of the logs of a fleet. */
 export type FleetReport = {
 	readonly lines: number;
-	/** Lines that are none of a proxy, were cut, or cannot be read. */
+	/** Lines that were truncated, cannot be parsed, or were not written by a proxy. */
 	readonly unreadLines: number;
 	readonly hosts: number;
-	/** Time of the first and the last line; undefined where there is none. */
+	/** Times of the first and the last line. Undefined if there are no lines. */
 	readonly from?: number;
 	readonly to?: number;
-	/** By answer code, and by what callers were told. */
+	/** Refusals by answer code, and by the text sent to callers. */
 	readonly refusalsByCode: Counts;
 	readonly refusalsByText: Counts;
 	readonly refusalsByDatabase: Counts;
-	/** By workspace and answer code, of callers with a key. */
+	/** Refusals by workspace and answer code, of callers that presented a workspace's API key. */
 	readonly refusalsByWorkspace: Counts;
-	/** By why it was tried again. */
+	/** Retries by reason. */
 	readonly retries: Counts;
 	readonly lateAnswers: number;
-	/** Commits and writes that nobody can tell the outcome of, by kind. */
+	/** Commits and writes with an unknown outcome, by kind. */
 	readonly unknownOutcomes: Counts;
 	readonly primaryChanges: readonly PrimaryChange[];
 	readonly configurations: readonly ConfigurationSpread[];
-	readonly storeReturns: readonly StoreReturn[];
-	/** Hosts that were told to stop, and those of them that said that they ended. */
+	readonly storeReturns: readonly StoreRestore[];
+	/** Number of hosts that began to stop, and of those that logged the end of it. */
 	readonly stopsBegun: number;
 	readonly stopsEnded: number;
-	/** Lines that hosts dropped, as they tell. */
+	/** Number of lines that hosts dropped, by their own logs. */
 	readonly droppedLines: number;
-	/** What was left out since there was too much of it, by list. */
+	/** Number of entries omitted because a list was full, by list. */
 	readonly leftOut: Counts;
 };
 
-/** Gathers a report line by line; its memory does not grow with the logs. */
+/** Builds a report line by line. Its memory does not grow with the size of the logs. */
 export type FleetReporter = {
-	/** Takes one line in. */
+	/** Adds one log line. */
 	note(line: string): void;
 	getReport(): FleetReport;
 };
 
-/** Most entries of a list, and most causes that are counted apart: what comes beyond is counted as left out. */
-const MOST_ENTRIES = 1000;
+/** Maximum number of entries in a list and of causes that are counted separately. Further ones are counted as omitted. */
+const MAX_ENTRIES = 1000;
 
-/** Sentences that ask for no more than to be counted, with the field that names the cause. */
-const OUTCOMES_UNKNOWN: Readonly<Record<string, string>> = {
+/** Log sentences about unknown outcomes, with the cause under which each is counted. */
+const UNKNOWN_OUTCOME_CAUSES: Readonly<Record<string, string>> = {
 	'the outcome of a commit is unknown: its primary may have been replaced': 'commit, its primary may have been replaced',
 	'the outcome of a write is unknown: it was sent and no whole answer came': 'write, no whole answer came',
 	'no whole answer to a commit came': 'commit, no whole answer came',
 };
 
-/** The hosts that told of one thing, and when the first and the last of them did. */
+/** The hosts that logged an event, and the times of the first and the last of these lines. */
 type Spread = {readonly hosts: Set<string>; firstAt: number; lastAt: number};
 
-/** Creates a reporter that has read nothing. */
+/** Creates a reporter without lines. */
 export function createFleetReporter(): FleetReporter {
 	const hosts = new Set<string>();
 	const counts = {
@@ -113,26 +113,26 @@
 	let to = Number.NEGATIVE_INFINITY;
 
 	const count = (list: Map<string, number>, cause: string) => {
-		if (list.size < MOST_ENTRIES || list.has(cause)) {
+		if (list.size < MAX_ENTRIES || list.has(cause)) {
 			list.set(cause, (list.get(cause) ?? 0) + 1);
 		} else {
 			count(counts.leftOut, 'causes');
 		}
 	};
 
-	const noteRefusal = ({fields}: LogEvent) => {
+	const addRefusal = ({fields}: LogEvent) => {
 		count(counts.code, String(fields.code));
-		count(counts.text, withoutFigures(String(fields.text)));
+		count(counts.text, maskNumbers(String(fields.text)));
 		count(counts.database, String(fields.database));
 		if (typeof fields.workspace === 'string') {
 			count(counts.workspace, `${fields.workspace}: ${String(fields.code)}`);
 		}
 	};
 
-	const noteChange = ({at, host, fields}: LogEvent) => {
+	const addPrimaryChange = ({at, host, fields}: LogEvent) => {
 		const {group, primary} = fields;
 		const partsMs = Object.fromEntries(Object.entries(fields).filter((entry): entry is [string, number] => entry[0].endsWith('Ms') && typeof entry[1] === 'number'));
-		if (primaryChanges.length >= MOST_ENTRIES) {
+		if (primaryChanges.length >= MAX_ENTRIES) {
 			count(counts.leftOut, 'changes of primary');
 			return;
 		}
@@ -142,9 +142,9 @@
 		});
 	};
 
-	const noteSpread = (spreads: Map<number, Spread>, what: string, key: number, {at, host}: LogEvent) => {
+	const addToSpread = (spreads: Map<number, Spread>, what: string, key: number, {at, host}: LogEvent) => {
 		const known = spreads.get(key) ?? {hosts: new Set(), firstAt: at, lastAt: at};
-		if (spreads.size >= MOST_ENTRIES && !spreads.has(key)) {
+		if (spreads.size >= MAX_ENTRIES && !spreads.has(key)) {
 			count(counts.leftOut, what);
 			return;
 		}
@@ -155,8 +155,8 @@
 		spreads.set(key, known);
 	};
 
-	const noteBySentence: Readonly<Record<string, (event: LogEvent) => void>> = {
-		'a statement was refused': noteRefusal,
+	const handlersBySentence: Readonly<Record<string, (event: LogEvent) => void>> = {
+		'a statement was refused': addRefusal,
 		'a read is tried again'({fields}) {
 			count(counts.retry, `read: ${String(fields.reason)}`);
 		},
@@ -172,16 +172,16 @@
 		'a primary is replaced'({host, fields}) {
 			reasons.set(`${host} ${String(fields.group)}`, String(fields.reason));
 		},
-		'a group has a primary again': noteChange,
+		'a group has a primary again': addPrimaryChange,
 		'a configuration is in force'(event) {
-			noteSpread(configurations, 'configurations', Number(event.fields.version), event);
+			addToSpread(configurations, 'configurations', Number(event.fields.version), event);
 		},
 		'the store has come back from a copy'(event) {
-			noteSpread(storeReturns, 'returns of the store', Number(event.fields.generation), event);
+			addToSpread(storeReturns, 'returns of the store', Number(event.fields.generation), event);
 		},
 		'a record of leadership was written again, since the store came back from a copy'({fields}) {
 			const generation = Number(fields.generation);
-			if (recordsWritten.size < MOST_ENTRIES || recordsWritten.has(generation)) {
+			if (recordsWritten.size < MAX_ENTRIES || recordsWritten.has(generation)) {
 				recordsWritten.set(generation, (recordsWritten.get(generation) ?? 0) + 1);
 			}
 		},
@@ -212,13 +212,13 @@
 			hosts.add(event.host);
 			from = Math.min(from, event.at);
 			to = Math.max(to, event.at);
-			const unknown = Object.hasOwn(OUTCOMES_UNKNOWN, event.sentence) ? OUTCOMES_UNKNOWN[event.sentence] : undefined;
+			const unknown = Object.hasOwn(UNKNOWN_OUTCOME_CAUSES, event.sentence) ? UNKNOWN_OUTCOME_CAUSES[event.sentence] : undefined;
 			if (unknown !== undefined) {
 				count(counts.unknown, unknown);
 			}
 
-			if (Object.hasOwn(noteBySentence, event.sentence)) {
-				noteBySentence[event.sentence]!(event);
+			if (Object.hasOwn(handlersBySentence, event.sentence)) {
+				handlersBySentence[event.sentence]!(event);
 			}
 		},
 		getReport: () => ({
@@ -236,20 +236,20 @@
 			configurations: [...configurations].map(([version, spread]) => ({
 				version, hosts: spread.hosts.size, firstAt: spread.firstAt, lastAt: spread.lastAt,
 			})),
-			storeReturns: [...storeReturns].map(([generation, {hosts: tellers, firstAt, lastAt}]) => ({
-				generation, hosts: tellers.size, firstAt, lastAt, recordsWritten: recordsWritten.get(generation) ?? 0,
+			storeReturns: [...storeReturns].map(([generation, {hosts: reportingHosts, firstAt, lastAt}]) => ({
+				generation, hosts: reportingHosts.size, firstAt, lastAt, recordsWritten: recordsWritten.get(generation) ?? 0,
 			})),
 			leftOut: toCounts(counts.leftOut),
 		}),
 	};
 }
 
-/** What callers are told holds times, of which each would be a cause of its own. */
-function withoutFigures(text: string): string {
+/** Replaces numbers by N. The texts sent to callers contain times, and each would otherwise be counted as a separate cause. */
+function maskNumbers(text: string): string {
 	return text.replaceAll(/\d+/gv, 'N');
 }
 
-/** The most frequent first. */
+/** Returns the counts in descending order. */
 function toCounts(counts: ReadonlyMap<string, number>): Counts {
 	return Object.fromEntries([...counts].toSorted((left, right) => right[1] - left[1]));
 }
--- a/src/reports/format-report.ts
+++ b/src/reports/format-report.ts
@@ -1,9 +1,9 @@
 import type {Counts, FleetReport} from './fleet-report.js';
 
-/** Most causes of one kind that the text shows; JSON has them all. */
-const MOST_SHOWN = 12;
+/** Maximum number of lines in each list of the text. The JSON output has all of them. */
+const MAX_SHOWN = 12;
 
-/** Writes a report as text. */
+/** Formats a report as text. */
 export function formatReport(report: FleetReport): string {
 	return [
 		`${report.lines} lines of ${report.hosts} hosts${formatSpan(report)}; ${report.unreadLines} lines were not read, ${report.droppedLines} were dropped by hosts`,
@@ -17,7 +17,7 @@
 		`stops begun: ${report.stopsBegun}, ended: ${report.stopsEnded}`,
 		...formatList('changes of primary', report.primaryChanges.map(change => formatChange(change))),
 		...formatList('configurations', report.configurations.map(({version, hosts, firstAt, lastAt}) => `version ${version}: ${hosts} hosts within ${Math.round(lastAt - firstAt)} ms`)),
-		...formatList('returns of the store from a copy', report.storeReturns.map(storeReturn => formatReturn(storeReturn))),
+		...formatList('returns of the store from a copy', report.storeReturns.map(storeRestore => formatStoreRestore(storeRestore))),
 		...formatCounts('left out, as there was too much of it', report.leftOut),
 	].join('\n');
 }
@@ -35,7 +35,7 @@
 	return `${formatTime(at)} ${group}: ${primary}, by ${host}, since ${reason}${parts === '' ? '' : ` (ms: ${parts})`}`;
 }
 
-function formatReturn({generation, hosts, firstAt, lastAt, recordsWritten}: FleetReport['storeReturns'][number]): string {
+function formatStoreRestore({generation, hosts, firstAt, lastAt, recordsWritten}: FleetReport['storeReturns'][number]): string {
 	return `${formatTime(firstAt)} generation ${generation}: seen by ${hosts} hosts within ${Math.round(lastAt - firstAt)} ms, ${recordsWritten} records of leadership written again`;
 }
 
@@ -48,6 +48,6 @@
 		return [];
 	}
 
-	const more = lines.length - MOST_SHOWN;
-	return [`${title}:`, ...lines.slice(0, MOST_SHOWN).map(line => `  ${line}`), ...(more > 0 ? [`  … ${more} more, shown with --json`] : [])];
+	const more = lines.length - MAX_SHOWN;
+	return [`${title}:`, ...lines.slice(0, MAX_SHOWN).map(line => `  ${line}`), ...(more > 0 ? [`  … ${more} more, shown with --json`] : [])];
 }
--- a/src/reports/log-event.ts
+++ b/src/reports/log-event.ts
@@ -2,19 +2,19 @@
 
 /** One line of a proxy's log. */
 export type LogEvent = {
-	/** When it was written by that host's calendar, in milliseconds since the epoch. */
+	/** Time at which the line was written, by that host's clock, in milliseconds since the epoch. */
 	readonly at: number;
 	readonly host: string;
-	/** What it says, without the part's prefix. */
+	/** The message without the component's prefix. */
 	readonly sentence: string;
-	/** The part that wrote it, as in `callers`; empty where none did. */
+	/** The component that wrote the line, such as `callers`. Empty if the message has no prefix. */
 	readonly part: string;
 	readonly fields: Readonly<Record<string, unknown>>;
 };
 
 const schema = z.looseObject({hostname: z.string(), time: z.string(), msg: z.string()});
 
-/** Reads a line, which may have anything before its JSON, as log collectors put it there; undefined where it is no line of a proxy. */
+/** Parses a line. Text before its JSON, as log collectors add it, is skipped. Returns undefined if it is not a line of a proxy. */
 export function parseLogEvent(line: string): LogEvent | undefined {
 	const start = line.indexOf('{');
 	if (start === -1) {
--- a/tests/explanations/create-explanations-tests.ts
+++ b/tests/explanations/create-explanations-tests.ts
@@ -7,9 +7,9 @@
 const MINUTE_MS = 60_000;
 
 describe('explanations', () => {
-	// A member calls about a refusal on another day. Every proxy that saw the request has been replaced since: what was in
-	// their memory is gone. Cause: hosts keep nothing. The ticket alone tells, and the batch in the platform.
-	it('survive the death of every proxy that saw the request', async () => {
+	// A caller asks about a refusal on a later day, when every proxy that handled the request has been replaced and its memory
+	// is lost. Hosts store nothing on disk, so only the ticket and the batch in the platform hold the record.
+	it('are found after every proxy that handled the request has died', async () => {
 		const bench = createExplanationBench(3);
 		const [first, second, third] = bench.hosts as [typeof bench.hosts[0], typeof bench.hosts[0], typeof bench.hosts[0]];
 		await first.start!();
@@ -28,7 +28,7 @@
 		expect(await third.find(record.requestId)).to.deep.equal([record]);
 	});
 
-	it('are sent when the host stops in order', async () => {
+	it('are written to the platform when the host stops in an orderly way', async () => {
 		const bench = createExplanationBench(2);
 		await bench.hosts[0]!.start!();
 		const record = bench.createRecord();
@@ -38,7 +38,7 @@
 		expect(await bench.hosts[1]!.find(record.requestId)).to.deep.equal([record]);
 	});
 
-	it('say that nothing is known, who was silent and that the platform was', async () => {
+	it('report an empty result, the number of silent hosts and that the platform did not answer', async () => {
 		const bench = createExplanationBench(3);
 		bench.kill(1);
 		bench.platform.gate.faults.outage = Outage.Refusing;
@@ -48,7 +48,7 @@
 		});
 	});
 
-	it('are found within a few list calls, also where the caller\'s calendar is off', async () => {
+	it('are found within a few list calls, also if the caller\'s clock is wrong', async () => {
 		const bench = createExplanationBench(1);
 		const host = bench.hosts[0]!;
 		await host.start!();
@@ -70,13 +70,13 @@
 		expect(await count('not-a-request-id')).to.deep.equal({found: 0, lists: 0});
 	});
 
-	describe('in a storm of refusals', () => {
+	describe('under many refusals', () => {
 		const doTest = (perSecond: number, expected: {kept: number; leftOut: number}) => {
-			it(`keep to the budget of calls and bytes at ${perSecond} a second`, async () => {
+			it(`stay within the limits of calls and bytes at ${perSecond} refusals per second`, async () => {
 				const bench = createExplanationBench(1);
 				const host = bench.hosts[0]!;
 				await host.start!();
-				// The one refusal of its kind, in the middle of the storm.
+				// The only refusal of its kind among many others.
 				const rare = bench.createRecord({code: 'write-lost', reason: 'a write was lost'});
 				for (let tick = 0; tick < 600; tick++) {
 					if (tick === 590) {
@@ -94,7 +94,7 @@
 				const {seen, kept, leftOut, lost, calls} = host.figures;
 				const seenExpected = (60 * perSecond) + 1;
 				expect({seen, lost, sum: kept + leftOut}).to.deep.equal({seen: seenExpected, lost: 0, sum: seenExpected});
-				// Two writes of the burst, two by the interval, and what came after them.
+				// Two writes of the burst, two by the interval, and those for the records that came after them.
 				expect(calls).to.be.at.most(5);
 				expect(kept).to.be.at.least(expected.kept);
 				expect(leftOut).to.be.at.least(expected.leftOut);
@@ -107,9 +107,9 @@
 		doTest(1000, {kept: 1000, leftOut: 50_000});
 	});
 
-	// The platform is down for an hour in a storm of refusals. Without a bound every proxy's memory would grow until it dies;
-	// with a silent bound an operator would take "no record" for "no refusal".
-	it('bound their memory in an outage of the platform and count what they lose', async () => {
+	// The platform is down for an hour while requests are refused. Without a limit, every proxy's memory would grow until the
+	// process dies. If the limit were not reported, an operator would take "no record" to mean "no refusal".
+	it('limit their memory in a platform outage and count the lost records', async () => {
 		const bench = createExplanationBench(1);
 		const host = bench.hosts[0]!;
 		await host.start!();
@@ -136,8 +136,8 @@
 		expect(search).to.include({source: 'none', platformAnswered: true});
 	});
 
-	// The answer to a write of a batch is lost after the write took effect; the batch is sent again. Without the check of the
-	// name the records would stand twice, or the recorder would send the same batch for ever.
+	// The answer to the write of a batch is lost after the write took effect, and the batch is sent again. Without the unique
+	// name, the records would be stored twice, or the recorder would send the same batch forever.
 	it('write a batch once when the platform\'s answer is lost', async () => {
 		const bench = createExplanationBench(1);
 		await bench.hosts[0]!.start!();
@@ -148,7 +148,7 @@
 		expect(bench.hosts[0]!.figures).to.include({kept: 1, lost: 0, calls: 2});
 	});
 
-	it('are deleted after the retention by a host that lives then', async () => {
+	it('are deleted after the retention period by a host that is running then', async () => {
 		const bench = createExplanationBench(3);
 		await bench.hosts[0]!.start!();
 		bench.hosts[0]!.record(bench.createRecord());
--- a/tests/explanations/explain-refusal-tests.ts
+++ b/tests/explanations/explain-refusal-tests.ts
@@ -1,4 +1,4 @@
-/* eslint-disable @stylistic/max-len -- sentences stand whole, as they are read aloud */
+/* eslint-disable @stylistic/max-len -- whole sentences are easier to compare on one line */
 import {expect} from 'chai';
 import {explainRefusal} from '../../src/explanations/explain-refusal.js';
 import type {RefusalRecord} from '../../src/explanations/refusal-record.js';
@@ -15,7 +15,7 @@
 		});
 	};
 
-	doTest('says what was asked, what was known, which rule decided, whether it ran and when to come back', {}, [
+	doTest('states the request, the known facts, the rule that decided, whether it ran and the retry delay', {}, [
 		`At 2026-01-05 06:00:00.000 UTC host entry-1 did not serve a request (read of class interactive on group nights), id ${REQUEST}, session 5f0c2b9a: all 200 places in the interactive queue of nights-a are taken.`,
 		'What the host knew then: the endpoint was nights-a; 200 requests were waiting; the queue had room for 200; 3 were running; 3 may run at once; the predicted wait was 2.4 s; one took about 12 ms; the group\'s configuration was at version 42.',
 		'The rule that decided (queue-full): a request that finds every place of its class in an endpoint\'s queue taken is refused at once.',
@@ -24,7 +24,7 @@
 		'Come back as told; where it lasts, compare `show endpoints` with the class shares.',
 	]);
 
-	doTest('says that it may have run', {
+	doTest('states that the request may have run', {
 		code: 'not-confirmed',
 		outcome: 'unknown',
 		reason: 'nights-a took the request, but no majority confirmed it in time',
@@ -44,12 +44,12 @@
 		'Ask for its outcome under the same request id; check in `show endpoints` that a majority answers.',
 	]);
 
-	it('says that a read which may have run can be sent again', () => {
+	it('states that a read that may have run can be sent again', () => {
 		const sentences = explainRefusal(createQueueFullRecord(REQUEST, AT, {code: 'endpoint-silent', outcome: 'unknown'}));
 		expect(sentences).to.include('It may have run without its answer arriving; a read changes nothing and can be sent again.');
 	});
 
-	doTest('says of a code that a newer version added what it can', {
+	doTest('gives the reason for an unknown code of a newer version', {
 		code: 'brand-new' as RefusalCode, facts: {}, configVersion: 0, retryAfterMs: undefined,
 	}, [
 		`At 2026-01-05 06:00:00.000 UTC host entry-1 did not serve a request (read of class interactive on group nights), id ${REQUEST}, session 5f0c2b9a: all 200 places in the interactive queue of nights-a are taken.`,
@@ -60,7 +60,7 @@
 	]);
 
 	for (const code of Object.values(RefusalCode)) {
-		it(`has whole sentences for ${code}`, () => {
+		it(`consists of whole sentences for ${code}`, () => {
 			for (const sentence of explainRefusal(createQueueFullRecord(REQUEST, AT, {code}))) {
 				expect(sentence).to.match(/^[A-Z].*\.$/v).and.not.match(/undefined|\.\./v);
 			}
--- a/tests/explanations/explanation-fixtures.ts
+++ b/tests/explanations/explanation-fixtures.ts
@@ -16,14 +16,14 @@
 export const CURRENT_KEY = 'current key of thirty-two bytes!';
 export const PREVIOUS_KEY = 'previous key, of thirty-two bytes';
 
-/** A host on loopback, by its number. */
+/** Returns a proxy host with this number in its name and address. */
 export function createHost(number: number): PlatformHost {
 	return {
 		name: `entry-${number}`, role: 'proxy', address: `10.1.0.${number}:7000`, availabilityZone: 'hall-a', state: 'live',
 	};
 }
 
-/** Hosts as one of them sees them: all usable. */
+/** Creates a host list in which every host is usable. */
 export function createFixedHosts(self: PlatformHost, all: readonly PlatformHost[]): Hosts {
 	return {
 		self,
@@ -36,7 +36,7 @@
 	};
 }
 
-/** Calls between hosts of one process; a host that is dead answers nothing. */
+/** Creates a network for peer calls within one process. Calls to a dead host fail as unreachable. */
 export function createPeerNetwork() {
 	const handlers = new Map<string, Map<string, unknown>>();
 	const dead = new Set<string>();
@@ -58,20 +58,20 @@
 	};
 }
 
-/** What a test of explanations works with. */
+/** The hosts of a test of explanations, with the clock, the platform and the random numbers that they share. */
 export type ExplanationBench = {
 	readonly clock: VirtualClock;
 	readonly store: ObjectStore;
 	readonly platform: InMemoryPlatform;
 	readonly random: Random;
-	/** One service a host, in the order of the hosts. */
+	/** One service per host, in the order of the hosts. */
 	readonly hosts: readonly ExplanationsService[];
-	/** Makes a host answer nothing any more; what it had in memory is gone. */
+	/** Makes a host unreachable for its peers, and with it the records in its memory. */
 	kill(index: number): void;
 	createRecord(changes?: Partial<RefusalRecord>): RefusalRecord;
 };
 
-/** Creates some hosts that share a store. */
+/** Creates hosts that share one platform. */
 export function createExplanationBench(hostCount: number, platformOf?: (platform: Platform) => Platform): ExplanationBench {
 	const clock = createVirtualClock();
 	const random = createSeededRandom(7);
@@ -101,7 +101,7 @@
 	};
 }
 
-/** A refusal as an owner with a full queue decides it. */
+/** Returns the record of a refusal by an owner with a full queue. */
 export function createQueueFullRecord(requestId: string, at: number, changes?: Partial<RefusalRecord>): RefusalRecord {
 	return {
 		code: 'queue-full',
--- a/tests/reports/fleet-report-tests.ts
+++ b/tests/reports/fleet-report-tests.ts
@@ -4,12 +4,12 @@
 
 const START = Date.parse('2026-01-19T08:00:00.000Z');
 
-/** A line as a proxy writes it. */
+/** Returns a log line as a proxy writes it. */
 const line = (host: string, ms: number, msg: string, fields: Record<string, unknown> = {}) => JSON.stringify({
 	name: 'aldercroft-proxy', hostname: host, level: 30, ...fields, time: new Date(START + ms).toISOString(), msg,
 });
 
-const FAULTED: readonly string[] = [
+const LINES_WITH_FAULTS: readonly string[] = [
 	line('entry-1', 0, 'mirror: a configuration is in force', {version: 6}),
 	`  0.0300 entry-2 ${line('entry-2', 30, 'mirror: a configuration is in force', {version: 6})}`,
 	line('entry-1', 100, 'callers: a statement was refused', {
@@ -42,9 +42,9 @@
 	return reporter.getReport();
 }
 
-describe('a report of logs', () => {
-	it('tells what a faulted morning came to', () => {
-		expect(formatReport(report(FAULTED)).split('\n')).to.deep.equal([
+describe('report of a fleet\'s logs', () => {
+	it('summarizes refusals, retries, unknown outcomes, changes of primary, configurations and stops', () => {
+		expect(formatReport(report(LINES_WITH_FAULTS)).split('\n')).to.deep.equal([
 			'14 lines of 2 hosts, 2026-01-19T08:00:00.000Z to 2026-01-19T08:00:02.100Z; 2 lines were not read, 7 were dropped by hosts',
 			'refusals by code:',
 			'        2  overloaded',
@@ -66,14 +66,14 @@
 		]);
 	});
 
-	it('tells when the store came back from a copy, who saw it and what was written again', () => {
-		const back = (host: string, ms: number) => line(host, ms, 'mirror: the store has come back from a copy', {generation: 2, held: '1.29', revision: '2.24'});
-		const written = line('entry-1', 60, 'leads: a record of leadership was written again, since the store came back from a copy', {group: 'nights', generation: 2});
-		const {storeReturns} = report([back('entry-1', 0), written, back('entry-2', 40)]);
+	it('reports when the store was restored, how many hosts logged it and how many records were rewritten', () => {
+		const restored = (host: string, ms: number) => line(host, ms, 'mirror: the store has come back from a copy', {generation: 2, held: '1.29', revision: '2.24'});
+		const rewritten = line('entry-1', 60, 'leads: a record of leadership was written again, since the store came back from a copy', {group: 'nights', generation: 2});
+		const {storeReturns} = report([restored('entry-1', 0), rewritten, restored('entry-2', 40)]);
 		expect(storeReturns.map(({generation, hosts, firstAt, lastAt, recordsWritten}) => [generation, hosts, lastAt - firstAt, recordsWritten])).to.deep.equal([[2, 2, 40, 1]]);
 	});
 
-	it('tells refusals by workspace and code, and none of callers without one', () => {
+	it('counts refusals by workspace and code, without those of callers that have no workspace', () => {
 		const refused = (workspace: string | undefined, code: string) => line('entry-1', 0, 'callers: a statement was refused', {
 			code, text: 'the workspace is over its rate limit', database: 'sync', workspace,
 		});
@@ -81,18 +81,18 @@
 		expect(refusalsByWorkspace).to.deep.equal({'north: rate-limited': 2, 'south: overloaded': 1});
 	});
 
-	it('tells of no lines that there were none', () => {
+	it('reports that there were no lines', () => {
 		expect(formatReport(report([])).split('\n')[0]).to.equal('0 lines of 0 hosts; 0 lines were not read, 0 were dropped by hosts');
 	});
 
-	/** A caller that asks for a new name each time must not fill the memory of whoever reads the logs. */
-	it('keeps no more causes apart than it says, and counts the others', () => {
+	// A caller that requests a new database name each time must not fill the memory of the process that reads the logs.
+	it('counts at most 1000 causes separately and the others as omitted', () => {
 		const lines = Array.from({length: 1500}, (_, i) => line('entry-1', i, 'callers: a statement was refused', {code: 'unknown-database', text: 'no', database: `db-${i}`}));
 		const {refusalsByDatabase, leftOut} = report(lines);
 		expect([Object.keys(refusalsByDatabase).length, leftOut.causes]).to.deep.equal([1000, 500]);
 	});
 
-	it('takes no sentence for one of its own words', () => {
+	it('does not mistake the names of inherited object members for known sentences', () => {
 		expect(report([line('entry-1', 0, 'toString'), line('entry-1', 0, 'constructor: toString')]).unreadLines).to.equal(0);
 	});
 });
