--- a/tests/lead-check/bundle-player.ts
+++ b/tests/lead-check/bundle-player.ts
@@ -4,12 +4,12 @@
 import {build, type Plugin} from 'esbuild';
 import type {MissingGuard} from './missing-guards.js';
 
-/** Takes a guard out of the sources on their way into the bundle. */
+/** Creates a plugin that removes a guard from the sources while they are bundled. */
 function createRemoval({changes}: MissingGuard): Plugin {
 	return {
 		name: 'missing-guard',
 		setup(bundler) {
-			// The filter is a Go expression, which knows no flags of JavaScript's.
+			// The filter is evaluated as a Go regular expression, which does not support JavaScript's flags.
 			bundler.onLoad({filter: /\.ts$/}, async ({path: file}) => {
 				const fileChanges = changes.filter(change => path.resolve(change.file) === file);
 				if (fileChanges.length === 0) {
@@ -24,7 +24,7 @@
 	};
 }
 
-/** Bundles a program that plays the real decisions, perhaps without a guard, and returns the path of the file. */
+/** Bundles a program that runs schedules against the real source, optionally without one guard, and returns the path of the file. */
 export async function bundlePlayer(guard?: MissingGuard, entry = 'tests/lead-check/play.ts'): Promise<string> {
 	const outfile = `target/lead-player-${guard?.name ?? 'whole'}-${process.pid}.mjs`;
 	await build({
--- a/tests/lead-check/lead-callers.ts
+++ b/tests/lead-check/leadership-callers.ts
@@ -3,10 +3,10 @@
 import type {SimulatedProxy} from '../../src/stand-ins/proxies/simulated-proxies.js';
 import {Access, SessionState, type Statement} from '../../src/statements/statement.js';
 import {AnswerCode} from '../../src/statements/statement-answer.js';
-import {ROUTES, type World} from './lead-world.js';
+import {ROUTES, type World} from './leadership-world.js';
 
-/** Codes that promise a caller that nothing of its attempt is kept. */
-const PROMISES: ReadonlySet<AnswerCode> = new Set([
+/** Codes that promise a caller that no effect of its attempt is kept. */
+const NOT_KEPT_CODES: ReadonlySet<AnswerCode> = new Set([
 	AnswerCode.Overloaded, AnswerCode.Aborted, AnswerCode.Lagging, AnswerCode.ReadOnly, AnswerCode.WrongEndpoint, AnswerCode.TooManyConnections,
 ]);
 
@@ -14,7 +14,7 @@
 	return system.proxies.findLast(proxy => proxy.name === name)!;
 }
 
-/** One caller after the other at one proxy, each for some operations. */
+/** Runs one caller after the other at one proxy, each for several operations. */
 export async function runCaller(world: World, name: string, index: number) {
 	const {clock, random} = world;
 	for (let session = 0; !world.stopped; session++) {
@@ -28,7 +28,7 @@
 		const caller = createScriptedCaller(`${name}-${index}-${session}`);
 		const ended = proxy.kernel.getOrThrow('gateway').serve(caller.channel);
 		void ended;
-		if (await orNever(proxy, caller.open(route.database))) {
+		if (await unlessKilled(proxy, caller.open(route.database))) {
 			await runOperations(world, proxy, caller, route);
 		}
 
@@ -37,8 +37,8 @@
 	}
 }
 
-/** A killed proxy answers nothing, and its callers notice. */
-async function orNever<T>({death}: SimulatedProxy, promise: Promise<T>): Promise<T | undefined> {
+/** Resolves like the promise, or to undefined once the proxy is killed, since a killed proxy does not answer. */
+async function unlessKilled<T>({death}: SimulatedProxy, promise: Promise<T>): Promise<T | undefined> {
 	return Promise.race([promise, death.then(() => undefined)]);
 }
 
@@ -67,54 +67,54 @@
 
 async function readOnce(world: World, proxy: SimulatedProxy, caller: ScriptedCaller, route: Route, own: readonly string[]) {
 	const id = createId();
-	world.history.claimRead(id, createClaim(world, route, own));
-	const answer = await orNever(proxy, caller.ask(id, READ));
+	world.history.requireRead(id, createRequirement(world, route, own));
+	const answer = await unlessKilled(proxy, caller.ask(id, READ));
 	if (answer?.end.kind === 'complete') {
 		world.served++;
-		world.history.noteRead(id);
+		world.history.recordRead(id);
 	}
 
 	return answer !== undefined;
 }
 
-function createClaim({clock}: World, route: Route, own: readonly string[]) {
+function createRequirement({clock}: World, route: Route, own: readonly string[]) {
 	return {firstByteAt: clock.now(), maxReadAgeMs: route.maxReadAgeMs, own: route.policy === ReadPolicy.OwnWrites ? [...own] : []};
 }
 
 async function writeOnce(world: World, proxy: SimulatedProxy, caller: ScriptedCaller, own: string[]) {
 	const id = createId();
-	const answer = await orNever(proxy, caller.ask(id, {kind: 'run', access: Access.Write, text: `WRITE item ${id}`}));
-	noteEnd(world, id, answer, own);
+	const answer = await unlessKilled(proxy, caller.ask(id, {kind: 'run', access: Access.Write, text: `WRITE item ${id}`}));
+	recordEnd(world, id, answer, own);
 	return answer !== undefined;
 }
 
-function noteEnd({history, clock}: World, id: string, answer: Awaited<ReturnType<ScriptedCaller['ask']>>, own: string[]) {
+function recordEnd({history, clock}: World, id: string, answer: Awaited<ReturnType<ScriptedCaller['ask']>>, own: string[]) {
 	if (!answer) {
-		history.noteUnknown();
+		history.recordUnknown();
 	} else if (answer.end.kind === 'complete') {
-		history.noteAcknowledged(id, clock.now());
+		history.recordAcknowledged(id, clock.now());
 		own.push(id);
-	} else if (PROMISES.has(answer.end.code)) {
-		history.noteRefused(id);
+	} else if (NOT_KEPT_CODES.has(answer.end.code)) {
+		history.recordRefused(id);
 	} else {
-		history.noteUnknown();
+		history.recordUnknown();
 	}
 }
 
 async function runTransaction(world: World, proxy: SimulatedProxy, caller: ScriptedCaller, route: Route, own: string[]) {
 	const readOnly = world.random.fraction() < 0.4;
-	const claim = createClaim(world, route, own);
-	const ask = async (id: string, statement: Statement) => orNever(proxy, caller.ask(id, statement));
+	const requirement = createRequirement(world, route, own);
+	const ask = async (id: string, statement: Statement) => unlessKilled(proxy, caller.ask(id, statement));
 	await ask(createId(), {kind: 'begin', readOnly});
 	const steps = 1 + Math.floor(world.random.fraction() * 3);
 	let state: SessionState | undefined = SessionState.Open;
 	for (let i = 0; i < steps && state === SessionState.Open; i++) {
 		const id = createId();
 		const writes = !readOnly && world.random.fraction() < 0.6;
-		world.history.claimRead(id, claim);
+		world.history.requireRead(id, requirement);
 		const answer = await ask(id, writes ? {kind: 'run', access: Access.Write, text: `WRITE item ${id}`} : READ);
 		if (answer?.end.kind === 'complete' && !writes) {
-			world.history.noteRead(id);
+			world.history.recordRead(id);
 		}
 
 		state = answer?.state;
@@ -132,26 +132,26 @@
 	const id = createId();
 	const answer = await ask(id, {kind: 'commit'});
 	if (readOnly || answer?.end.kind !== 'complete') {
-		noteCommitEnd(world, id, answer);
+		recordCommitEnd(world, id, answer);
 		return answer !== undefined;
 	}
 
-	noteCommit(world, id, own);
+	recordCommit(world, id, own);
 	return true;
 }
 
-function noteCommitEnd({history}: World, id: string, answer: Awaited<ReturnType<ScriptedCaller['ask']>>) {
-	if (answer?.end.kind === 'error' && PROMISES.has(answer.end.code)) {
-		history.noteRefused(id);
+function recordCommitEnd({history}: World, id: string, answer: Awaited<ReturnType<ScriptedCaller['ask']>>) {
+	if (answer?.end.kind === 'error' && NOT_KEPT_CODES.has(answer.end.code)) {
+		history.recordRefused(id);
 	} else if (answer?.end.kind !== 'complete') {
-		history.noteUnknown();
+		history.recordUnknown();
 	}
 }
 
-/** A transaction that wrote nothing commits nothing, and is no commit to be judged. */
-function noteCommit({history, clock}: World, id: string, own: string[]) {
+/** Records a commit as acknowledged. A transaction that wrote nothing commits nothing, so it is not recorded. */
+function recordCommit({history, clock}: World, id: string, own: string[]) {
 	if (history.wroteAnything(id)) {
-		history.noteAcknowledged(id, clock.now());
+		history.recordAcknowledged(id, clock.now());
 		own.push(id);
 	}
 }
--- a/tests/lead-check/lead-troubles.ts
+++ b/tests/lead-check/leadership-faults.ts
@@ -1,44 +1,44 @@
 import type {SimulatedProxy} from '../../src/stand-ins/proxies/simulated-proxies.js';
-import {pick, type World} from './lead-world.js';
-import type {LeadScheduleOptions} from './run-lead-schedule.js';
+import {pick, type World} from './leadership-world.js';
+import type {LeadershipScheduleOptions} from './run-leadership-schedule.js';
 
-/** Kinds of trouble in a swarm. */
-const LARGEST_SWARM = 5;
+/** Maximum number of fault kinds in a swarm, which is a small random subset of all kinds. */
+const MAX_SWARM_SIZE = 5;
 
-/** A few kinds of trouble at random: some faults show only where two kinds meet often, which is seldom among all of them. */
-function pickSwarm(world: World): readonly Trouble[] {
-	const size = 2 + Math.floor(world.random.fraction() * (LARGEST_SWARM - 1));
-	const all = [...USUAL_TROUBLES, ...SLOWNESS];
+/** Returns a few random kinds of faults. Some bugs appear only if two kinds coincide often, which is rare among all kinds. */
+function pickSwarm(world: World): readonly Fault[] {
+	const size = 2 + Math.floor(world.random.fraction() * (MAX_SWARM_SIZE - 1));
+	const all = [...COMMON_FAULTS, ...DELAY_FAULTS];
 	return Array.from({length: size}, () => pick(world, all));
 }
 
-/** Troubles one after the other, some overlapping. */
-export async function runTroubles(world: World, until: number, {swarms = false, rebirths = false, returns = false}: Pick<LeadScheduleOptions, 'swarms' | 'rebirths' | 'returns'>) {
+/** Injects faults one after the other, some of which overlap. */
+export async function injectFaults(world: World, until: number, {swarms = false, emptyRestarts = false, restores = false}: Pick<LeadershipScheduleOptions, 'swarms' | 'emptyRestarts' | 'restores'>) {
 	const {clock, random} = world;
-	// Listed apart: with one more kind among the usual ones each seed would play another schedule than the one that it is kept for.
-	const usual = swarms ? pickSwarm(world) : USUAL_TROUBLES;
-	const troubles = [...usual, ...(rebirths ? [startOver, startOver] : []), ...(returns ? [comeBackOlder, comeBackOlder, comeBackOlder] : [])];
+	// These kinds are listed separately, because one more common kind would change the schedule of every seed that is kept in the tests.
+	const commonFaults = swarms ? pickSwarm(world) : COMMON_FAULTS;
+	const faults = [...commonFaults, ...(emptyRestarts ? [restartEmpty, restartEmpty] : []), ...(restores ? [restoreBackup, restoreBackup, restoreBackup] : [])];
 	while (clock.now() < until && !world.stopped) {
 		await clock.sleep(100 + (900 * random.fraction()));
 		if (clock.now() < until) {
-			pick(world, troubles)(world, 300 + (4000 * random.fraction()));
+			pick(world, faults)(world, 300 + (4000 * random.fraction()));
 		}
 	}
 }
 
-/** Begins a trouble that lasts about `ms`. */
-type Trouble = (world: World, ms: number) => void;
+/** Starts a fault that lasts about `ms` milliseconds. */
+type Fault = (world: World, ms: number) => void;
 
-function pickLiving(world: World): SimulatedProxy | undefined {
-	const living = world.system.proxies.filter(({killed}) => !killed);
-	return living.length === 0 ? undefined : pick(world, living);
+function pickRunningProxy(world: World): SimulatedProxy | undefined {
+	const running = world.system.proxies.filter(({killed}) => !killed);
+	return running.length === 0 ? undefined : pick(world, running);
 }
 
 function later({clock}: World, ms: number, action: () => void) {
 	void clock.sleep(ms).then(action);
 }
 
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
 	crashServer(world, ms) {
 		const group = world.system.groups[0]!;
 		const server = world.random.fraction() < 0.7 ? group.leader : pick(world, group.servers);
@@ -80,7 +80,7 @@
 		pick(world, world.system.groups[0]!.servers).loseAnswers += 1 + Math.floor(world.random.fraction() * 3);
 	},
 	suspendProxy(world, ms) {
-		const proxy = pickLiving(world);
+		const proxy = pickRunningProxy(world);
 		if (proxy) {
 			world.system.suspend(proxy);
 			later(world, ms, () => {
@@ -89,7 +89,7 @@
 		}
 	},
 	killProxy(world, ms) {
-		const proxy = pickLiving(world);
+		const proxy = pickRunningProxy(world);
 		if (proxy) {
 			world.system.kill(proxy);
 			later(world, ms / 2, () => {
@@ -97,13 +97,13 @@
 			});
 		}
 	},
-	downStore(world, ms) {
+	stopStore(world, ms) {
 		world.system.store.setTrouble(undefined, world.random.fraction() < 0.5 ? {silent: true} : {refused: true});
 		later(world, ms, () => {
 			world.system.store.heal();
 		});
 	},
-	refuseSome(world, ms) {
+	refuseSomeProxies(world, ms) {
 		for (const name of world.proxies) {
 			if (world.random.fraction() < 0.5) {
 				world.system.store.setTrouble(name, {refused: true});
@@ -135,11 +135,11 @@
 			});
 		}
 	},
-	/** One proxy is alone with the primary, cut off from everything else, while the others replace it. */
+	/** Isolates one proxy together with the primary, while the other proxies replace that primary. */
 	isolateWithPrimary(world, ms) {
 		const group = world.system.groups[0]!;
 		const server = group.leader;
-		const alone = pickLiving(world);
+		const alone = pickRunningProxy(world);
 		if (!alone) {
 			return;
 		}
@@ -172,18 +172,18 @@
 	},
 };
 
-const USUAL_TROUBLES = Object.values(TROUBLES);
+const COMMON_FAULTS = Object.values(FAULTS);
 
-/** What delays statements that are under way, so that they run under what has been superseded meanwhile. */
-const SLOWNESS: readonly Trouble[] = [freezeServer, slowServer, slowOrders];
+/** Faults that delay statements in progress, so that they run at a primary that has been superseded in the meantime. */
+const DELAY_FAULTS: readonly Fault[] = [freezeServer, slowServer, slowOrders];
 
 function pickServer(world: World) {
 	const group = world.system.groups[0]!;
 	return world.random.fraction() < 0.7 ? group.leader : pick(world, group.servers);
 }
 
-/** A server starts again at once with nothing of what it held; its entry shows that at once or seconds later. */
-function startOver(world: World, ms: number) {
+/** Restarts a server at once without its data. Its entry shows the restart at once or seconds later. */
+function restartEmpty(world: World, ms: number) {
 	const server = pickServer(world);
 	const group = world.system.groups[0]!;
 	const others = group.servers.filter(other => other !== server && other.running && other.log.length > 0);
@@ -197,8 +197,8 @@
 	});
 }
 
-/** The store is away for a moment and comes back from a copy some time old; what the operator and the servers wrote is there again at once or later. */
-function comeBackOlder(world: World, ms: number) {
+/** Interrupts the store briefly and restores it from an older backup. The records that the operator and the servers wrote are there again at once or later. */
+function restoreBackup(world: World, ms: number) {
 	const {store} = world.system;
 	const copy = store.takeCopy();
 	later(world, ms, () => {
@@ -229,8 +229,8 @@
 	});
 }
 
-/** Ends all troubles. */
-export function healAll({system}: World) {
+/** Ends all faults. */
+export function healAllFaults({system}: World) {
 	system.store.heal();
 	system.network.heal();
 	system.setOrderTrouble();
--- a/tests/lead-check/lead-history.ts
+++ b/tests/lead-check/leadership-history.ts
@@ -3,46 +3,46 @@
 import type {PlainObserver, PlainServer} from '../../src/stand-ins/plain-group/plain-server.js';
 import type {PromotionOrder} from '../../src/leadership/promotion-orders.js';
 
-/** What a caller's read must see. */
-export type ReadClaim = {
-	/** Time of its first byte, or of its transaction's. */
+/** What a caller's read is required to see. */
+export type ReadRequirement = {
+	/** Time of the first byte of the read or of its transaction. */
 	readonly firstByteAt: number;
 	readonly maxReadAgeMs: number;
 	/** Statement ids of the session's own acknowledged commits. */
 	readonly own: readonly string[];
 };
 
-/** What happened in a run, and which of it must never happen. */
-export type LeadHistory = {
+/** What happened in a run, and the violated guarantees among it. */
+export type LeadershipHistory = {
 	readonly observer: PlainObserver;
-	/** In words, each with the virtual time at which it was found. */
+	/** Descriptions, each with the virtual time at which the violation was found. */
 	readonly violations: readonly string[];
 	readonly figures: {acknowledged: number; reads: number; refused: number; unknown: number};
 	setGroup(group: PlainGroup): void;
-	/** A read goes out with this claim. */
-	claimRead(id: string, claim: ReadClaim): void;
-	/** A caller has its read: what the endpoint ran is judged. */
-	noteRead(id: string): void;
-	/** A caller has its commit, or its single write. */
-	noteAcknowledged(id: string, now: number): void;
-	/** A caller was promised that nothing is kept. */
-	noteRefused(id: string): void;
-	noteUnknown(): void;
-	/** Whether anything took effect under that id. */
+	/** Sets the requirement of a read before it is sent. */
+	requireRead(id: string, requirement: ReadRequirement): void;
+	/** Records that a caller received its read, and checks what the endpoint executed. */
+	recordRead(id: string): void;
+	/** Records that a caller's commit, or its single write, was acknowledged. */
+	recordAcknowledged(id: string, now: number): void;
+	/** Records that a caller was told that nothing is kept. */
+	recordRefused(id: string): void;
+	recordUnknown(): void;
+	/** Returns whether any commit took effect under this id. */
 	wroteAnything(id: string): boolean;
-	/** Judges what can only be judged at the end. */
+	/** Checks the guarantees that can only be checked at the end. */
 	finish(orders: readonly PromotionOrder[]): void;
 };
 
-type RunCommit = {
+type ExecutedCommit = {
 	readonly commit: PlainCommit;
-	/** The server was no longer the one that was promoted last. */
+	/** Whether another server had been promoted since. */
 	readonly superseded: boolean;
 };
 
-type RunRead = {
+type ExecutedRead = {
 	readonly server: PlainServer;
-	/** Commits acknowledged before the claim's bound, still in the leader's log, that the server did not show. */
+	/** Required commits that are still in the primary's log and that the server did not show. */
 	readonly missing: readonly string[];
 };
 
@@ -55,16 +55,16 @@
 }
 
 /** Creates an empty history. */
-export function createLeadHistory(getNow: () => number): LeadHistory {
-	const commits = new Map<string, RunCommit[]>();
+export function createLeadershipHistory(getNow: () => number): LeadershipHistory {
+	const commits = new Map<string, ExecutedCommit[]>();
 	const acknowledged = new Map<string, {readonly commit: PlainCommit; readonly at: number}>();
 	const refused = new Set<string>();
 	const rolledBack = new Set<PlainCommit>();
-	const claims = new Map<string, ReadClaim>();
-	const reads = new Map<string, RunRead[]>();
+	const requirements = new Map<string, ReadRequirement>();
+	const reads = new Map<string, ExecutedRead[]>();
 	const violations: string[] = [];
 	const startedAt = getNow();
-	const violate = (what: string) => {
+	const addViolation = (what: string) => {
 		violations.push(`${Math.round(getNow() - startedAt)} ms: ${what}`);
 	};
 
@@ -75,17 +75,17 @@
 
 	const getLeader = () => group.leader;
 
-	const findMissing = (server: PlainServer, claim: ReadClaim) => {
+	const findMissing = (server: PlainServer, requirement: ReadRequirement) => {
 		const now = getNow();
 		const missing: string[] = [];
 		for (const [id, {commit, at}] of acknowledged) {
-			const owed = at < claim.firstByteAt - claim.maxReadAgeMs || claim.own.includes(id);
-			if (owed && isHeldBy(getLeader(), commit) && !rolledBack.has(commit) && !isVisibleAt(server, commit, now)) {
+			const isRequired = at < requirement.firstByteAt - requirement.maxReadAgeMs || requirement.own.includes(id);
+			if (isRequired && isHeldBy(getLeader(), commit) && !rolledBack.has(commit) && !isVisibleAt(server, commit, now)) {
 				missing.push(id);
 			}
 		}
 
-		// What every server shows, no server will ever lack again: a leader keeps its log, and the others follow it.
+		// A commit that every server shows can no longer be missing: a primary keeps its log, and the others follow it.
 		for (const [id, {commit}] of acknowledged) {
 			if (!group.servers.every(other => isVisibleAt(other, commit, now))) {
 				break;
@@ -105,9 +105,9 @@
 		},
 		observer: {
 			onRead({id, server}) {
-				const claim = claims.get(id);
-				if (claim) {
-					reads.set(id, [...reads.get(id) ?? [], {server, missing: findMissing(server, claim)}]);
+				const requirement = requirements.get(id);
+				if (requirement) {
+					reads.set(id, [...reads.get(id) ?? [], {server, missing: findMissing(server, requirement)}]);
 				}
 			},
 			onCommit(commit, server, id) {
@@ -122,50 +122,50 @@
 				}
 			},
 		},
-		claimRead(id, claim) {
-			claims.set(id, claim);
+		requireRead(id, requirement) {
+			requirements.set(id, requirement);
 		},
-		noteRead(id) {
+		recordRead(id) {
 			figures.reads++;
-			// A read may run twice; the caller has the answer of one of the runs.
+			// A read may run twice. The caller received the answer of one of the runs.
 			const runs = reads.get(id) ?? [];
 			if (runs.length > 0 && runs.every(({missing}) => missing.length > 0)) {
-				violate(`read ${id} at ${runs[0]!.server.id} missed ${runs[0]!.missing.join(', ')}`);
+				addViolation(`read ${id} at ${runs[0]!.server.id} missed ${runs[0]!.missing.join(', ')}`);
 			}
 		},
-		noteAcknowledged(id, now) {
+		recordAcknowledged(id, now) {
 			figures.acknowledged++;
 			const runs = commits.get(id) ?? [];
 			if (runs.length !== 1) {
-				violate(`commit ${id} was acknowledged and took effect ${runs.length} times`);
+				addViolation(`commit ${id} was acknowledged and took effect ${runs.length} times`);
 				return;
 			}
 
 			if (runs[0]!.superseded) {
-				violate(`commit ${id} of a superseded primary was acknowledged`);
+				addViolation(`commit ${id} of a superseded primary was acknowledged`);
 			}
 
 			acknowledged.set(id, {commit: runs[0]!.commit, at: now});
 		},
-		noteRefused(id) {
+		recordRefused(id) {
 			figures.refused++;
 			refused.add(id);
 		},
-		noteUnknown() {
+		recordUnknown() {
 			figures.unknown++;
 		},
 		wroteAnything: id => commits.has(id),
 		finish(orders) {
 			for (const id of refused) {
 				if (commits.has(id)) {
-					violate(`commit ${id} took effect though its caller was told that nothing is kept`);
+					addViolation(`commit ${id} took effect though its caller was told that nothing is kept`);
 				}
 			}
 
 			for (const [i, order] of orders.entries()) {
 				const before = orders[i - 1];
 				if (before && (order.token < before.token || (order.token === before.token && order.holder !== before.holder))) {
-					violate(`the order of ${order.holder} with token ${order.token} came after that of ${before.holder} with ${before.token}`);
+					addViolation(`the order of ${order.holder} with token ${order.token} came after that of ${before.holder} with ${before.token}`);
 				}
 			}
 		},
--- a/tests/lead-check/lead-world.ts
+++ b/tests/lead-check/leadership-world.ts
@@ -2,12 +2,12 @@
 import {ReadPolicy, type Route} from '../../src/routes/routing.js';
 import type {SimulatedProxies} from '../../src/stand-ins/proxies/simulated-proxies.js';
 import type {VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
-import type {LeadHistory} from './lead-history.js';
+import type {LeadershipHistory} from './leadership-history.js';
 
-/** What a schedule plays in. */
+/** The simulated system of a schedule. */
 export type World = {
 	readonly system: SimulatedProxies;
-	readonly history: LeadHistory;
+	readonly history: LeadershipHistory;
 	readonly random: Random;
 	readonly clock: VirtualClock;
 	/** Names of the proxies. */
@@ -16,19 +16,19 @@
 	served: number;
 };
 
-/** The one group of every schedule. */
+/** Name of the only group in every schedule. */
 export const GROUP = 'nights';
 
 /** Names of the proxies. */
 export const PROXIES = ['entry-1', 'entry-2', 'entry-3', 'entry-4'];
 
-/** More of them, before endpoints that have too few connections for each, so that three lend theirs to the others. */
-export const CROWD = [...PROXIES, 'entry-5', 'entry-6'];
+/** More proxies than the endpoints have connections for, so that three of them are pool hosts for the others. */
+export const LARGE_FLEET = [...PROXIES, 'entry-5', 'entry-6'];
 
-/** Connections that an endpoint takes from a crowd. */
-export const CROWD_CONNECTIONS = 6;
+/** Connections that an endpoint accepts from a large fleet. */
+export const LARGE_FLEET_CONNECTIONS = 6;
 
-/** One route for each policy. */
+/** One route for each read policy. */
 export const ROUTES: readonly Route[] = [
 	{name: 'sync', policy: ReadPolicy.Primary, maxReadAgeMs: 0},
 	{name: 'review', policy: ReadPolicy.Bounded, maxReadAgeMs: 1500},
@@ -37,7 +37,7 @@
 	...route, database: route.name, group: GROUP, statementTimeoutMs: 1000, targetLatencyMs: 200, priority: 1,
 }));
 
-/** Chooses one of the items. */
+/** Returns a random item. */
 export function pick<T>({random}: World, items: readonly T[]): T {
 	return items[Math.floor(random.fraction() * items.length)]!;
 }
--- a/tests/lead-check/main.ts
+++ b/tests/lead-check/main.ts
@@ -1,10 +1,11 @@
 /**
- * Plays random schedules by hand: `npm run check:leads -- --first SEED --count N --jobs N`.
+ * Plays random schedules from the command line: `npm run check:leads -- --first SEED --count N --jobs N`.
  *
- * `--trouble-ms MS` sets the time of trouble, `--callers N` how many each proxy has; `--swarms` gives each schedule a few
- * kinds of trouble only; `--crowded` has more proxies than each endpoint has connections for; `--rebirths` has servers start over empty; `--returns` has the store come back from
- * a copy; `--log` prints the proxies' lines behind their virtual time. `--without NAME` takes a guard out
- * first and ends with the first broken schedule; `--without all` does so with each in turn.
+ * `--trouble-ms MS` sets how long faults are injected, `--callers N` the number of callers per proxy. `--swarms` gives each
+ * schedule only a few kinds of faults. `--crowded` runs more proxies than each endpoint has connections for. `--rebirths`
+ * lets servers restart empty. `--returns` restores the store from a backup. `--log` prints the proxies' log lines, each after
+ * its virtual time. `--without NAME` removes a guard first and ends with the first schedule that violates a guarantee;
+ * `--without all` does so for each guard in turn.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {rm} from 'node:fs/promises';
@@ -33,11 +34,11 @@
 	},
 });
 
-/** Schedules that a process plays before another takes its place: its counters and histograms grow with each. */
-const MOST_IN_A_PROCESS = 250;
+/** Number of schedules after which a process is replaced, since its counters and histograms grow with each schedule. */
+const MAX_SCHEDULES_PER_PROCESS = 250;
 
-/** The same where the first broken one ends the whole. */
-const MOST_UNTIL_BROKEN = 20;
+/** The same limit if the first violation ends the search. */
+const MAX_SCHEDULES_PER_PROCESS_UNTIL_BROKEN = 20;
 
 const [first, count, jobs] = [Number(values.first), Number(values.count), Number(values.jobs)];
 
@@ -46,21 +47,21 @@
 	readonly untilBroken: boolean;
 	readonly children: Set<ChildProcess>;
 	readonly totals: PlayTotals;
-	/** Lowest seed that was broken. */
+	/** Seed of the first schedule reported as violating a guarantee. */
 	firstBroken?: number;
 };
 
-/** Plays some schedules in a process of their own; its lines are printed as they come. */
-async function playApart(search: Search, from: number, size: number): Promise<void> {
+/** Plays some schedules in a child process and prints its lines as they arrive. */
+async function playInChildProcess(search: Search, from: number, size: number): Promise<void> {
 	const options: PlayOptions = {
 		first: from,
 		count: size,
-		troubleMs: Number(values['trouble-ms']),
+		faultsMs: Number(values['trouble-ms']),
 		callersPerProxy: Number(values.callers),
 		swarms: values.swarms,
-		crowded: values.crowded,
-		rebirths: values.rebirths,
-		returns: values.returns,
+		largeFleet: values.crowded,
+		emptyRestarts: values.rebirths,
+		restores: values.returns,
 		log: values.log,
 	};
 	const child = spawn(process.execPath, [search.player, JSON.stringify(options)], {stdio: ['ignore', 'pipe', 'inherit']});
@@ -98,8 +99,8 @@
 	const work = async () => {
 		while (next < first + count && search.firstBroken === undefined) {
 			const from = next;
-			next += Math.min(search.untilBroken ? MOST_UNTIL_BROKEN : MOST_IN_A_PROCESS, Math.ceil(count / jobs));
-			await playApart(search, from, Math.min(next, first + count) - from);
+			next += Math.min(search.untilBroken ? MAX_SCHEDULES_PER_PROCESS_UNTIL_BROKEN : MAX_SCHEDULES_PER_PROCESS, Math.ceil(count / jobs));
+			await playInChildProcess(search, from, Math.min(next, first + count) - from);
 			if (!search.untilBroken) {
 				console.log(`so far ${JSON.stringify(search.totals)}`);
 			}
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -1,16 +1,16 @@
-/** A piece of source that holds a guard, and what stands in its place without it. */
+/** A piece of source that implements a guard, and its replacement without the guard. */
 export type SourceChange = {
-	/** Path from the root. */
+	/** Path relative to the project's root. */
 	readonly file: string;
-	/** Stands exactly once in the file. */
+	/** Text that occurs exactly once in the file. */
 	readonly from: string;
 	readonly to: string;
 };
 
-/** One guard taken out of the real sources. */
+/** A guard that can be removed from the real source. */
 export type MissingGuard = {
 	readonly name: string;
-	/** What is no longer done. */
+	/** Description of the removed guard. */
 	readonly without: string;
 	readonly changes: readonly SourceChange[];
 };
@@ -18,16 +18,16 @@
 const inLeadership = (file: string, from: string, to: string): SourceChange => ({file: `src/leadership/${file}`, from, to});
 const inGateway = (file: string, from: string, to: string): SourceChange => ({file: `src/gateway/${file}`, from, to});
 
-/** The guards of leadership and of the gateway, one at a time. */
+/** The guards of leadership, the gateway, the mirror and the stores, each removed on its own. */
 export const MISSING_GUARDS: readonly MissingGuard[] = [
 	{
 		name: 'elapsed-clock',
-		without: 'a clock that counts suspensions',
+		without: 'a clock that includes suspensions',
 		changes: [{file: 'src/stand-ins/proxies/host-clock.ts', from: 'elapsed: () => world.now(),', to: 'elapsed: now,'}],
 	},
 	{
 		name: 'second-judgement',
-		without: 'the judgement of evidence when a commit\'s answer is here',
+		without: 'the check of the primary lease after a commit\'s answer has arrived',
 		changes: [inGateway('acknowledge-commit.ts', 'const until = clock.now() + LEASE_WAIT_MS;', 'const until = clock.now() + LEASE_WAIT_MS; if (until > 0) return true;')],
 	},
 	{
@@ -40,12 +40,12 @@
 	},
 	{
 		name: 'wait-for-marked',
-		without: 'the wait for hosts that are marked as gone',
+		without: 'the wait for hosts that are marked as unresponsive',
 		changes: [inLeadership('lease-revocation.ts', 'const hasUnresponsiveHosts = hosts?.some(host => host.gone) ?? true;', 'const hasUnresponsiveHosts = !hosts;')],
 	},
 	{
 		name: 'from-asking',
-		without: 'evidence counted from the asking: it counts from the answer',
+		without: 'leases counted from the request: they count from the response',
 		changes: [{file: 'src/mirror/store-reader.ts', from: 'onConfirmed(askedAt);', to: 'onConfirmed(elapsedClock.elapsed());'}],
 	},
 	{
@@ -59,22 +59,22 @@
 	},
 	{
 		name: 'duty-end',
-		without: 'the end of the duty before an order',
+		without: 'the check that the failover lease outlasts an order',
 		changes: [inLeadership('failover-lease.ts', 'return held && elapsedClock.elapsed() + ms < held.until ? held.token : undefined;', 'return held && ms > 0 ? held.token : undefined;')],
 	},
 	{
 		name: 'duty-of-another',
-		without: 'the wait for the end of another\'s duty',
+		without: 'the wait for the end of another host\'s failover lease',
 		changes: [inLeadership('failover-lease.ts', 'now - seenSince >= FAILOVER_LEASE_MS + MARGIN_MS;', 'now >= seenSince;')],
 	},
 	{
 		name: 'shown-term',
-		without: 'the term that an order must show',
+		without: 'the minimum term that shows the effect of an order',
 		changes: [inLeadership('promote-best.ts', '(status.term >= minTerm || ', '(minTerm > 0 || ')],
 	},
 	{
 		name: 'later-order',
-		without: 'the care for orders given before: each is judged as the first',
+		without: 'the check for earlier orders: each is treated as the first',
 		changes: [inLeadership('promote-best.ts', '\t\tisFirst = false;\n', '')],
 	},
 	{
@@ -84,37 +84,37 @@
 	},
 	{
 		name: 'own-floor',
-		without: 'a session\'s own floor',
+		without: 'the floor of the session\'s own writes',
 		changes: [inGateway('acquire-link.ts', 'memory.floors.get(route.group) : undefined;', 'undefined : undefined;')],
 	},
 	{
 		name: 'floor-age',
-		without: 'the age of a floor: twice the route\'s',
+		without: 'the exact age of a floor: it is twice the route\'s',
 		changes: [inGateway('acquire-link.ts', 'arrivedAt - route.maxReadAgeMs', 'arrivedAt - (2 * route.maxReadAgeMs)')],
 	},
 	{
 		name: 'no-second-send',
-		without: 'the care not to send a write again',
+		without: 'the rule that a sent write is not sent again',
 		changes: [inGateway('run-write.ts', 'return refuse(AnswerCode.OutcomeUnknown, \'the write was sent and no answer came\');', 'continue;')],
 	},
 	{
 		name: 'true-unknown',
-		without: 'the truth of an unknown outcome: it is told as not run',
+		without: 'the report of an unknown outcome: it is reported as not run',
 		changes: [inGateway('run-write.ts', 'refuse(AnswerCode.OutcomeUnknown, \'the write was sent', 'refuse(AnswerCode.Overloaded, \'the write was sent')],
 	},
 	{
 		name: 'seen-fence',
-		without: 'the look at fences: endpoints that answer suffice',
+		without: 'the check of fences: endpoints that answer suffice',
 		changes: [inLeadership('fence-check.ts', 'bounded.value.fencedTerm <= term && ', '')],
 	},
 	{
 		name: 'kept-fence',
-		without: 'the second look at a candidate\'s fence',
+		without: 'the second check of a candidate\'s fence',
 		changes: [inLeadership('replace-primary.ts', 'byTime ? await keepFenced(parts, others, before) : others', 'others')],
 	},
 	{
 		name: 'registered',
-		without: 'registration as a condition of evidence',
+		without: 'registration as a condition of a primary lease',
 		changes: [
 			inLeadership('primary-leases.ts', 'isUnexpired(group, record.epoch, now) && isRegistered() ?', 'isUnexpired(group, record.epoch, now) ?'),
 			inLeadership('primary-leases.ts', '!isRevoked && isUnexpired(group, epoch, now) && isRegistered()', '!isRevoked && isUnexpired(group, epoch, now)'),
@@ -122,7 +122,7 @@
 	},
 	{
 		name: 'steady',
-		without: 'the phase of a record: one that is changing gives evidence too',
+		without: 'the check of a record\'s phase: one that is changing gives a lease too',
 		changes: [
 			inLeadership('primary-leases.ts', 'if (record.phase === LeadershipPhase.Steady && mirror', 'if (mirror'),
 			inLeadership('primary-leases.ts', 'const usable = record?.phase === LeadershipPhase.Steady && record.epoch', 'const usable = record !== undefined && record.epoch'),
@@ -130,7 +130,7 @@
 	},
 	{
 		name: 'give-up',
-		without: 'the giving up of evidence when asked',
+		without: 'the revocation of a primary lease on request',
 		changes: [
 			inLeadership('leadership-watch.ts', 'primaryLeases.pause(group, epoch);', ''),
 			inLeadership('leadership-watch.ts', 'primaryLeases.revoke(group, epoch);', ''),
@@ -138,7 +138,7 @@
 	},
 	{
 		name: 'own-give-up',
-		without: 'the giving up of its own evidence by the host that replaces',
+		without: 'the revocation of its own primary lease by the host that replaces the primary',
 		changes: [
 			inLeadership('lease-revocation.ts', 'primaryLeases.pause(group, epoch);', ''),
 			inLeadership('lease-revocation.ts', 'primaryLeases.revoke(group, epoch);', ''),
@@ -146,42 +146,42 @@
 	},
 	{
 		name: 'tell-changing',
-		without: 'a change under way told to others',
+		without: 'the report of a change in progress to other hosts',
 		changes: [{file: 'src/mirror/change-feed-server.ts', from: 'changing: options.getChanging(),', to: 'changing: [],'}],
 	},
 	{
 		name: 'all-hosts',
-		without: 'the word of every host: a few suffice where the store does not confirm',
+		without: 'the confirmation by every host: a single one suffices if the store does not confirm',
 		changes: [{file: 'src/mirror/peer-confirmation.ts', from: '&& responses.every(response => response?.revision', to: '&& responses.some(response => response?.revision'}],
 	},
 	{
 		name: 'after-wait',
-		without: 'evidence judged again after the wait for a connection',
+		without: 'the second check of the primary lease after the wait for a connection',
 		changes: [inGateway('acquire-link.ts', 'const stillHolds = !lease ||', 'const stillHolds = lease !== null ||')],
 	},
 	{
 		name: 'cut-open',
-		without: 'the cut of a connection with an open transaction',
+		without: 'the closing of a connection with an open transaction',
 		changes: [inGateway('acquire-link.ts', 'if (acquired.state !== SessionState.Idle) {', 'if (acquired === null) {')],
 	},
 	{
 		name: 'affirmed-evidence',
-		without: 'the generation of a record as a condition of evidence',
+		without: 'the current store generation of a record as a condition of a primary lease',
 		changes: [inLeadership('primary-leases.ts', ' && isInCurrentGeneration(record, mirror.state.revision)) {', ') {')],
 	},
 	{
 		name: 'affirmed-change',
-		without: 'the care for a record of before in a replacement: it is taken as it stands',
+		without: 'the check of a record\'s store generation in a replacement: an older record is used as it is',
 		changes: [inLeadership('replace-primary.ts', 'const before = isInCurrentGeneration(held, revision) ? held :', 'const before = isInCurrentGeneration(held, held.version) ? held :')],
 	},
 	{
 		name: 'later-epoch',
-		without: 'the records of a later epoch than the store shows',
+		without: 'the retained records with a later epoch than the store shows',
 		changes: [{file: 'src/mirror/mirror-state.ts', from: 'return later.length === 0 ? read :', to: 'return later.length >= 0 ? read :'}],
 	},
 	{
 		name: 'vouched-by-evidence',
-		without: 'evidence as a condition of writing a record again',
+		without: 'a held primary lease as a condition of rewriting a record',
 		changes: [
 			inLeadership('rewrite-record.ts', 'if (!holdsLease(record)) {', 'if (!isPending(record)) {'),
 			inLeadership('rewrite-record.ts', 'if (!isPending(record) || !holdsLease(record) || underWay', 'if (!isPending(record) || underWay'),
@@ -189,7 +189,7 @@
 	},
 	{
 		name: 'still-stored',
-		without: 'the question whether a change is still stored, before an order',
+		without: 'the check before an order that the change is still stored',
 		changes: [inLeadership('replace-primary.ts', 'if (!await isStillStored(parts, changing, giveUpAt)) {', 'if (giveUpAt < 0) {')],
 	},
 	{
@@ -199,17 +199,17 @@
 	},
 	{
 		name: 'duty-after-return',
-		without: 'the wait for a duty that a restored store may have lost',
+		without: 'the wait for a failover lease that a restored store may have lost',
 		changes: [inLeadership('failover-lease.ts', 'if (isRecentlyRestored(now)) {', 'if (isRecentlyRestored(now) && now < 0) {')],
 	},
 	{
 		name: 'token-of-generation',
-		without: 'tokens above all of earlier generations',
+		without: 'tokens higher than all those of earlier store generations',
 		changes: [inLeadership('failover-lease.ts', 'getNextInGeneration(generation, record?.token ?? 0)', '(record?.token ?? 0) + 1')],
 	},
 	{
 		name: 'versions-of-before',
-		without: 'the care for conditions on versions of an earlier generation',
+		without: 'the check of conditions on versions of an earlier store generation',
 		changes: [{file: 'src/mirror/guard-generations.ts', from: 'if (version !== 0 && getGeneration(version) < newest) {', to: 'if (version < 0) {'}],
 	},
 ];
--- a/tests/lead-check/play-options.ts
+++ b/tests/lead-check/play-options.ts
@@ -1,25 +1,25 @@
-/** What a process that plays schedules is told, as JSON. */
+/** Options of a process that plays schedules, which it receives as JSON. */
 export type PlayOptions = {
 	readonly first: number;
 	readonly count: number;
-	/** Virtual time of trouble in each schedule, in milliseconds. */
-	readonly troubleMs: number;
+	/** Virtual time during which faults are injected in each schedule, in milliseconds. */
+	readonly faultsMs: number;
 	readonly callersPerProxy: number;
 	readonly swarms: boolean;
-	readonly crowded: boolean;
-	readonly rebirths: boolean;
-	readonly returns: boolean;
-	/** Prints the proxies' lines behind their virtual time. */
+	readonly largeFleet: boolean;
+	readonly emptyRestarts: boolean;
+	readonly restores: boolean;
+	/** Prints the proxies' log lines, each after its virtual time. */
 	readonly log: boolean;
 };
 
-/** What the schedules came to, together. */
+/** Totals of all schedules. */
 export type PlayTotals = Record<'schedules' | 'broken' | 'notServed' | 'acknowledged' | 'reads' | 'refused' | 'unknown' | 'promotions', number>;
 
-/** Line that a process ends with. */
+/** Prefix of the last line that a process prints. */
 export const TOTALS_PREFIX = 'totals ';
 
-/** Nothing played yet. */
+/** Returns totals of zero schedules. */
 export function createTotals(): PlayTotals {
 	return {
 		schedules: 0, broken: 0, notServed: 0, acknowledged: 0, reads: 0, refused: 0, unknown: 0, promotions: 0,
--- a/tests/lead-check/play.ts
+++ b/tests/lead-check/play.ts
@@ -1,19 +1,19 @@
 import process from 'node:process';
 import {createLineLog} from '../../src/log/line-log.js';
 import {createTotals, TOTALS_PREFIX, type PlayOptions} from './play-options.js';
-import {runLeadSchedule} from './run-lead-schedule.js';
+import {runLeadershipSchedule} from './run-leadership-schedule.js';
 
-/** Prints lines behind their virtual time in milliseconds. */
+/** Creates a log that prints each line after its virtual time in milliseconds. */
 const createPrintedLog = (getNow: () => number) => createLineLog((sentence, fields) => {
 	console.log(Math.round(getNow()), sentence, JSON.stringify(fields));
 });
 
-/** Plays the schedules that its argument names; a broken one is printed as it comes, the totals at the end. */
-const {first, count, troubleMs, callersPerProxy, swarms, crowded, rebirths, returns, log} = JSON.parse(process.argv[2]!) as PlayOptions;
+/** Plays the schedules given by the JSON argument. A schedule that violates a guarantee is printed at once, the totals at the end. */
+const {first, count, faultsMs, callersPerProxy, swarms, largeFleet, emptyRestarts, restores, log} = JSON.parse(process.argv[2]!) as PlayOptions;
 const totals = createTotals();
 for (let seed = first; seed < first + count; seed++) {
-	const {violations, servedAfterwards, figures, promotions} = await runLeadSchedule(seed, {
-		lengthMs: troubleMs, callersPerProxy, swarms, crowded, rebirths, returns, ...(log ? {createLog: createPrintedLog} : {}),
+	const {violations, servedAfterwards, figures, promotions} = await runLeadershipSchedule(seed, {
+		lengthMs: faultsMs, callersPerProxy, swarms, largeFleet, emptyRestarts, restores, ...(log ? {createLog: createPrintedLog} : {}),
 	});
 	totals.schedules++;
 	totals.broken += violations.length > 0 ? 1 : 0;
