--- a/tests/crowd-check/main.ts
+++ b/tests/crowd-check/main.ts
@@ -1,8 +1,8 @@
 /**
- * Takes what serves a crowd of proxies before few connections away, one part at a time: `npm run ablate:crowd`.
+ * Measures a large fleet with few connections, without one of its mechanisms at a time: `npm run ablate:crowd`.
  *
- * Thirty proxies, two groups of three endpoints of fourteen connections each, 240 operations a second; once alone and once beside callers that rest in
- * transactions. Time is virtual; each row has the mean of three seeds.
+ * Thirty proxies send 240 operations per second to two groups of three endpoints with fourteen connections each, once alone
+ * and once beside callers that idle in transactions. Time is virtual, and each row is the mean of three seeds.
  */
 import {execFile} from 'node:child_process';
 import {rm} from 'node:fs/promises';
@@ -13,19 +13,19 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Callers that rest at once: none, and as many as take most connections of both primaries. */
-const RESTING = [0, 20];
+/** Number of callers that idle in transactions: none, and as many as occupy most connections of both primaries. */
+const IDLE_CALLERS = [0, 20];
 
-/** The parts, each with what stands in its place. */
-const PARTS: readonly MissingGuard[] = [
+/** The mechanisms, each with the change that removes it. */
+const MECHANISMS: readonly MissingGuard[] = [
 	{
 		name: 'lending',
-		without: 'lent connections: each host opens its own',
+		without: 'connection sharing: each host opens its own connections',
 		changes: [{file: 'src/connection-sharing/pool-hosts.ts', from: 'const isEnoughForAll = ', to: 'const isEnoughForAll = true || '}],
 	},
 	{
 		name: 'reserve',
-		without: 'a connection left to single statements',
+		without: 'a connection reserved for single statements',
 		changes: [{file: 'src/links/create-endpoint-pool.ts', from: 'return single || left > 0', to: 'return true || left > 0'}],
 	},
 	{
@@ -35,21 +35,21 @@
 	},
 	{
 		name: 'positions',
-		without: 'positions from hosts that see more of the primary',
+		without: 'log positions from hosts that see more of the primary',
 		changes: [{file: 'src/connection-sharing/sample-fetcher.ts', from: 'if (!poolHosts.isShared(', to: 'if (clock.now() > 0 || !poolHosts.isShared('}],
 	},
 ];
 
-type Row = Record<'asked' | 'inAim' | 'late' | 'refused' | 'longestMs' | 'credit', number>;
+type Row = Record<'asked' | 'inTarget' | 'late' | 'refused' | 'longestMs' | 'credit', number>;
 
 const run = promisify(execFile);
 
-async function measure(part: MissingGuard | undefined, resting: number): Promise<Row> {
+async function measure(part: MissingGuard | undefined, idleCallers: number): Promise<Row> {
 	const player = await bundlePlayer(part, 'tests/crowd-check/play.ts');
 	try {
 		const rows: Row[] = [];
 		for (const seed of SEEDS) {
-			const {stdout} = await run(process.execPath, [player, String(seed), String(resting)]);
+			const {stdout} = await run(process.execPath, [player, String(seed), String(idleCallers)]);
 			rows.push(JSON.parse(stdout) as Row);
 		}
 
@@ -60,9 +60,9 @@
 	}
 }
 
-for (const resting of RESTING) {
-	for (const part of [undefined, ...PARTS]) {
-		const row = await measure(part, resting);
-		console.log(`${resting} resting, ${part ? `without ${part.without}` : 'all parts'}: ${JSON.stringify(row)}`);
+for (const idleCallers of IDLE_CALLERS) {
+	for (const part of [undefined, ...MECHANISMS]) {
+		const row = await measure(part, idleCallers);
+		console.log(`${idleCallers} idle callers, ${part ? `without ${part.without}` : 'all parts'}: ${JSON.stringify(row)}`);
 	}
 }
--- a/tests/crowd-check/play.ts
+++ b/tests/crowd-check/play.ts
@@ -6,25 +6,25 @@
 import {createSimulatedProxies} from '../../src/stand-ins/proxies/simulated-proxies.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** Plays some seconds of a crowd of proxies before few connections and prints what its callers got; its arguments are a seed and the number of callers that rest. */
+/** Plays some seconds of a large fleet with few connections and prints the results of its callers. The arguments are a seed and the number of callers that idle in transactions. */
 
 const PROXIES = 30;
 const GROUPS = ['nights', 'days'];
 
-/** Of each endpoint, from all proxies together. */
+/** Connections of each endpoint, for all proxies together. */
 const CONNECTIONS = 14;
 const SLOTS = 3;
 const SERVICE_MS = 14;
 
-/** Operations of a proxy a second. */
+/** Operations per second of each proxy. */
 const RATE_PER_S = 8;
 const PLAY_MS = 10_000;
 
-/** Callers rest in transactions from here on, in milliseconds, each for this long. */
-const RESTS_FROM_MS = 3000;
-const REST_MS = 3000;
+/** When callers begin to idle in transactions, and for how long each does, in milliseconds. */
+const IDLE_FROM_MS = 3000;
+const IDLE_MS = 3000;
 
-/** Parts of the load: reads of some age, reads of one's own writes, writes and reads of the primary; an eighth of all are transactions. */
+/** The load by read policy: reads of the primary, bounded reads and reads of a session's own writes, with shares of writes. An eighth of all operations are transactions. */
 const POLICIES = [
 	{
 		policy: ReadPolicy.Primary, maxReadAgeMs: 0, share: 0.15, writes: 0.35, targetLatencyMs: 120,
@@ -41,7 +41,7 @@
 const PAUSE_MS = 40;
 const TIMEOUT_MS = 800;
 
-const [seed = 1, resting = 0] = process.argv.slice(2).map(Number);
+const [seed = 1, idleCallers = 0] = process.argv.slice(2).map(Number);
 const clock = createVirtualClock();
 const random = createSeededRandom(seed);
 const routes = GROUPS.flatMap(group => POLICIES.map(({policy, maxReadAgeMs, targetLatencyMs}): Route => ({
@@ -56,7 +56,7 @@
 	routes,
 });
 const totals = {
-	asked: 0, inAim: 0, late: 0, refused: 0, longestMs: 0,
+	asked: 0, inTarget: 0, late: 0, refused: 0, longestMs: 0,
 };
 let lastId = 0;
 
@@ -69,7 +69,7 @@
 	return caller;
 }
 
-/** Time that an operation took less its pauses, in milliseconds; undefined where it was refused. */
+/** Returns the time that an operation took without its pauses, in milliseconds. Resolves to undefined if it was refused. */
 async function operate(caller: ScriptedCaller, writes: number): Promise<number | undefined> {
 	const isTransaction = random.fraction() < TRANSACTION_SHARE;
 	const isWrite = random.fraction() < writes;
@@ -106,7 +106,7 @@
 	if (tookMs === undefined) {
 		totals.refused++;
 	} else if (tookMs <= kind.targetLatencyMs) {
-		totals.inAim++;
+		totals.inTarget++;
 	} else {
 		totals.late++;
 	}
@@ -123,12 +123,12 @@
 	}
 }
 
-/** Begins a transaction, writes, and leaves it open. */
-async function rest(index: number) {
+/** Begins a transaction, writes, and leaves it open for a while. */
+async function idleInTransaction(index: number) {
 	const caller = await open(index % PROXIES, `${GROUPS[index % GROUPS.length]!}-${ReadPolicy.Primary}`);
 	await ask(caller, 'BEGIN');
 	await ask(caller, `WRITE rest-${index} x`);
-	await clock.sleep(REST_MS);
+	await clock.sleep(IDLE_MS);
 	caller.leave();
 }
 
@@ -142,11 +142,11 @@
 	void runLoad(i, until); // eslint-disable-line unicorn/prefer-top-level-await
 }
 
-await clock.advance(RESTS_FROM_MS);
-for (let i = 0; i < resting; i++) {
-	void rest(i); // eslint-disable-line unicorn/prefer-top-level-await
+await clock.advance(IDLE_FROM_MS);
+for (let i = 0; i < idleCallers; i++) {
+	void idleInTransaction(i); // eslint-disable-line unicorn/prefer-top-level-await
 }
 
-await clock.advance(PLAY_MS - RESTS_FROM_MS + 2000);
-console.log(JSON.stringify({...totals, credit: Number(((totals.inAim + (0.3 * totals.late)) / totals.asked).toFixed(4))}));
+await clock.advance(PLAY_MS - IDLE_FROM_MS + 2000);
+console.log(JSON.stringify({...totals, credit: Number(((totals.inTarget + (0.3 * totals.late)) / totals.asked).toFixed(4))}));
 process.exit(0); // eslint-disable-line unicorn/no-process-exit
--- a/tests/random-check/check-schedules.ts
+++ b/tests/random-check/check-schedules.ts
@@ -4,36 +4,36 @@
 import {runSchedule} from './run-schedule.js';
 import {scheduleArbitrary, type Schedule, type Step} from './schedule.js';
 
-/** What is checked. */
+/** Options of {@link checkSchedules}. */
 export type CheckOptions = {
-	/** Schedules to run, at most. */
+	/** Maximum number of schedules to run. */
 	readonly runs: number;
 	readonly seed: number;
 	readonly guardBreak?: GuardBreak;
-	/** Looks for a shorter schedule after a violation. */
+	/** Whether to search for a shorter schedule after a violation. */
 	readonly shrinks?: boolean;
 };
 
-/** What a check did and found. */
+/** Result of a check. */
 export type CheckReport = {
-	/** Schedules run up to the first violation, or all. */
+	/** Number of schedules run up to the first violation, or of all. */
 	readonly schedules: number;
 	readonly steps: number;
-	/** Moments at which some task, packet or timer went on. */
+	/** Number of times at which a task, packet or timer continued. */
 	readonly wakes: number;
 	readonly figures: Figures;
 	readonly counterexample?: Counterexample;
 };
 
-/** A schedule that violates an assert. */
+/** A schedule that violates a guarantee. */
 export type Counterexample = {
 	readonly schedule: Schedule;
 	readonly violations: readonly string[];
-	/** Steps of the schedule as it was found. */
+	/** Number of steps of the schedule before it was shortened. */
 	readonly foundSteps: number;
 };
 
-/** Runs random schedules until one violates an assert. */
+/** Runs random schedules until one violates a guarantee. */
 export async function checkSchedules({runs, seed, guardBreak, shrinks = false}: CheckOptions): Promise<CheckReport> {
 	const totals = {schedules: 0, steps: 0, wakes: 0};
 	const figures: Figures = {
@@ -60,7 +60,7 @@
 		return true;
 	});
 
-	// Each refusal and each abort makes an error; nobody reads their stacks here, and they cost a third of the time.
+	// Each refusal and each abort creates an error. Its stack is not used here, and collecting it takes a third of the time.
 	const {stackTraceLimit} = Error;
 	Error.stackTraceLimit = 0;
 	try {
@@ -78,7 +78,7 @@
 	}
 }
 
-/** Leaves out every step without which the schedule still violates an assert, or puts a mere wait in its place. */
+/** Removes every step without which the schedule still violates a guarantee, or replaces it by a wait. */
 async function dropSteps(schedule: Schedule, guardBreak: GuardBreak | undefined): Promise<Schedule> {
 	let shortest = schedule;
 	for (let index = schedule.steps.length - 1; index >= 0; index--) {
--- a/tests/random-check/checked-proxy.ts
+++ b/tests/random-check/checked-proxy.ts
@@ -23,22 +23,22 @@
 import type {PausableClock} from '../failover/pausable-clock.js';
 import type {GuardBreak} from './guard-breaks.js';
 
-/** One proxy's way of requests and its promotions, without sockets, platform and tasks of its own. */
+/** The request path and the promotions of one proxy, without sockets, the platform and background tasks. */
 export type CheckedProxy = {
 	readonly host: PlatformHost;
 	readonly clock: PausableClock;
 	readonly owners: OwnersService;
 	readonly owner: GroupOwner;
 	readonly entry: Pick<Entry, 'execute' | 'resolveOutcome'>;
-	/** Asks every server for its status. */
-	look(): Promise<void>;
-	/** Raises a primary at the term after the highest seen; resolves with whether that came about. */
-	raise(): Promise<boolean>;
-	/** Looks, and sends servers that follow nobody to follow the primary. */
-	tend(): Promise<void>;
+	/** Requests the status of every server. */
+	checkStatuses(): Promise<void>;
+	/** Promotes a primary at the term after the highest one seen. Resolves to whether it succeeded. */
+	promote(): Promise<boolean>;
+	/** Requests all statuses, and orders servers that follow no primary to follow the current one. */
+	repair(): Promise<void>;
 };
 
-/** What a proxy is made from. */
+/** Options of {@link createCheckedProxy}. */
 export type CheckedProxyOptions = {
 	readonly group: string;
 	readonly host: PlatformHost;
@@ -53,9 +53,9 @@
 };
 
 const SIGNING_KEY = 'a signing key for the random check';
-const LOOK_MS = 300;
+const STATUS_TIMEOUT_MS = 300;
 
-/** Creates a proxy that knows nothing yet. */
+/** Creates a proxy that has no status of any server yet. */
 export function createCheckedProxy(options: CheckedProxyOptions): CheckedProxy {
 	const {
 		group, host, clock, random, configuration, hosts, owning, peers, guardBreak,
@@ -87,9 +87,9 @@
 	const retries = createRetries();
 	const ownerClient = createOwnerClient({...common, owners, transactions: noTransactions});
 	const tries = createRequestTries({...common, ownerClient, retries});
-	const asker = createRequestReceiver({...common, sessions});
+	const receiver = createRequestReceiver({...common, sessions});
 	const entry = createEntry({
-		receiver: guardBreak?.breakAsker?.(asker) ?? asker,
+		receiver: guardBreak?.breakReceiver?.(receiver) ?? receiver,
 		answers: createEntryAnswers({
 			...common, sessions, explanations: {record: () => '', openTicket: () => undefined, find: async () => []},
 		}),
@@ -104,8 +104,8 @@
 		clock, control, knowledge, settings, log, getCfg,
 	});
 
-	const look = async () => {
-		await Promise.allSettled(getCfg().endpoints.map(async ({name}) => control.status(name, LOOK_MS)));
+	const checkStatuses = async () => {
+		await Promise.allSettled(getCfg().endpoints.map(async ({name}) => control.status(name, STATUS_TIMEOUT_MS)));
 	};
 
 	return {
@@ -114,9 +114,9 @@
 		owners,
 		owner,
 		entry,
-		look,
-		async raise() {
-			const raised = await raisePrimary({
+		checkStatuses,
+		async promote() {
+			const promoted = await raisePrimary({
 				clock,
 				control: guardBreak?.breakControl?.(control) ?? control,
 				cfg: getCfg(),
@@ -124,16 +124,16 @@
 				term: knowledge.highestTerm + 1,
 				isHostLeaving: () => false,
 			}).catch(() => undefined);
-			return raised !== undefined;
+			return promoted !== undefined;
 		},
-		async tend() {
-			await look();
+		async repair() {
+			await checkStatuses();
 			await repair.run(0);
 		},
 	};
 }
 
-/** Lets everything in: what queues do is checked elsewhere. */
+/** Creates an admission that accepts every request, since queues are tested elsewhere. */
 function createOpenAdmission(): Admission {
 	return {
 		acquire: async () => ({admitted: true, queuedMs: 0, release() {}}), // eslint-disable-line @typescript-eslint/no-empty-function
--- a/tests/random-check/guard-breaks.ts
+++ b/tests/random-check/guard-breaks.ts
@@ -8,35 +8,35 @@
 import type {RequestTries} from '../../src/routing/request-tries.js';
 import {holdsLogPosition, LOG_START, type LogPosition} from '../../src/terms/log-position.js';
 import type {Clock} from '../../src/time/clock.js';
-import {wrapConnections} from './broken-connections.js';
+import {wrapConnections} from './wrap-connections.js';
 import {createReusedConnection} from './reused-connection.js';
 
-/** What a broken part is made from. */
-export type BreakTools = {
+/** The parts that a replacement without a guard is created from. */
+export type BreakOptions = {
 	readonly clock: Clock;
-	/** The way to the servers, unbroken. */
+	/** The original endpoints. */
 	readonly endpoints: Endpoints;
 };
 
-/** Takes one guard out of a proxy by putting something else in the place of an injected part. */
+/** Removes one guard from a proxy by replacing an injected part. */
 export type GuardBreak = {
 	readonly name: string;
-	/** What is no longer done. */
+	/** Description of the removed guard. */
 	readonly without: string;
 	breakEndpoints?(endpoints: Endpoints, clock: Clock): Endpoints;
-	breakParts?(parts: GroupParts, tools: BreakTools): Partial<GroupParts>;
-	breakAsker?(asker: RequestReceiver): RequestReceiver;
+	breakParts?(parts: GroupParts, tools: BreakOptions): Partial<GroupParts>;
+	breakReceiver?(receiver: RequestReceiver): RequestReceiver;
 	breakTries?(tries: RequestTries): RequestTries;
 	breakControl?(control: GroupControl): GroupControl;
 };
 
-/** What is counted in place of a status; `asked` is the entry that was waited for, where there was one. */
-type Rewrite = (status: EndpointStatus, asked?: LogPosition) => EndpointStatus;
+/** Returns the status that is counted instead of the given one. `asked` is the awaited log entry, if any. */
+type StatusRewrite = (status: EndpointStatus, asked?: LogPosition) => EndpointStatus;
 
 const getNames = (parts: GroupParts) => parts.getGroup().cfg.endpoints.map(({name}) => name);
 
-/** Channels of a proxy's own, whose statuses are rewritten before anybody counts them. */
-const createChannels = (parts: GroupParts, {clock, endpoints}: BreakTools, rewrite: Rewrite = status => status) => {
+/** Creates separate control channels, whose statuses are rewritten before they are counted. */
+const createChannels = (parts: GroupParts, {clock, endpoints}: BreakOptions, rewrite: StatusRewrite = status => status) => {
 	const wrapped = wrapConnections(endpoints, connection => ({
 		...connection,
 		status: async timeoutMs => rewrite(await connection.status(timeoutMs)),
@@ -48,82 +48,82 @@
 
 const ignore = () => undefined;
 
-/** A confirmer that counts statuses as rewritten, the primary's own as well. */
-const createMisledConfirmer = (parts: GroupParts, tools: BreakTools, rewrite: Rewrite): Confirmer => {
+/** Creates a confirmer that counts rewritten statuses, including that of the primary. */
+const createRewritingConfirmer = (parts: GroupParts, tools: BreakOptions, rewrite: StatusRewrite): Confirmer => {
 	const confirmer = createConfirmer({
 		clock: tools.clock, getEndpoints: () => getNames(parts), getChannel: createChannels(parts, tools, rewrite), onStatus: ignore, onFailure: ignore,
 	});
 	return {...confirmer, confirm: async req => confirmer.confirm({...req, status: rewrite(req.status)})};
 };
 
-/** Confirms at once what the write path asks about where `isBelieved`, by the result that came with the status. */
-const createBelieving = (results: ReadonlySet<KeyedWriteResult>): Pick<GuardBreak, 'breakEndpoints' | 'breakParts'> => {
-	const resultOf = new WeakMap<EndpointStatus, KeyedWriteResult>();
+/** Confirms a write at once, without a majority, if the result that came with its status is one of `results`. */
+const createSkippedConfirmation = (results: ReadonlySet<KeyedWriteResult>): Pick<GuardBreak, 'breakEndpoints' | 'breakParts'> => {
+	const resultsByStatus = new WeakMap<EndpointStatus, KeyedWriteResult>();
 	return {
 		breakEndpoints: endpoints => wrapConnections(endpoints, connection => ({
 			...connection,
 			async write(write, timeoutMs) {
 				const answer = await connection.write(write, timeoutMs);
-				resultOf.set(answer.status, answer.result);
+				resultsByStatus.set(answer.status, answer.result);
 				return answer;
 			},
 			async resolve(requestId, term, timeoutMs) {
 				const answer = await connection.resolve(requestId, term, timeoutMs);
-				resultOf.set(answer.status, answer.result);
+				resultsByStatus.set(answer.status, answer.result);
 				return answer;
 			},
 		})),
 		breakParts: ({confirmer}) => ({
 			confirmer: {
 				...confirmer,
-				confirm: async req => results.has(resultOf.get(req.status)!) ? Confirmation.Confirmed : confirmer.confirm(req),
+				confirm: async req => results.has(resultsByStatus.get(req.status)!) ? Confirmation.Confirmed : confirmer.confirm(req),
 			},
 		}),
 	};
 };
 
-/** The guards that can be taken out, one at a time. */
+/** The guards that can be removed, each on its own. */
 export const GUARD_BREAKS: readonly GuardBreak[] = [
 	{
 		name: 'confirm-one',
-		without: 'a majority to confirm: the primary\'s own word suffices',
+		without: 'a majority to confirm: the primary alone suffices',
 		breakParts: ({confirmer}) => ({confirmer: {...confirmer, confirm: async () => Confirmation.Confirmed}}),
 	},
 	{
 		name: 'confirm-log-term',
 		without: 'the term of the last entry in what confirms: the promise and the position suffice',
 		breakParts: (parts, tools) => ({
-			confirmer: createMisledConfirmer(parts, tools, status => ({...status, log: {...status.log, term: status.term}})),
+			confirmer: createRewritingConfirmer(parts, tools, status => ({...status, log: {...status.log, term: status.term}})),
 		}),
 	},
 	{
 		name: 'confirm-promise',
 		without: 'the promised term in what confirms: the last entry\'s term and the position suffice',
 		breakParts: (parts, tools) => ({
-			confirmer: createMisledConfirmer(parts, tools, status => ({...status, term: status.log.term})),
+			confirmer: createRewritingConfirmer(parts, tools, status => ({...status, term: status.log.term})),
 		}),
 	},
 	{
 		name: 'confirm-later-log',
 		without: 'both terms in what confirms: any log that is as late as the entry suffices',
 		breakParts: (parts, tools) => ({
-			confirmer: createMisledConfirmer(parts, tools, (status, asked) =>
+			confirmer: createRewritingConfirmer(parts, tools, (status, asked) =>
 				asked && holdsLogPosition(status.log, asked) ? {...status, term: asked.term, log: asked} : status),
 		}),
 	},
 	{
 		name: 'found-unconfirmed',
 		without: 'the confirmation of a key that was found',
-		...createBelieving(new Set([KeyedWriteResult.Found])),
+		...createSkippedConfirmation(new Set([KeyedWriteResult.Found])),
 	},
 	{
 		name: 'tombstone-unconfirmed',
 		without: 'the confirmation of a tombstone',
-		...createBelieving(new Set([KeyedWriteResult.Tombstone])),
+		...createSkippedConfirmation(new Set([KeyedWriteResult.Tombstone])),
 	},
 	{
 		name: 'no-tombstone',
-		without: 'the tombstone: an unsure write is told as not run',
+		without: 'the tombstone: a write with an unknown outcome is reported as not run',
 		breakTries: tries => ({
 			...tries,
 			resolveUnknown: async (asked, group, end) => ({
@@ -133,11 +133,11 @@
 	},
 	{
 		name: 'repeat-as-first',
-		without: 'the care for a repeat: its refusal is told as not run, whatever became of the first submission',
-		breakAsker: asker => ({
-			...asker,
+		without: 'the handling of a repeat: its refusal is reported as not run, whatever the outcome of the first submission',
+		breakReceiver: receiver => ({
+			...receiver,
 			receive(group, header, parts) {
-				const asking = asker.receive(group, header, parts);
+				const asking = receiver.receive(group, header, parts);
 				return {...asking, asked: {...asking.asked, mayBeRepeat: false}};
 			},
 		}),
@@ -168,11 +168,11 @@
 	{
 		name: 'token-as-new',
 		without: 'the barrier of a caller without a token',
-		breakAsker: asker => ({...asker, receive: (group, header, parts) => asker.receive(group, header ?? 'new', parts)}),
+		breakReceiver: receiver => ({...receiver, receive: (group, header, parts) => receiver.receive(group, header ?? 'new', parts)}),
 	},
 	{
 		name: 'read-unchecked',
-		without: 'the server\'s check of the floor: the owner\'s belief suffices',
+		without: 'the server\'s check of the floor: the owner\'s knowledge suffices',
 		breakEndpoints: endpoints => wrapConnections(endpoints, connection => ({
 			...connection, read: async (read, timeoutMs) => connection.read({...read, floor: LOG_START}, timeoutMs),
 		})),
@@ -190,7 +190,7 @@
 	},
 	{
 		name: 'connection-reuse',
-		without: 'the end of a connection whose exchange brought no answer in time',
+		without: 'the closing of a connection whose exchange timed out',
 		breakEndpoints: (endpoints, clock) => wrapConnections(endpoints, (connection, address) => createReusedConnection(connection, address, clock)),
 	},
 	{
--- a/tests/random-check/history.ts
+++ b/tests/random-check/history.ts
@@ -2,38 +2,38 @@
 import {RefusalCode} from '../../src/refusals/refusal.js';
 import type {DatabaseLog} from '../../src/stand-ins/database/database-log.js';
 
-/** The table that every write adds its key to. */
+/** The table to which every write adds its key. */
 export const TABLE = 'nights';
 
-/** One request id as its callers know it. */
+/** A request id, with what its callers were told about it. */
 export type Key = {
 	readonly id: string;
-	/** The value that its run adds to the table. */
+	/** The value that the request adds to the table. */
 	readonly night: number;
-	/** Submissions without an answer or with one that leaves the outcome open. */
+	/** Number of submissions without an answer or with an unknown outcome. */
 	open: number;
 	/** Term of the first acknowledgement. */
 	ackedTerm?: number;
-	/** A caller was told that a confirmed tombstone stands; the highest term promised by any server then. */
-	settledTerm?: number;
+	/** Set once a caller was told that a confirmed tombstone exists: the highest term that any server had promised then. */
+	notRunTerm?: number;
 };
 
-/** What callers were told, held against the logs. */
+/** What callers were told, and the violations found by comparing it with the logs. */
 export type History = {
 	readonly keys: readonly Key[];
 	readonly violations: readonly string[];
 	readonly figures: Figures;
 	addKey(id: string): Key;
-	/** Notes the answer to a submission or to a question for its outcome; `highestTerm` is what any server has promised. */
-	noteAnswer(key: Key, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer, highestTerm: number): void;
-	/** Notes a read's rows with what they must hold. */
-	noteRead(rows: ReadonlySet<unknown>, mustHold: Iterable<Key>, what: string): void;
-	notePromotion(term: number, log: DatabaseLog): void;
-	/** Judges the log that survived everything. */
-	judgeSurvivor(log: DatabaseLog): void;
+	/** Records the answer to a submission or to an outcome request. `highestTerm` is the highest term that any server has promised. */
+	recordAnswer(key: Key, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer, highestTerm: number): void;
+	/** Records a read's rows and checks that they contain the given keys. */
+	recordRead(rows: ReadonlySet<unknown>, mustHold: Iterable<Key>, what: string): void;
+	recordPromotion(term: number, log: DatabaseLog): void;
+	/** Checks the log that is left after all faults. */
+	checkSurvivingLog(log: DatabaseLog): void;
 };
 
-/** What a run did. */
+/** Counts of a run. */
 export type Figures = {
 	acknowledged: number;
 	notRun: number;
@@ -53,19 +53,19 @@
 		acknowledged: 0, notRun: 0, unknown: 0, promotions: 0, reads: 0,
 	};
 
-	const judgeAcked = (key: Key, runs: Runs, where: string) => {
+	const checkAcknowledged = (key: Key, runs: Runs, where: string) => {
 		if ((runs.get(key.night) ?? 0) === 0) {
 			violations.push(`acknowledged write lost: ${key.night} of term ${key.ackedTerm!} is missing ${where}`);
 		}
 	};
 
-	const judgeSettled = (key: Key, runs: Runs, where: string) => {
+	const checkNotRun = (key: Key, runs: Runs, where: string) => {
 		if ((runs.get(key.night) ?? 0) > 0) {
 			violations.push(`not-run contradicted: ${key.night} ran ${where}`);
 		}
 	};
 
-	const judgeTwice = (runs: Runs, where: string) => {
+	const checkDuplicates = (runs: Runs, where: string) => {
 		for (const [night, count] of runs) {
 			if (count > 1) {
 				violations.push(`ran twice: ${String(night)} ran ${count} times ${where}`);
@@ -73,22 +73,22 @@
 		}
 	};
 
-	const noteDone = (key: Key, term: number) => {
+	const recordDone = (key: Key, term: number) => {
 		figures.acknowledged++;
 		key.ackedTerm = Math.min(key.ackedTerm ?? term, term);
 		for (const promotion of promotions) {
 			if (promotion.term > term) {
-				judgeAcked({...key, ackedTerm: term}, promotion.runs, `in the promotion of term ${promotion.term}, before the acknowledgement`);
+				checkAcknowledged({...key, ackedTerm: term}, promotion.runs, `in the promotion of term ${promotion.term}, before the acknowledgement`);
 			}
 		}
 	};
 
-	const noteSettled = (key: Key, highestTerm: number) => {
-		key.settledTerm = Math.min(key.settledTerm ?? highestTerm, highestTerm);
+	const recordNotRun = (key: Key, highestTerm: number) => {
+		key.notRunTerm = Math.min(key.notRunTerm ?? highestTerm, highestTerm);
 	};
 
-	const judgeContradiction = (key: Key) => {
-		if (key.ackedTerm !== undefined && key.settledTerm !== undefined) {
+	const checkContradiction = (key: Key) => {
+		if (key.ackedTerm !== undefined && key.notRunTerm !== undefined) {
 			violations.push(`not-run contradicted: ${key.night} was acknowledged as well`);
 		}
 	};
@@ -102,25 +102,25 @@
 			keys.push(key);
 			return key;
 		},
-		noteAnswer(key, asked, answer, highestTerm) {
+		recordAnswer(key, asked, answer, highestTerm) {
 			const code = answer.refusal?.code;
 			if (answer.outcome === Outcome.Done) {
-				noteDone(key, answer.term!);
+				recordDone(key, answer.term!);
 			} else if (answer.outcome === Outcome.NotRun) {
 				figures.notRun++;
 				if (code === RefusalCode.Resolved || asked !== 'write') {
-					noteSettled(key, highestTerm);
+					recordNotRun(key, highestTerm);
 				} else {
-					// This submission cannot run any more; a later one of the same id may.
+					// This submission can no longer run, but a later one with the same id can.
 					key.open--;
 				}
 			} else {
 				figures.unknown++;
 			}
 
-			judgeContradiction(key);
+			checkContradiction(key);
 		},
-		noteRead(rows, mustHold, what) {
+		recordRead(rows, mustHold, what) {
 			figures.reads++;
 			for (const key of mustHold) {
 				if (!rows.has(key.night)) {
@@ -128,38 +128,38 @@
 				}
 			}
 		},
-		notePromotion(term, log) {
+		recordPromotion(term, log) {
 			figures.promotions++;
 			const runs = countRuns(log);
 			promotions.push({term, runs});
-			judgeTwice(runs, `at the promotion of term ${term}`);
+			checkDuplicates(runs, `at the promotion of term ${term}`);
 			for (const key of keys) {
 				if (key.ackedTerm !== undefined && term > key.ackedTerm) {
-					judgeAcked(key, runs, `at the promotion of term ${term}`);
+					checkAcknowledged(key, runs, `at the promotion of term ${term}`);
 				}
 
-				if (key.settledTerm !== undefined && term > key.settledTerm) {
-					judgeSettled(key, runs, `at the promotion of term ${term}`);
+				if (key.notRunTerm !== undefined && term > key.notRunTerm) {
+					checkNotRun(key, runs, `at the promotion of term ${term}`);
 				}
 			}
 		},
-		judgeSurvivor(log) {
+		checkSurvivingLog(log) {
 			const runs = countRuns(log);
-			judgeTwice(runs, 'in the surviving log');
+			checkDuplicates(runs, 'in the surviving log');
 			for (const key of keys) {
 				if (key.ackedTerm !== undefined) {
-					judgeAcked(key, runs, 'in the surviving log');
+					checkAcknowledged(key, runs, 'in the surviving log');
 				}
 
-				if (key.settledTerm !== undefined || key.open === 0) {
-					judgeSettled(key, runs, 'in the surviving log');
+				if (key.notRunTerm !== undefined || key.open === 0) {
+					checkNotRun(key, runs, 'in the surviving log');
 				}
 			}
 		},
 	};
 }
 
-/** How often each night was added. */
+/** Counts how often each night was added. */
 function countRuns(log: DatabaseLog): Runs {
 	const runs = new Map<unknown, number>();
 	for (let position = 1; position <= log.end.position; position++) {
--- a/tests/random-check/main.ts
+++ b/tests/random-check/main.ts
@@ -1,8 +1,8 @@
 /**
- * The larger random check: `npm run check:random -- --runs N --seed S`.
+ * Runs many random schedules: `npm run check:random -- --runs N --seed S`.
  *
- * `--guard NAME` takes a guard out first, to see that it is missed; `--guard all` does so with each in turn.
- * `--replay JSON` runs one schedule as it was printed.
+ * `--guard NAME` removes a guard first, to show that the check detects its absence; `--guard all` does so for each in turn.
+ * `--replay JSON` runs one schedule in the printed format.
  */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
--- a/tests/random-check/random-check-tests.ts
+++ b/tests/random-check/random-check-tests.ts
@@ -2,16 +2,16 @@
 import {checkSchedules} from './check-schedules.js';
 import {getGuardBreakOrThrow} from './guard-breaks.js';
 
-/** Bound on each test in milliseconds; on a quiet core the slowest takes 4 s. */
+/** Timeout of each test, in milliseconds. On an idle core the slowest takes 4 s. */
 const TIMEOUT_MS = 120_000;
 
 describe('random check of writes, fencing, resolving and barriers', function () {
 	this.timeout(TIMEOUT_MS);
 
-	// Requests at three proxies, promotions by any of them, and faults of servers, links and proxies in any order. What
-	// callers were told must agree with the logs: no acknowledged write is lost, none runs twice, no "not run" is
-	// contradicted, and every read holds what its session was acknowledged.
-	it('finds nothing in 200 schedules', async () => {
+	// Three proxies receive requests, any of them promotes primaries, and servers, links and proxies fail in any order. The
+	// answers to callers must agree with the logs: no acknowledged write is lost, none runs twice, no "not run" is
+	// contradicted, and every read contains the acknowledged writes of its session.
+	it('finds no violation in 200 schedules', async () => {
 		const {counterexample, schedules, figures} = await checkSchedules({runs: 200, seed: 20_260_105});
 		expect(counterexample).to.equal(undefined);
 		expect(schedules).to.equal(200);
@@ -19,9 +19,9 @@
 		expect(figures.promotions).to.be.above(200);
 	});
 
-	// The check itself: with a guard taken out it must see what the guard prevents.
+	// Tests the check itself: without a guard, it must find the violation that the guard prevents.
 	const doTest = (guard: string, violation: RegExp) => {
-		it(`sees that ${guard} is missing`, async () => {
+		it(`detects that ${guard} is missing`, async () => {
 			const {counterexample} = await checkSchedules({runs: 150, seed: 1, guardBreak: getGuardBreakOrThrow(guard)});
 			expect(counterexample?.violations.join('\n')).to.match(violation);
 		});
--- a/tests/random-check/reused-connection.ts
+++ b/tests/random-check/reused-connection.ts
@@ -3,27 +3,27 @@
 import type {Clock} from '../../src/time/clock.js';
 import {withinMs} from '../../src/time/deadline.js';
 
-/** How long an exchange that nobody waits for any more goes on, in milliseconds. */
-const GOES_ON_MS = 60_000;
+/** Timeout of an exchange whose caller has given up on it, in milliseconds. */
+const ABANDONED_EXCHANGE_TIMEOUT_MS = 60_000;
 
 /**
- * A connection that is lent again although an exchange on it brought no answer in time.
+ * Creates a connection that is used again although an exchange on it timed out.
  *
- * As on a wire, answers come in order: the late one is taken for the answer to the next question of its kind.
+ * Answers arrive in order, as on a real connection, so a late one is taken for the answer to the next request of its kind.
  */
 export function createReusedConnection(connection: EndpointConnection, address: string, clock: Clock): EndpointConnection {
-	const late = new Map<string, Promise<unknown>>();
+	const lateAnswers = new Map<string, Promise<unknown>>();
 
 	const run = async <T>(kind: string, timeoutMs: number, exchange: () => Promise<T>): Promise<T> => {
-		const owed = late.get(kind) as Promise<T> | undefined;
-		const answer = owed ?? exchange();
+		const lateAnswer = lateAnswers.get(kind) as Promise<T> | undefined;
+		const answer = lateAnswer ?? exchange();
 		const bounded = await withinMs(clock, timeoutMs, answer);
 		if (bounded.timedOut) {
-			late.set(kind, answer);
+			lateAnswers.set(kind, answer);
 			return throwNoAnswer(address, kind);
 		}
 
-		late.delete(kind);
+		lateAnswers.delete(kind);
 		return bounded.value;
 	};
 
@@ -32,11 +32,11 @@
 		get usable() {
 			return connection.usable;
 		},
-		write: async (write, timeoutMs) => run('write', timeoutMs, async () => connection.write(write, GOES_ON_MS)),
-		resolve: async (requestId, term, timeoutMs) => run('resolve', timeoutMs, async () => connection.resolve(requestId, term, GOES_ON_MS)),
-		read: async (read, timeoutMs) => run('read', timeoutMs, async () => connection.read(read, GOES_ON_MS)),
+		write: async (write, timeoutMs) => run('write', timeoutMs, async () => connection.write(write, ABANDONED_EXCHANGE_TIMEOUT_MS)),
+		resolve: async (requestId, term, timeoutMs) => run('resolve', timeoutMs, async () => connection.resolve(requestId, term, ABANDONED_EXCHANGE_TIMEOUT_MS)),
+		read: async (read, timeoutMs) => run('read', timeoutMs, async () => connection.read(read, ABANDONED_EXCHANGE_TIMEOUT_MS)),
 		destroy() {
-			if (late.size === 0) {
+			if (lateAnswers.size === 0) {
 				connection.destroy();
 			}
 		},
--- a/tests/random-check/run-schedule.ts
+++ b/tests/random-check/run-schedule.ts
@@ -1,42 +1,42 @@
 import {Outcome} from '../../src/callers/caller-answer.js';
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {
-	createActor, getAcked, getNights, READ,
-} from './actor.js';
+	createStepRunner, getAcked, getNights, READ,
+} from './step-runner.js';
 import type {GuardBreak} from './guard-breaks.js';
 import type {Figures} from './history.js';
 import {PROXIES, type Schedule} from './schedule.js';
 import {createWorld, GROUP, type World} from './world.js';
 
-/** How a run ended. */
+/** Result of a run. */
 export type RunEnd = {
 	readonly violations: readonly string[];
 	readonly figures: Figures;
 	readonly wakes: number;
 };
 
-/** Time in which the proxies come to know the group, in milliseconds. */
+/** Time in which the proxies receive the statuses of the group, in milliseconds. */
 const START_MS = 60;
 
-/** Time in which everything that was asked has its answer, in milliseconds. */
-const ANSWERED_MS = 6000;
+/** Time in which every request is answered, in milliseconds. */
+const ALL_ANSWERED_MS = 6000;
 
-/** Time in which replicas catch up once all is healed, in milliseconds. */
+/** Time in which replicas catch up after all faults have ended, in milliseconds. */
 const CATCH_UP_MS = 3000;
 
-/** Time for a look at all servers and a promotion, in milliseconds. */
-const RAISE_MS = 2000;
+/** Time for a status request to all servers and a promotion, in milliseconds. */
+const PROMOTION_MS = 2000;
 
-/** Promotions in a healed group before it is given up. */
-const MOST_RAISES = 5;
+/** Maximum number of promotions in a healed group before the run fails. */
+const MAX_PROMOTIONS = 5;
 
-/** Runs a schedule on a fresh world and judges it. */
+/** Runs a schedule in a new world and checks its guarantees. */
 export async function runSchedule({seed, jitterMs, absent, steps}: Schedule, guardBreak?: GuardBreak): Promise<RunEnd> {
 	const world = createWorld({seed, jitterMs, guardBreak});
 	const {clock, history} = world;
-	const act = createActor(world);
+	const act = createStepRunner(world);
 	for (let proxy = 0; proxy < PROXIES; proxy++) {
-		void world.getProxy(proxy).look();
+		void world.getProxy(proxy).checkStatuses();
 		void world.getProxy(proxy).owner.parts.barrier.take(clock.now() + START_MS);
 	}
 
@@ -50,36 +50,36 @@
 	}
 
 	if (history.violations.length === 0) {
-		await settleWorld(world, absent);
+		await finishRun(world, absent);
 	}
 
 	world.stop();
 	return {violations: history.violations, figures: history.figures, wakes: clock.wakes};
 }
 
-/** Ends all faults, lets all requests end, promotes once more without one server, and judges what is left. */
-async function settleWorld(world: World, absent: number): Promise<void> {
+/** Ends all faults, lets all requests end, promotes once more without one server, and checks the remaining log. */
+async function finishRun(world: World, absent: number): Promise<void> {
 	const {clock, servers, history} = world;
 	heal(world);
-	// Cut off before anything more is replicated: what it alone holds must not have been acknowledged.
+	// The server is cut off before anything more is replicated, since a write that only it holds must not have been acknowledged.
 	servers[absent]?.faults.cut();
-	await clock.advance(ANSWERED_MS);
-	await raiseOnce(world);
+	await clock.advance(ALL_ANSWERED_MS);
+	await promoteOnce(world);
 	heal(world);
 	await clock.advance(100);
-	// The server that was absent may have promised a higher term than the others.
-	for (let tries = 0; tries < MOST_RAISES && !getPrimary(world); tries++) {
-		await raiseOnce(world);
+	// The absent server may have promised a higher term than the others.
+	for (let tries = 0; tries < MAX_PROMOTIONS && !getPrimary(world); tries++) {
+		await promoteOnce(world);
 	}
 
-	void world.getProxy(0).tend();
+	void world.getProxy(0).repair();
 	await clock.advance(CATCH_UP_MS);
 	const survivor = getPrimary(world);
 	if (!survivor) {
 		throw new Error('the healed group has no primary');
 	}
 
-	history.judgeSurvivor(survivor.member.log);
+	history.checkSurvivingLog(survivor.member.log);
 	await readAtEnd(world);
 }
 
@@ -102,14 +102,14 @@
 	}
 }
 
-async function raiseOnce({clock, getProxy}: World): Promise<void> {
+async function promoteOnce({clock, getProxy}: World): Promise<void> {
 	const proxy = getProxy(0);
 	void (async () => {
-		await proxy.look();
-		await proxy.raise();
+		await proxy.checkStatuses();
+		await proxy.promote();
 	})();
 
-	await clock.advance(RAISE_MS);
+	await clock.advance(PROMOTION_MS);
 }
 
 function getPrimary({servers, getHighestTerm}: World): DatabaseServer | undefined {
@@ -117,13 +117,13 @@
 	return servers.find(({member}) => member.isPrimaryAt(term));
 }
 
-/** A caller without a token must see everything that was acknowledged to anyone. */
+/** Reads without a token. The read must see every write that was acknowledged to any caller. */
 async function readAtEnd({clock, getProxy, history}: World): Promise<void> {
 	const {entry} = getProxy(1);
 	void (async () => {
 		const answer = await entry.execute(GROUP, READ, undefined);
 		if (answer.outcome === Outcome.Done) {
-			history.noteRead(getNights(answer), getAcked(history.keys), 'the last read');
+			history.recordRead(getNights(answer), getAcked(history.keys), 'the last read');
 		}
 	})();
 
--- a/tests/random-check/schedule-clock.ts
+++ b/tests/random-check/schedule-clock.ts
@@ -1,11 +1,11 @@
 import {createTimedHeap, type Timed} from '../../src/stand-ins/time/timed-heap.js';
 import type {Clock} from '../../src/time/clock.js';
 
-/** A virtual clock for many thousands of short runs: sleepers in a heap, and one round of the event loop for each moment. */
+/** A virtual clock for many thousands of short runs. It keeps sleepers in a heap, and runs one round of the event loop per wake. */
 export type ScheduleClock = Clock & {
-	/** Moves the time forward by `ms`, waking each sleeper at its own moment. */
+	/** Advances the time by `ms` milliseconds and wakes each sleeper at its time. */
 	advance(ms: number): Promise<void>;
-	/** Sleepers woken so far. */
+	/** Number of sleepers woken so far. */
 	readonly wakes: number;
 };
 
@@ -17,14 +17,14 @@
 /** 2026-01-05T06:00:00Z. */
 const START_MS = 1_767_592_800_000;
 
-/** Creates a clock that moves only when told to. */
+/** Creates a clock that only `advance` moves. */
 export function createScheduleClock(): ScheduleClock {
 	const heap = createTimedHeap<Sleeper>();
 	let now = START_MS;
 	let order = 0;
 	let wakes = 0;
 
-	// Every promise that one wake settles is followed to its end before the event loop's next round.
+	// All promise reactions that follow from one wake run before the event loop's next round.
 	const settle = async () => new Promise<void>(resolve => {
 		setImmediate(resolve);
 	});
--- a/tests/random-check/schedule.ts
+++ b/tests/random-check/schedule.ts
@@ -1,23 +1,23 @@
 import fc from 'fast-check';
 
-/** Servers of the group and proxies before it. */
+/** Number of servers in the group, and of proxies. */
 export const SERVERS = 3;
 export const PROXIES = 3;
 
-/** Callers' sessions. */
+/** Number of callers' sessions. */
 export const SESSIONS = 2;
 
-/** Steps of one schedule, at most. */
-const MOST_STEPS = 40;
+/** Maximum number of steps in one schedule. */
+const MAX_STEPS = 40;
 
 const server = fc.nat(SERVERS - 1);
 const proxy = fc.nat(PROXIES - 1);
 const session = fc.nat(SESSIONS - 1);
 const key = fc.nat(5);
-/** How long nothing else happens after the step, in milliseconds. */
+/** Time until the next step, in milliseconds. */
 const ms: fc.Arbitrary<number> = fc.constantFrom(0, 1, 2, 5, 10, 40, 150, 400);
 
-/** Which of `count` are on the other side. */
+/** Generates which of `count` members are on the other side of a partition. */
 const sides = (count: number) => fc.array(fc.boolean(), {minLength: count, maxLength: count});
 
 const weighted = <T>(weight: number, arbitrary: fc.Arbitrary<T>) => ({weight, arbitrary});
@@ -27,7 +27,7 @@
 
 const deadlineMs = fc.constantFrom(100, 600, 2000);
 
-/** What callers ask for and what promoters do, and who reaches whom. */
+/** Requests, promotions and partitions. */
 const coreSteps = [
 	weighted(8, fc.record({
 		kind: kind('write'), session, proxy, count: fc.integer({min: 1, max: 4}), deadlineMs, ms,
@@ -45,7 +45,7 @@
 		kind: kind('raise'), proxy, tell: fc.boolean(), ms,
 	})),
 	weighted(4, fc.record({kind: kind('tend'), proxy, ms})),
-	// Servers and proxies on two sides; the proxies may reach both.
+	// Servers and proxies on two sides. The proxies reach both sides unless `cutsProxies` is set.
 	weighted(7, fc.record({
 		kind: kind('partition'), servers: sides(SERVERS), proxies: sides(PROXIES), cutsProxies: fc.boolean(), ms,
 	})),
@@ -86,21 +86,21 @@
 const coreStep = fc.oneof(...coreSteps);
 const anyStep = fc.oneof(...coreSteps, ...faultSteps);
 
-/** One step: a request, a promotion, a fault, or time. */
+/** One step: a request, a promotion, a fault or a wait. */
 export type Step = typeof anyStep extends fc.Arbitrary<infer T> ? T : never;
 
-/** A whole run. */
+/** Generates schedules. */
 export const scheduleArbitrary = fc.record({
-	/** Most time by which a packet is held up at random, in milliseconds; 0 keeps all in order. */
+	/** Maximum random delay of a packet, in milliseconds. 0 keeps all packets in order. */
 	jitterMs: fc.constantFrom(0, 1, 10),
 	seed: fc.nat(1_000_000),
-	/** The server that the last promotion does without; one past the last for none. */
+	/** Index of the server that is cut off during the last promotion. An index past the last server stands for none. */
 	absent: fc.nat(SERVERS),
 	steps: fc.oneof(
-		fc.array<Step>(coreStep, {minLength: 1, maxLength: MOST_STEPS, size: 'max'}),
-		fc.array<Step>(anyStep, {minLength: 1, maxLength: MOST_STEPS, size: 'max'}),
+		fc.array<Step>(coreStep, {minLength: 1, maxLength: MAX_STEPS, size: 'max'}),
+		fc.array<Step>(anyStep, {minLength: 1, maxLength: MAX_STEPS, size: 'max'}),
 	),
 });
 
-/** A whole run: its steps and what chance it is run with. */
+/** A schedule: its steps, and the seed and jitter of the run. */
 export type Schedule = typeof scheduleArbitrary extends fc.Arbitrary<infer T> ? T : never;
--- a/tests/random-check/actor.ts
+++ b/tests/random-check/step-runner.ts
@@ -5,7 +5,7 @@
 import {PROXIES, SESSIONS, type Step} from './schedule.js';
 import {GROUP, type World} from './world.js';
 
-/** A session as its caller keeps it. */
+/** A caller's session: its tokens and the keys of its acknowledged writes. */
 type CallerSession = {
 	tokens: string[];
 	readonly acked: Set<Key>;
@@ -15,11 +15,11 @@
 
 type Actions = {[K in Step['kind']]: (step: StepOf<K>) => unknown};
 
-/** A read of everything. */
+/** A read of the whole table. */
 export const READ: CallerRequest = callerRequestSchema.parse({kind: 'read', statement: `SELECT id FROM ${TABLE}`, deadlineMs: 1000});
 
-/** Creates what carries out steps; requests and promotions go on in the background. */
-export function createActor(world: World): (step: Step) => void {
+/** Creates a function that performs steps. Requests and promotions continue in the background. */
+export function createStepRunner(world: World): (step: Step) => void {
 	const {clock, servers, history, random} = world;
 	const sessions: CallerSession[] = Array.from({length: SESSIONS}, () => ({tokens: ['new'], acked: new Set()}));
 
@@ -27,9 +27,9 @@
 		session.tokens = [...session.tokens.filter(token => !sent.includes(token)), answer.session!];
 	};
 
-	/** Notes an answer about a key, and what its session may now count on. */
-	const noteAnswer = (key: Key, session: CallerSession, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer) => {
-		history.noteAnswer(key, asked, answer, world.getHighestTerm());
+	/** Records an answer for a key, and adds an acknowledged key to its session. */
+	const recordAnswer = (key: Key, session: CallerSession, asked: 'write' | 'repeat' | 'resolve', answer: CallerAnswer) => {
+		history.recordAnswer(key, asked, answer, world.getHighestTerm());
 		if (answer.outcome === Outcome.Done) {
 			session.acked.add(key);
 		}
@@ -49,7 +49,7 @@
 			deadlineMs: step.deadlineMs,
 		}, sent.join(','));
 		keepToken(session, sent, answer);
-		noteAnswer(key, session, step.kind, answer);
+		recordAnswer(key, session, step.kind, answer);
 	};
 
 	const resolve = async (key: Key, step: StepOf<'resolve'>) => {
@@ -57,7 +57,7 @@
 		const sent = session.tokens;
 		const answer = await world.getProxy(step.proxy).entry.resolveOutcome(GROUP, key.id, sent.join(','));
 		keepToken(session, sent, answer);
-		noteAnswer(key, session, 'resolve', answer);
+		recordAnswer(key, session, 'resolve', answer);
 	};
 
 	const read = async (step: StepOf<'read'>) => {
@@ -70,14 +70,14 @@
 		}
 
 		if (answer.outcome === Outcome.Done) {
-			history.noteRead(getNights(answer), mustHold, `a read (${step.how}) at ${answer.servedBy!}`);
+			history.recordRead(getNights(answer), mustHold, `a read (${step.how}) at ${answer.servedBy!}`);
 		}
 	};
 
 	const raise = async ({proxy: index, tell}: StepOf<'raise'>) => {
 		const proxy = world.getProxy(index);
-		if (await proxy.raise() && tell) {
-			await Promise.all(Array.from({length: PROXIES}, async (_, other) => world.getProxy(other).look()));
+		if (await proxy.promote() && tell) {
+			await Promise.all(Array.from({length: PROXIES}, async (_, other) => world.getProxy(other).checkStatuses()));
 		}
 	};
 
@@ -105,7 +105,7 @@
 		},
 		read,
 		raise,
-		tend: async ({proxy}) => world.getProxy(proxy).tend(),
+		tend: async ({proxy}) => world.getProxy(proxy).repair(),
 		partition,
 		wait: () => undefined,
 		kill({server}) {
@@ -158,12 +158,12 @@
 	};
 }
 
-/** The keys that were acknowledged to anyone. */
+/** Returns the keys that were acknowledged to any caller. */
 export function getAcked(keys: readonly Key[]): readonly Key[] {
 	return keys.filter(({ackedTerm}) => ackedTerm !== undefined);
 }
 
-/** The nights in a read's rows. */
+/** Returns the nights in a read's rows. */
 export function getNights(answer: CallerAnswer): ReadonlySet<unknown> {
 	return new Set(answer.rows!.map(({id}) => id));
 }
--- a/tests/random-check/world.ts
+++ b/tests/random-check/world.ts
@@ -18,32 +18,32 @@
 import {PROXIES, SERVERS} from './schedule.js';
 import {createScheduleClock, type ScheduleClock} from './schedule-clock.js';
 
-/** Name of the one group. */
+/** Name of the only group. */
 export const GROUP = 'clinics';
 
-/** Three servers, three proxies, and the history of what callers were told. */
+/** The simulated system: three servers, three proxies, and the history of the answers to callers. */
 export type World = {
 	readonly clock: ScheduleClock;
 	readonly servers: readonly DatabaseServer[];
 	readonly history: History;
 	getProxy(index: number): CheckedProxy;
-	/** Ends a proxy without a word to anybody, and starts another in its place that knows nothing. */
+	/** Ends a proxy without notice, and starts a new one without any state in its place. */
 	replaceProxy(index: number): void;
 	getLink(proxy: number, server: number): Link;
 	getHighestTerm(): number;
-	/** Makes a request id; its time is now. */
+	/** Source of the random part of request ids. */
 	readonly random: ReturnType<typeof createSeededRandom>;
 	stop(): void;
 };
 
-/** What a world is made from. */
+/** Options of {@link createWorld}. */
 export type WorldOptions = {
 	readonly seed: number;
 	readonly jitterMs: number;
 	readonly guardBreak?: GuardBreak;
 };
 
-type Seat = {
+type ProxySlot = {
 	readonly proxy: CheckedProxy;
 	getLink(address: string): Link;
 };
@@ -72,7 +72,7 @@
 	revision: 1,
 };
 
-/** Creates a world in which every replica follows the first server and no proxy knows anything. */
+/** Creates a world in which every replica follows the first server and no proxy has any status yet. */
 export function createWorld({seed, jitterMs, guardBreak}: WorldOptions): World {
 	const clock = createScheduleClock();
 	const random = createSeededRandom(seed);
@@ -86,7 +86,7 @@
 		watchPromotions(server, history);
 	}
 
-	const seats: Seat[] = [];
+	const proxySlots: ProxySlot[] = [];
 
 	const createPeers = (sender: Clock): Peers => ({
 		handle() {}, // eslint-disable-line @typescript-eslint/no-empty-function
@@ -94,7 +94,7 @@
 			const target = hostList.findIndex(host => host.address === address);
 			const answer = await withinMs(sender, timeoutMs, (async () => {
 				await sender.sleep(1 + (random.fraction() * jitterMs));
-				const {owners} = seats[target]!.proxy;
+				const {owners} = proxySlots[target]!.proxy;
 				const work = kind === 'execute'
 					? owners.execute(req as PeerCalls['execute']['req'])
 					: owners.resolve(req as PeerCalls['resolve']['req']);
@@ -106,9 +106,9 @@
 		},
 	});
 
-	const createSeat = (index: number): Seat => {
+	const createProxySlot = (index: number): ProxySlot => {
 		const own = createPausableClock(clock);
-		// Whoever sleeps without a signal on the way to a server is a packet.
+		// On the way to a server, only packets sleep without a signal, so only they are delayed at random.
 		const wire: Clock = {
 			...own,
 			sleep: async (ms, signal) => own.sleep(signal ? ms : ms + (random.fraction() * jitterMs), signal),
@@ -139,7 +139,7 @@
 	};
 
 	for (const index of hostList.keys()) {
-		seats.push(createSeat(index));
+		proxySlots.push(createProxySlot(index));
 	}
 
 	return {
@@ -147,18 +147,18 @@
 		servers,
 		history,
 		random,
-		getProxy: index => seats[index]!.proxy,
+		getProxy: index => proxySlots[index]!.proxy,
 		replaceProxy(index) {
-			const old = seats[index]!.proxy;
+			const old = proxySlots[index]!.proxy;
 			old.clock.pause();
 			for (const server of servers) {
 				server.silenceConnections(old.host.name);
 			}
 
-			seats[index] = createSeat(index);
-			void seats[index].proxy.look();
+			proxySlots[index] = createProxySlot(index);
+			void proxySlots[index].proxy.checkStatuses();
 		},
-		getLink: (proxy, server) => seats[proxy]!.getLink(servers[server]!.address),
+		getLink: (proxy, server) => proxySlots[proxy]!.getLink(servers[server]!.address),
 		getHighestTerm: () => Math.max(...servers.map(({member}) => member.getStatus().term)),
 		stop() {
 			group.stop();
@@ -166,14 +166,14 @@
 	};
 }
 
-/** Tells the history of every server that becomes primary, with the log that it begins its term with. */
+/** Records every server that becomes primary in the history, with the log at the start of its term. */
 function watchPromotions({member}: DatabaseServer, history: History): void {
 	const promote = member.promote.bind(member);
 	member.promote = term => {
 		const wasPrimary = member.isPrimaryAt(term);
 		const answer = promote(term);
 		if (answer.granted && !wasPrimary) {
-			history.notePromotion(term, member.log);
+			history.recordPromotion(term, member.log);
 		}
 
 		return answer;
--- a/tests/random-check/broken-connections.ts
+++ b/tests/random-check/wrap-connections.ts
@@ -1,9 +1,9 @@
 import type {EndpointConnection, Endpoints} from '../../src/endpoints/endpoint.js';
 
-/** What takes a connection's place; `usable` is the connection's own unless it brings one. */
+/** Returns a replacement for a connection. Its `usable` is that of the connection unless the replacement has a getter of its own. */
 export type Wrap = (connection: EndpointConnection, address: string) => EndpointConnection;
 
-/** Puts something in front of every connection to the servers. */
+/** Wraps every connection to the servers. */
 export function wrapConnections(endpoints: Endpoints, wrap: Wrap): Endpoints {
 	return {
 		getEndpoint(address) {
@@ -14,7 +14,7 @@
 					const connection = await endpoint.connect(timeoutMs);
 					const wrapped = wrap(connection, address);
 					const own = Object.getOwnPropertyDescriptor(wrapped, 'usable');
-					// A copy made by spreading has the value of the moment in place of the connection's getter.
+					// A copy made by spreading holds the current value instead of the connection's getter.
 					return own?.get ? wrapped : Object.defineProperty(wrapped, 'usable', {get: () => connection.usable});
 				},
 			};
--- a/tests/random-check/written-schedules-tests.ts
+++ b/tests/random-check/written-schedules-tests.ts
@@ -4,7 +4,7 @@
 import {WRITTEN_SCHEDULES} from './written-schedules.js';
 
 describe('written schedules', () => {
-	// Each ends well, and badly once its guard is missing.
+	// Each schedule violates a guarantee only if its guard is missing.
 	for (const {guard, schedule} of WRITTEN_SCHEDULES) {
 		const doTest = (title: string, guardBreak: GuardBreak | undefined, isGood: boolean) => {
 			it(title, async () => {
--- a/tests/random-check/written-schedules.ts
+++ b/tests/random-check/written-schedules.ts
@@ -1,6 +1,6 @@
 import type {Schedule, Step} from './schedule.js';
 
-/** A schedule written by hand, that shows a missing guard. */
+/** A schedule written by hand that detects a missing guard. */
 export type WrittenSchedule = {
 	readonly guard: string;
 	readonly schedule: Schedule;
@@ -20,20 +20,20 @@
 
 const NO_PROXY = [false, false, false];
 
-/** The first server is alone with the first proxy and takes four writes that nobody confirms. */
+/** Isolates the first server with the first proxy, which send it four writes that no other server confirms. */
 const alone: readonly Step[] = [partition([true, false, false], [true, false, false], true), write(0, 0, 4, 40)];
 
-/** Interleavings of a divergent tail or a server left behind, which chance meets seldom or not in minutes. */
+/** Interleavings with a divergent log or an outdated server, which random schedules produce rarely or not within minutes. */
 export const WRITTEN_SCHEDULES: readonly WrittenSchedule[] = [
 	{
-		// The tail of the first server is longer than the log of the next term, which a write was acknowledged in.
+		// The unconfirmed end of the first server's log makes it longer than the log of the next term, in which a write was acknowledged.
 		guard: 'candidate-position',
 		schedule: {
 			jitterMs: 0, seed: 1, absent: 1, steps: [...alone, raise(1), write(1, 1, 1, 400)],
 		},
 	},
 	{
-		// The session wrote in the next term and reads at the proxy that still believes in the first server.
+		// The session wrote in the next term and reads through the proxy that still takes the first server for the primary.
 		guard: 'read-position',
 		schedule: {
 			jitterMs: 0,
@@ -45,9 +45,9 @@
 		},
 	},
 	{
-		// The first server is told to follow the next term, yet replicates nothing: its tail counts for a write of that term.
-		// Its proxy dies with the four writes: otherwise it would settle each by a tombstone, and the next term's log would
-		// have outgrown the tail by the time of its write.
+		// The first server is ordered to follow the next term but replicates nothing, so the end of its old log counts for a
+		// write of that term. Its proxy dies with the four writes. Otherwise it would resolve each by a tombstone, and the next
+		// term's log would be longer than the old one by the time of its write.
 		guard: 'confirm-log-term',
 		schedule: {
 			jitterMs: 0,
@@ -65,7 +65,7 @@
 		},
 	},
 	{
-		// The first server was not fenced and takes a write that the next term's log, later by its term, does not have.
+		// The first server was not fenced and accepts a write that the next term's log does not have, though that log counts as later by its term.
 		guard: 'confirm-later-log',
 		schedule: {
 			jitterMs: 0,
