--- a/tests/proofs/at-most-once-tests.ts
+++ b/tests/proofs/at-most-once-tests.ts
@@ -1,13 +1,13 @@
 import {createRequestId} from '../../src/random/request-id.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 import {
-	doProof, say, sync, type Proof,
+	doProof, describeAnswer, sync, type Proof,
 } from './proof-bench.js';
 
 const RECOVERY_MS = 60_000;
 const HOUR_MS = 3_600_000;
 
-/** The group drops a request key, as it does once the retention has passed. */
+/** Drops a request key from all servers, as the group does after the retention period. */
 function dropKey({servers}: Proof, requestId: string): void {
 	for (const {member} of servers) {
 		member.state.revert({key: {requestId, record: {kind: 'tombstone'}}, changes: []});
@@ -15,8 +15,8 @@
 }
 
 describe('proof: a non-idempotent request runs at most once', () => {
-	// A sync is slow, and the band's app loses patience twice: it sends the same id through a second proxy and a third while
-	// the first try is still running. All three must end with the one night.
+	// A slow write is sent again twice, with the same id through a second and a third proxy, while the first try still runs.
+	// All three tries must be answered with the one row.
 	doProof('sent through three proxies while the first try runs', async proof => {
 		await proof.ask(proof.outsider, sync(40), 'new');
 		const body = sync(41, {requestId: proof.createId(), statement: 'INSERT INTO nights (member, score) VALUES ($1, $2) RETURNING score'});
@@ -27,13 +27,13 @@
 		}
 
 		const answers = await proof.clock.runUntil(Promise.all(tries));
-		return [...answers.map(answer => say(answer)), proof.getScores()];
+		return [...answers.map(answer => describeAnswer(answer)), proof.getScores()];
 	}, ['done: 41', 'done: 41', 'done: 41', 'stands: 40, 41'], {sizes: {serviceMs: 400}});
 
 	describe('when something is lost after it was sent', () => {
 		const doTest = (title: string, fail: (proof: Proof) => Promise<string>, expected: string) => {
-			// A sync is sent to the primary, and then its connection, its answer or the primary itself is lost. Whether it ran
-			// nobody can tell; the proxies try again by themselves. The night must be in, once, also when all has recovered.
+			// A write is sent to the primary, and then its connection, its answer or the primary itself is lost. Whether it ran is
+			// unknown, and the proxies retry on their own. The row must exist exactly once, also after everything has recovered.
 			doProof(title, async proof => {
 				await proof.ask(proof.owners[0]!, sync(40), 'new');
 				await proof.clock.advance(100);
@@ -42,7 +42,7 @@
 				const answer = await proof.clock.runUntil(answering);
 				proof.servers[0]!.restart();
 				await proof.clock.advance(RECOVERY_MS);
-				return [held, say(answer), proof.getScores()];
+				return [held, describeAnswer(answer), proof.getScores()];
 			}, [expected, 'done', 'stands: 40, 41'], {sizes: {replicationLagMs: 20}});
 		};
 
@@ -76,8 +76,8 @@
 
 	describe('when its key is past the retention', () => {
 		const doTest = (title: string, madeAheadMs: number, laterMs: number, waitMs = 0) => {
-			// A sync ran, its answer was lost, and the app sends it again when the group no longer keeps the key. Nobody can tell
-			// any more whether it ran, so it is not run again, and the app is told so.
+			// A write ran, its answer was lost, and the caller sends it again when the group no longer keeps the key. Whether it ran
+			// is unknown by then, so it is not run again, and the caller is told that the outcome is unknown.
 			doProof(title, async proof => {
 				const requestId = createRequestId(proof.clock.wall() + madeAheadMs, createSeededRandom(5));
 				const first = await proof.ask(proof.owners[0]!, sync(41, {requestId}), 'new');
@@ -88,7 +88,7 @@
 				dropKey(proof, requestId);
 				proof.servers[0]!.faults.thaw();
 				const again = await proof.clock.runUntil(sending);
-				return [say(first), say(again), proof.getScores()];
+				return [describeAnswer(first), describeAnswer(again), proof.getScores()];
 			}, ['done', 'unknown: key-expired', 'stands: 41'], {config: {keyRetentionMs: HOUR_MS}});
 		};
 
@@ -98,7 +98,7 @@
 	});
 });
 
-/** Which servers have the night in question. */
+/** Describes which servers have the row with score 41. */
 function getHolders(servers: Proof['servers']): string {
 	const holders = servers.flatMap(({member}, index) => member.state.findRows('nights', [{column: 'score', value: 41}]).length > 0 ? [index + 1] : []);
 	return holders.length > 0 ? `sleep-logs-${holders.join(', ')} had it` : 'nobody had it';
--- a/tests/proofs/leaving-endpoints-tests.ts
+++ b/tests/proofs/leaving-endpoints-tests.ts
@@ -8,17 +8,17 @@
 } from './proof-bench.js';
 import {startTraffic, type TrafficOptions} from './traffic.js';
 
-/** From then on a leaving endpoint gets no new work, in milliseconds. */
+/** Time after which a leaving endpoint receives no new work, in milliseconds. */
 const BOUND_MS = 3000;
 
-/** Connections that one owner lends. */
-const LENT = 7;
+/** Number of connections in one owner's pool. */
+const OWNER_CONNECTIONS = 7;
 
-/** Exchanges that begin work; statements of an open transaction and its end go on. */
+/** Exchanges that start new work. Statements of an open transaction and its end are not new work. */
 const NEW_WORK: ReadonlySet<ExchangeKind> = new Set([ExchangeKind.Read, ExchangeKind.Write, ExchangeKind.Resolve, ExchangeKind.Begin]);
 
-/** Counts the new work that arrives at a server before and after the bound. */
-function watchWork({clock}: Proof, server: DatabaseServer) {
+/** Counts the new work that arrives at a server after the bound. Returns a function that describes it. */
+function countLateWork({clock}: Proof, server: DatabaseServer) {
 	const orderedAt = clock.now();
 	const late = new Map<string, number>();
 	server.onExchange((kind, from) => {
@@ -30,11 +30,11 @@
 	return () => late.size === 0 ? 'no new work' : [...late].map(([what, times]) => `${what}, ${times} times`).join('; ');
 }
 
-/** The ways in which an endpoint is known to leave. */
+/** How the proxies learn that an endpoint is leaving. */
 const Way = {
 	Order: 'an order',
 	List: 'the platform\'s list',
-	Word: 'its own word',
+	Status: 'its own status',
 } as const;
 
 type Way = typeof Way[keyof typeof Way];
@@ -57,7 +57,7 @@
 	}
 }
 
-/** Has the whole group leave, so that no server can be promoted and the primary stays what it is. */
+/** Makes all servers of the group leave, so that none can be promoted and the primary stays the same. */
 async function leaveAll(proof: Proof, way: Way): Promise<void> {
 	if (way === Way.Order) {
 		const {cfg} = proof.system.proxies[0]!.kernel.getOrThrow('configuration').getGroupOrThrow(GROUP);
@@ -70,55 +70,55 @@
 	}
 }
 
-type Story = TrafficOptions & {
-	/** Which server leaves; the first is primary. */
+type LeaveScenario = TrafficOptions & {
+	/** Index of the leaving server. The first one is the primary. */
 	readonly index: number;
 	readonly way?: Way;
-	/** The others leave as well. */
+	/** Whether the other servers leave as well. */
 	readonly all?: boolean;
 	before?(proof: Proof): void | Promise<void>;
-	/** What happens in the instant after the order. */
+	/** Called immediately after the order. */
 	after?(proof: Proof): void | Promise<void>;
-	/** How long the callers go on after the order, in milliseconds. */
+	/** How long the traffic continues after the order, in milliseconds. */
 	readonly lastsMs?: number;
-	/** What may be refused, since no other endpoint can take it. */
+	/** The requests that may be refused, since no other endpoint can run them. */
 	readonly refuses?: RegExp;
 };
 
-function doTest(title: string, story: Story, options: ProofOptions = {}) {
-	const {index, way = Way.Order} = story;
+function doTest(title: string, scenario: LeaveScenario, options: ProofOptions = {}) {
+	const {index, way = Way.Order} = scenario;
 	doProof(`${title}: ${way}`, async proof => {
 		await proof.ask(proof.outsider, sync(41), 'new');
-		const traffic = startTraffic(proof, story);
-		await story.before?.(proof);
+		const traffic = startTraffic(proof, scenario);
+		await scenario.before?.(proof);
 		await proof.clock.advance(1000);
-		const describe = watchWork(proof, proof.servers[index]!);
-		await (story.all ? leaveAll(proof, way) : leave(proof, way, index));
-		await story.after?.(proof);
-		await proof.clock.advance(story.lastsMs ?? 6000);
+		const describe = countLateWork(proof, proof.servers[index]!);
+		await (scenario.all ? leaveAll(proof, way) : leave(proof, way, index));
+		await scenario.after?.(proof);
+		await proof.clock.advance(scenario.lastsMs ?? 6000);
 		const refused = await traffic.stop();
-		return [describe(), ...refused.filter(line => !story.refuses?.test(line))];
+		return [describe(), ...refused.filter(line => !scenario.refuses?.test(line))];
 	}, ['no new work'], options);
 }
 
 describe('proof: a leaving endpoint gets no new work after three seconds', () => {
 	for (const way of Object.values(Way)) {
-		// A server is about to be taken away. Coaches' pulls and syncs go on through all proxies, and none of them may
-		// be at that server when it goes.
+		// A server is about to be removed. Reads and writes continue through all proxies, and none of them may still run at
+		// that server when it stops.
 		doTest('a replica', {index: 1, way});
 		doTest('the primary', {index: 0, way, transactions: true});
 	}
 
 	for (const way of Object.values(Way)) {
-		// All servers of a group are taken away. The primary's role cannot be handed on, and a filing sent to it late would be cut.
-		doTest('a primary that nobody can relieve', {
+		// All servers of a group are removed. No other server can become primary, and a write sent to the primary late would be cut off.
+		doTest('a primary that no server can replace', {
 			index: 0, way, all: true, refuses: /./v, transactions: true,
 		});
 	}
 
-	// The other replica is far behind, so the leaving one is the only replica that can serve what sessions have written
-	// and the age that coaches accept.
-	doTest('the one replica that sessions prefer', {
+	// The other replica lags far behind, so the leaving one is the only replica that can serve the sessions' own writes and
+	// the age that readers accept.
+	doTest('the only replica that satisfies the sessions', {
 		index: 1,
 		read: {maxAgeMs: 500},
 		before(proof) {
@@ -126,11 +126,11 @@
 		},
 	});
 
-	// Nobody can relieve the primary until an operator resumes another server, five seconds later. Syncs that wait for the
-	// next primary meanwhile must not be what the handing on waits for.
-	doTest('a primary that is relieved late', {
+	// No server can replace the primary until another one stops leaving, five seconds later. The replacement must not wait for
+	// the writes that wait for the next primary meanwhile.
+	doTest('a primary that is replaced late', {
 		index: 0,
-		way: Way.Word,
+		way: Way.Status,
 		all: true,
 		lastsMs: 7000,
 		refuses: /^read/v,
@@ -140,7 +140,7 @@
 		},
 	});
 
-	// The proxy that looks after the group does not reach the platform when the order is given.
+	// The first owner of the group does not reach the platform when the order is given.
 	for (const index of [0, 1]) {
 		doTest(`server ${index + 1}, with the first owner cut off from the platform`, {
 			index,
@@ -149,8 +149,8 @@
 			},
 		});
 
-		// The platform goes down in the instant in which the operator is told that the order is accepted, and before any
-		// watch has told a proxy.
+		// The platform goes down just after the operator was told that the order is accepted, before any watch has reported
+		// it to a proxy.
 		doTest(`server ${index + 1}, with the platform down just after the order`, {
 			index,
 			before(proof) {
@@ -162,7 +162,7 @@
 		});
 
 		for (const way of index === 0 ? Object.values(Way) : [Way.Order]) {
-			// An owner is lost after the order, and a proxy that never looked after the group takes its place.
+			// An owner fails after the order, and a proxy that has never owned the group takes its place.
 			doTest(`server ${index + 1}, with a new owner after the order`, {
 				index,
 				way,
@@ -176,8 +176,8 @@
 		}
 	}
 
-	// The servers are slow and reads with long deadlines wait in the owners' queues when the order comes. What waits
-	// there has not begun and must not begin at the leaving server.
+	// The servers are slow, and requests with long deadlines wait in the owners' queues when the order arrives. These
+	// requests have not started and must not start at the leaving server.
 	for (const index of [0, 1]) {
 		doTest(`server ${index + 1}, with a full queue`, {
 			index, refuses: /./v, pauseMs: 0, read: {deadlineMs: 30_000},
@@ -189,25 +189,25 @@
 		}, {sizes: {serviceMs: 1500}});
 	}
 
-	// Every connection of an owner is lent to a transaction when the order comes, and further transactions wait for one.
-	// The open ones end after the bound; what waited must not begin then.
-	describe('with every connection lent', () => {
+	// Every connection of an owner is used by a transaction when the order arrives, and further transactions wait for one.
+	// The open ones end after the bound. Those that waited must not begin then.
+	describe('with every connection in use', () => {
 		const open: string[] = [];
 
 		doTest('the primary', {
 			index: 0,
-			way: Way.Word,
+			way: Way.Status,
 			all: true,
 			refuses: /./v,
 			async before(proof) {
 				const entry = proof.getEntry(proof.owners[0]!);
 				const req = {class: 'interactive', deadlineMs: 30_000} as const;
-				for (let count = 0; count < LENT; count++) {
+				for (let count = 0; count < OWNER_CONNECTIONS; count++) {
 					const {requestId} = await proof.clock.runUntil(entry.begin(GROUP, req, 'new'));
 					open.push(requestId);
 				}
 
-				for (let count = 0; count < LENT; count++) {
+				for (let count = 0; count < OWNER_CONNECTIONS; count++) {
 					void entry.begin(GROUP, req, 'new');
 				}
 			},
--- a/tests/proofs/lost-writes-tests.ts
+++ b/tests/proofs/lost-writes-tests.ts
@@ -1,6 +1,6 @@
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {
-	doProof, pull, say, sync, type Proof,
+	doProof, pull, describeAnswer, sync, type Proof,
 } from './proof-bench.js';
 
 const PRIMARY_ALONE = {config: {durability: 'primary'}} as const;
@@ -9,7 +9,7 @@
 	left.faults.cut(others.map(({address}) => address));
 };
 
-/** One night is everywhere; a second one, acknowledged too, is at the primary alone. */
+/** Writes one row that all servers have, and a second acknowledged one that only the primary has. */
 async function syncUnreplicated(proof: Proof) {
 	const [primary, ...replicas] = proof.servers;
 	const first = await proof.ask(proof.owners[0]!, sync(41), 'new');
@@ -18,9 +18,9 @@
 	return proof.ask(proof.owners[0]!, sync(43), first.session);
 }
 
-describe('proof: a lost write is told', () => {
-	// The group acknowledges what its primary alone holds. A member's night is acknowledged and the primary dies with it.
-	// The session must hear of it before it sees a list without the night, and then go on.
+describe('proof: a lost write is reported', () => {
+	// The group acknowledges writes that only its primary holds. A write is acknowledged and lost with the primary. The session
+	// must be told of the loss before it reads rows without the write, and continue afterwards.
 	doProof('once, to its own session', async proof => {
 		const written = await syncUnreplicated(proof);
 		proof.servers[0]!.kill();
@@ -28,11 +28,11 @@
 		const told = await proof.ask(proof.outsider, pull(), written.session);
 		const next = await proof.ask(proof.owners[0]!, pull(), told.session);
 		const stranger = await proof.ask(proof.owners[0]!, pull(), undefined);
-		return [say(written), say(told), say(next), say(stranger)];
+		return [describeAnswer(written), describeAnswer(told), describeAnswer(next), describeAnswer(stranger)];
 	}, ['done', 'not-run: write-lost', 'done: 41', 'done: 41'], PRIMARY_ALONE);
 
-	// The server that was promoted without the night dies before any other follows it; the old primary comes back, and
-	// the next promotion takes its log. A session that was told of a loss in between would have been told wrong.
+	// The server that was promoted without the write dies before any other follows it. The old primary restarts, and the next
+	// promotion uses its log. If the session had been told of a loss in between, that would have been wrong.
 	doProof('only once no promotion can bring the write back', async proof => {
 		const [old, successor, third] = proof.servers;
 		const written = await syncUnreplicated(proof);
@@ -46,12 +46,12 @@
 		old!.faults.heal();
 		await proof.clock.advance(5000);
 		const after = await proof.ask(proof.owners[0]!, pull(), written.session);
-		return [say(written), promoted, say(between), say(after)];
+		return [describeAnswer(written), promoted, describeAnswer(between), describeAnswer(after)];
 	}, ['done', 'promoted: true', 'not-run: no-endpoint', 'done: 41, 43'], PRIMARY_ALONE);
 
-	// A caller without a token is served from behind a barrier, whose position is an entry that only the primary holds. The
-	// read is held up on its way; the primary is deposed, follows the new one and drops the entry before the read
-	// comes. The caller wrote nothing and has lost nothing: the barrier is taken anew.
+	// A caller without a token is served after a barrier, whose position is an entry that only the primary holds. The read is
+	// delayed on its way. The primary is superseded, follows the new one and drops the entry before the read arrives. The
+	// caller wrote nothing and has lost nothing, so the barrier is taken again.
 	doProof('never for a barrier', async proof => {
 		const [owner = ''] = proof.owners;
 		const [old] = proof.servers;
@@ -67,6 +67,6 @@
 		await proof.clock.advance(14_000);
 		old!.faults.heal();
 		const read = await proof.clock.runUntil(reading);
-		return [say(written), `position of term ${old!.member.log.get(3)!.term}`, say(read)];
+		return [describeAnswer(written), `position of term ${old!.member.log.get(3)!.term}`, describeAnswer(read)];
 	}, ['done', 'position of term 2', 'done: 41'], PRIMARY_ALONE);
 });
--- a/tests/proofs/own-answers-tests.ts
+++ b/tests/proofs/own-answers-tests.ts
@@ -2,7 +2,7 @@
 import type {PeerFaults} from '../../src/stand-ins/peers/network-wire.js';
 import {createPipes} from './pipe-endpoints.js';
 import {
-	doProof, GROUP, pull, say, sync, type Body, type Proof,
+	doProof, GROUP, pull, describeAnswer, sync, type Body, type Proof,
 } from './proof-bench.js';
 
 const COACHES = [1, 2, 3, 4, 5, 6];
@@ -10,8 +10,8 @@
 
 const pullOf = (member: number, more: Body = {}) => pull({values: [`m-${member}`], ...more});
 
-/** Each member's only night has the member's number as its score. */
-async function syncAll(proof: Proof) {
+/** Writes one row for each member, with the member's number as its score. */
+async function syncAllMembers(proof: Proof) {
 	for (const member of COACHES) {
 		await proof.ask(proof.outsider, sync(member, {values: [`m-${member}`, member]}), 'new');
 	}
@@ -19,13 +19,13 @@
 	await proof.clock.advance(1000);
 }
 
-describe('proof: whole and own answers only', () => {
+describe('proof: callers receive only whole answers to their own requests', () => {
 	describe('on the way between proxies', () => {
 		const doTest = (title: string, faults: Partial<PeerFaults>) => {
-			// Six coaches pull six members' nights at once through a proxy that forwards them. The answers come back late,
-			// twice or in another order. A coach must get the member's own night or none, never another member's.
+			// Six callers read six members' rows at once through a proxy that forwards the requests. The answers arrive late,
+			// twice or in another order. A caller must receive the requested member's row or none, never another member's.
 			doProof(`answers ${title}`, async proof => {
-				await syncAll(proof);
+				await syncAllMembers(proof);
 				const {address} = proof.system.getProxyOrThrow(proof.outsider);
 				for (const owner of proof.owners) {
 					proof.system.network.setFaults(proof.system.getProxyOrThrow(owner).address, address, faults);
@@ -36,35 +36,35 @@
 				proof.system.network.heal();
 				const late = COACHES.toReversed().map(async member => proof.send(proof.outsider, pullOf(member)));
 				const answers = await proof.clock.runUntil(Promise.all(late));
-				const others = await findOthers(early);
-				return [...others, ...answers.map(answer => say(answer))];
+				const others = await findMixedUpAnswers(early);
+				return [...others, ...answers.map(answer => describeAnswer(answer))];
 			}, COACHES.toReversed().map(member => `done: ${member}`));
 		};
 
-		doTest('that are crossed', {crossAnswers: true});
-		doTest('that come twice', {duplicateAnswers: true});
-		doTest('that come after their callers left', {delayMs: 1600});
+		doTest('that arrive in another order', {crossAnswers: true});
+		doTest('that arrive twice', {duplicateAnswers: true});
+		doTest('that arrive after the deadline', {delayMs: 1600});
 		doTest('that are lost', {dropAnswers: true});
 	});
 
 	describe('at an endpoint', () => {
 		const doTest = (title: string, first: Body, second: Body, expected: readonly string[]) => {
 			const pipes = createPipes();
-			// The primary answers a request only after its proxy gave up on it. A moment later another caller's request goes
-			// to the same server; on the old connection the first answer would be waiting for it.
-			doProof(`an answer to ${title} that comes too late`, async proof => {
+			// The primary answers a request only after its proxy gave up on it. Another caller's request goes to the same server
+			// soon afterwards. On the old connection it would receive the first answer.
+			doProof(`an answer to ${title} that arrives too late`, async proof => {
 				const [owner = ''] = proof.owners;
-				await syncAll(proof);
+				await syncAllMembers(proof);
 				for (const replica of proof.servers.slice(1)) {
 					replica.setReplicationStalled(true);
 				}
 
 				const {session} = await proof.ask(owner, sync(9), 'new');
-				pipes.holdNext(600);
+				pipes.delayNextAnswer(600);
 				const left = await proof.ask(owner, {...first, deadlineMs: 500}, session);
 				await proof.clock.advance(400);
 				const next = await proof.ask(owner, second, session);
-				return [say(left), say(next)];
+				return [describeAnswer(left), describeAnswer(next)];
 			}, expected, {wrapEndpoints: pipes.wrap, config: {durability: 'primary'}});
 		};
 
@@ -81,31 +81,31 @@
 			}, expected);
 		};
 
-		// A program gives two syncs of different nights the same request id and sends them through two proxies at once.
-		// One of them runs; the other must be told that the id is taken, and not that its night is in.
+		// A caller sends two different writes under the same request id through two proxies at once. One of them runs. The other
+		// must be refused because the id is in use, and not be answered as done.
 		doTest('two requests at once', async (proof, first, second) => {
 			const both = [proof.send(proof.owners[0]!, first), proof.send(proof.owners[1]!, second)];
 			const answers = await proof.clock.runUntil(Promise.all(both));
-			return answers.map(answer => say(answer));
+			return answers.map(answer => describeAnswer(answer));
 		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
 
-		// As before, one after the other, and the refusal of the second is lost on its way: its proxy tries again.
+		// As before, but one after the other. The refusal of the second is lost on its way, so its proxy retries.
 		doTest('a second request whose answer was lost', async (proof, first, second) => {
 			const done = await proof.ask(proof.owners[0]!, first);
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
-			return [say(done), say(await proof.ask(proof.owners[1]!, second))];
+			return [describeAnswer(done), describeAnswer(await proof.ask(proof.owners[1]!, second))];
 		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
 
-		// Every answer to the second is lost until its proxy asks what stands under the id. What stands is the first
-		// request's answer, and the second caller would take it for its own.
-		doTest('a second request that has to be settled', async (proof, first, second) => {
+		// The answer to the second is lost, so its proxy asks for the outcome under the id. That outcome is the first request's
+		// answer, which the second caller must not receive as its own.
+		doTest('a second request whose outcome has to be resolved', async (proof, first, second) => {
 			const done = await proof.ask(proof.owners[0]!, first);
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
-			return [say(done), say(await proof.ask(proof.owners[1]!, {...second, deadlineMs: 400}))];
+			return [describeAnswer(done), describeAnswer(await proof.ask(proof.owners[1]!, {...second, deadlineMs: 400}))];
 		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
 
-		// A transaction was committed under the id. A second one that begins under it must not be told that it is open, and
-		// then that its commit, without any of its own statements, is done.
+		// A transaction was committed under the id. A second one that begins under it must not be answered as open, and its commit,
+		// which has none of its own statements, not as done.
 		doTest('a second transaction', async (proof, {requestId}) => {
 			const entry = proof.getEntry(proof.outsider);
 			const req = {requestId: String(requestId), class: 'interactive', deadlineMs: 4000} as const;
@@ -114,19 +114,19 @@
 			await proof.clock.runUntil(entry.run(begun.requestId, statement, 'new'));
 			const committed = await proof.clock.runUntil(entry.commit(begun.requestId, 'new'));
 			const second = await proof.clock.runUntil(entry.begin(GROUP, req, 'new'));
-			return [say(begun), say(committed), say(second)];
+			return [describeAnswer(begun), describeAnswer(committed), describeAnswer(second)];
 		}, ['done', 'done', 'not-run: transaction-ended', 'stands: 41']);
 
-		// The answer to a sync is lost until its proxy asks what stands under the id: its own answer, whole.
-		doTest('the same request, settled', async (proof, first) => {
+		// The answer to a write is lost, so its proxy asks for the outcome under the id and receives the whole answer.
+		doTest('the same request, resolved', async (proof, first) => {
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
-			return [say(await proof.ask(proof.owners[1]!, {...first, deadlineMs: 400}))];
+			return [describeAnswer(await proof.ask(proof.owners[1]!, {...first, deadlineMs: 400}))];
 		}, ['done: 41', 'stands: 41']);
 	});
 });
 
-/** Answers that show what another coach asked for; none is expected. */
-async function findOthers(asked: ReadonlyArray<ReturnType<Proof['send']>>): Promise<readonly string[]> {
+/** Returns the answers that show rows of another caller's request. None is expected. */
+async function findMixedUpAnswers(asked: ReadonlyArray<ReturnType<Proof['send']>>): Promise<readonly string[]> {
 	const answers = await Promise.all(asked);
-	return answers.flatMap((answer, index) => answer.outcome === 'done' && say(answer) !== `done: ${COACHES[index]}` ? [`m-${COACHES[index]} got ${say(answer)}`] : []);
+	return answers.flatMap((answer, index) => answer.outcome === 'done' && describeAnswer(answer) !== `done: ${COACHES[index]}` ? [`m-${COACHES[index]} got ${describeAnswer(answer)}`] : []);
 }
--- a/tests/proofs/pipe-endpoints.ts
+++ b/tests/proofs/pipe-endpoints.ts
@@ -2,24 +2,24 @@
 import {createExchangeRunner} from '../../src/endpoints/exchange-runner.js';
 import type {Clock} from '../../src/time/clock.js';
 
-/** Time for which an exchange goes on below, whatever its user waits for, in milliseconds. */
-const BELOW_MS = 600_000;
+/** Timeout of an exchange on the underlying connection, whatever its user's timeout, in milliseconds. */
+const UNDERLYING_TIMEOUT_MS = 600_000;
 
-/** The pipes of a system. */
+/** Wraps the endpoints of a system in pipes. */
 export type Pipes = {
 	wrap(endpoints: Endpoints, clock: Clock): Endpoints;
-	/** Holds the next answer to a read, a write or a transaction's statement up for `ms` milliseconds. */
-	holdNext(ms: number): void;
-	/** How long to hold the answer at hand, in milliseconds. */
-	takeHold(): number;
+	/** Delays the next answer to a read, a write or a transaction's statement by `ms` milliseconds. */
+	delayNextAnswer(ms: number): void;
+	/** Returns the delay of the current answer, in milliseconds, and resets it. */
+	takeDelayMs(): number;
 };
 
 /**
- * Makes every connection a plain pipe: answers carry no name, so each goes to whoever reads next.
- * An answer that comes after its user gave up waits there for the connection's next user.
+ * Turns every connection into a plain pipe: answers have no id, so each goes to the next reader.
+ * An answer that arrives after its user gave up is delivered to the connection's next user.
  */
 export function createPipes(): Pipes {
-	let holdMs = 0;
+	let delayMs = 0;
 
 	const pipes: Pipes = {
 		wrap: (endpoints, clock) => ({
@@ -31,12 +31,12 @@
 				};
 			},
 		}),
-		holdNext(ms) {
-			holdMs = ms;
+		delayNextAnswer(ms) {
+			delayMs = ms;
 		},
-		takeHold() {
-			const taken = holdMs;
-			holdMs = 0;
+		takeDelayMs() {
+			const taken = delayMs;
+			delayMs = 0;
 			return taken;
 		},
 	};
@@ -77,10 +77,10 @@
 		});
 	};
 
-	const askHeld = async <T>(ask: () => Promise<T>) => {
-		const holdMs = pipes.takeHold();
+	const askDelayed = async <T>(ask: () => Promise<T>) => {
+		const delayMs = pipes.takeDelayMs();
 		const answer = await ask();
-		await clock.sleep(holdMs);
+		await clock.sleep(delayMs);
 		return answer;
 	};
 
@@ -95,18 +95,18 @@
 		get usable() {
 			return runner.usable && inner.usable;
 		},
-		status: async ms => pass(ms, async () => inner.status(BELOW_MS)),
-		waitFor: async (position, waitMs, ms) => pass(ms, async () => inner.waitFor(position, waitMs, BELOW_MS)),
-		fence: async (term, ms) => pass(ms, async () => inner.fence(term, BELOW_MS)),
-		promote: async (term, ms) => pass(ms, async () => inner.promote(term, BELOW_MS)),
-		follow: async (term, primary, ms) => pass(ms, async () => inner.follow(term, primary, BELOW_MS)),
-		write: async (write, ms) => pass(ms, async () => askHeld(async () => inner.write(write, BELOW_MS))),
-		resolve: async (requestId, term, ms) => pass(ms, async () => inner.resolve(requestId, term, BELOW_MS)),
-		read: async (read, ms) => pass(ms, async () => askHeld(async () => inner.read(read, BELOW_MS))),
-		begin: async (transaction, ms) => pass(ms, async () => inner.begin(transaction, BELOW_MS)),
-		run: async (statement, values, ms) => pass(ms, async () => askHeld(async () => inner.run(statement, values, BELOW_MS))),
-		commit: async ms => pass(ms, async () => inner.commit(BELOW_MS)),
-		rollback: async ms => pass(ms, async () => inner.rollback(BELOW_MS)),
+		status: async ms => pass(ms, async () => inner.status(UNDERLYING_TIMEOUT_MS)),
+		waitFor: async (position, waitMs, ms) => pass(ms, async () => inner.waitFor(position, waitMs, UNDERLYING_TIMEOUT_MS)),
+		fence: async (term, ms) => pass(ms, async () => inner.fence(term, UNDERLYING_TIMEOUT_MS)),
+		promote: async (term, ms) => pass(ms, async () => inner.promote(term, UNDERLYING_TIMEOUT_MS)),
+		follow: async (term, primary, ms) => pass(ms, async () => inner.follow(term, primary, UNDERLYING_TIMEOUT_MS)),
+		write: async (write, ms) => pass(ms, async () => askDelayed(async () => inner.write(write, UNDERLYING_TIMEOUT_MS))),
+		resolve: async (requestId, term, ms) => pass(ms, async () => inner.resolve(requestId, term, UNDERLYING_TIMEOUT_MS)),
+		read: async (read, ms) => pass(ms, async () => askDelayed(async () => inner.read(read, UNDERLYING_TIMEOUT_MS))),
+		begin: async (transaction, ms) => pass(ms, async () => inner.begin(transaction, UNDERLYING_TIMEOUT_MS)),
+		run: async (statement, values, ms) => pass(ms, async () => askDelayed(async () => inner.run(statement, values, UNDERLYING_TIMEOUT_MS))),
+		commit: async ms => pass(ms, async () => inner.commit(UNDERLYING_TIMEOUT_MS)),
+		rollback: async ms => pass(ms, async () => inner.rollback(UNDERLYING_TIMEOUT_MS)),
 		close: async () => inner.close(),
 		destroy() {
 			runner.end('destroyed');
--- a/tests/proofs/planned-stops-tests.ts
+++ b/tests/proofs/planned-stops-tests.ts
@@ -7,8 +7,8 @@
 
 type StopOptions = ProofOptions & {readonly traffic?: TrafficOptions};
 
-/** How long the callers go on after the stop began, in milliseconds. */
-const GO_ON_MS = 5000;
+/** How long the traffic continues after the stop, in milliseconds. */
+const TRAFFIC_AFTER_STOP_MS = 5000;
 
 async function order(proof: Proof, command: string): Promise<void> {
 	const commands = proof.system.getProxyOrThrow(proof.outsider).kernel.getOrThrow('operatorCommands');
@@ -18,13 +18,13 @@
 	}
 }
 
-/** What runs at an endpoint through any proxy, as an operator is shown it. */
+/** Counts what runs at an endpoint through any proxy, as it is shown to operators. */
 function countRunning(proof: Proof, endpoint: string): number {
 	const owners = proof.system.proxies.map(({kernel}) => kernel.getOrThrow('owners').getOwner(GROUP));
 	return owners.flatMap(owner => owner?.parts.running.getAt(endpoint) ?? []).length;
 }
 
-/** Waits until nothing runs there any more, as an operator does before taking the server away. */
+/** Waits until nothing runs at an endpoint, as an operator does before removing the server. */
 async function waitForEnd(proof: Proof, endpoint: string): Promise<void> {
 	await proof.clock.advance(2000);
 	while (countRunning(proof, endpoint) > 0) {
@@ -38,15 +38,15 @@
 		const traffic = startTraffic(proof, {transactions: true, ...options.traffic});
 		await proof.clock.advance(1000);
 		const events = await stop(proof, traffic);
-		await proof.clock.advance(GO_ON_MS);
+		await proof.clock.advance(TRAFFIC_AFTER_STOP_MS);
 		return [...events, ...await traffic.stop()];
 	}, expected, options);
 }
 
 describe('proof: a planned stop cuts no request', () => {
 	describe('of an endpoint', () => {
-		// An operator drains a server, waits until nothing runs there and has it taken away. Statements take up to a tenth
-		// of a second, so some are under way at each step. No caller may notice.
+		// An operator drains a server, waits until nothing runs there and removes it. Statements take up to a tenth of a second,
+		// so some are running at each step. No request may fail.
 		const doEndpointTest = (title: string, index: number) => {
 			doTest(title, async proof => {
 				const endpoint = `${GROUP}-${index + 1}`;
@@ -64,8 +64,8 @@
 		doEndpointTest('that is the primary', 0);
 	});
 
-	// An operator names the next primary in the middle of the day.
-	doTest('of the primary\'s reign', async proof => {
+	// An operator promotes another server while there is traffic.
+	doTest('of the primary\'s role', async proof => {
 		await order(proof, `promote endpoint ${GROUP}-3`);
 		return [`primary: ${proof.servers.indexOf(proof.getPrimaryOrThrow()) + 1}`];
 	}, ['primary: 3'], {sizes: {serviceMs: 30}});
@@ -74,25 +74,24 @@
 		const doProxyTest = (title: string, pick: (proof: Proof) => string, options: StopOptions = {}) => {
 			doTest(title, async (proof, traffic) => {
 				const name = pick(proof);
-				traffic.leaveProxy(name);
+				traffic.avoidProxy(name);
 				await proof.clock.advance(500);
 				await proof.clock.runUntil(proof.system.leave(name));
 				return [];
 			}, [], {sizes: {serviceMs: 30}, ...options});
 		};
 
-		// A host is replaced. The balancer sends its callers elsewhere, but it looks after the group: requests of all other
-		// proxies are with it, and transactions are open there.
+		// A host is replaced. The balancer sends its callers to other hosts, but it owns the group: it still runs requests from
+		// all other proxies, and transactions are open there.
 		doProxyTest('that is the first owner', ({owners}) => owners[0]!);
 		doProxyTest('that is the second owner', ({owners}) => owners[1]!);
 		doProxyTest('that is the only owner', ({owners}) => owners[0]!, {config: {owners: 1}});
 		doProxyTest('that is the only owner of a larger fleet', ({owners}) => owners[0]!, {config: {owners: 1}, proxies: 7});
-		doProxyTest('that is the only owner, before the next one has heard of it from callers', ({owners}) => owners[0]!, {config: {owners: 1}, traffic: {atOutsider: true}});
+		doProxyTest('that is the only owner, before the next one has received a request for the group', ({owners}) => owners[0]!, {config: {owners: 1}, traffic: {atOutsider: true}});
 		doProxyTest('that owns nothing', ({outsider}) => outsider);
 
-		// Statements are under way at the host in the instant in which it is stopped, and their callers' time does not suffice
-		// for a second try.
-		doProof('with statements under way', async proof => {
+		// Statements are running at the host when it is stopped, and their deadlines leave no time for a second try.
+		doProof('with running statements', async proof => {
 			const [owner = ''] = proof.owners;
 			const written = await proof.ask(owner, sync(41), 'new');
 			await proof.clock.advance(1000);
@@ -104,9 +103,9 @@
 			return answers.map(({outcome}) => outcome);
 		}, ['done', 'done', 'done', 'done', 'done', 'done'], {config: {owners: 1}, sizes: {serviceMs: 200}});
 
-		// A filing's commit came through another host and is in the primary's log; the replicas that must confirm it are late.
-		// The transaction is no longer open and no single request is at work, so the host could take itself for idle: the
-		// commit would be left unsure, and have to be found out once more through the next owner.
+		// A commit arrived through another host and is in the primary's log, but the replicas that must confirm it lag. The
+		// transaction is no longer open and no single request is running, so the host could consider itself idle. The outcome of
+		// the commit would then be unknown and have to be resolved through the next owner.
 		doProof('with a commit that waits for its confirmation', async proof => {
 			const [owner = ''] = proof.owners;
 			const entry = proof.getEntry(proof.outsider);
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -11,60 +11,60 @@
 } from '../../src/stand-ins/system/simulated-system.js';
 import type {VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** The one group of every proof. */
+/** Name of the only group in every proof. */
 export const GROUP = 'sleep-logs';
 
-/** What a caller sends, before defaults. */
+/** A caller's request without its defaults. */
 export type Body = Readonly<Record<string, unknown>>;
 
-/** A simulated system with one group, and the ways to ask it and to fail it. */
+/** A simulated system with one group, and functions that send requests to it and inject faults. */
 export type Proof = {
 	readonly system: SimulatedSystem;
 	readonly clock: VirtualClock;
-	/** The group's servers; the first begins as primary. */
+	/** The group's servers. The first one is primary at the start. */
 	readonly servers: readonly DatabaseServer[];
-	/** Names of the proxies that look after the group, first-ranked first. */
+	/** Names of the proxies that own the group, the highest-ranked first. */
 	readonly owners: readonly string[];
-	/** Name of a proxy that does not. */
+	/** Name of a proxy that does not own the group. */
 	readonly outsider: string;
-	/** Sends a request at once, without letting time pass. */
+	/** Sends a request without advancing the clock. */
 	send(proxy: string, body: Body, token?: string): Promise<CallerAnswer>;
-	/** Sends a request and lets time pass until it is answered. */
+	/** Sends a request and advances the clock until it is answered. */
 	ask(proxy: string, body: Body, token?: string): Promise<CallerAnswer>;
-	/** The way in of a proxy, for transactions. */
+	/** Returns the entry of a proxy, for transactions. */
 	getEntry(proxy: string): Entry;
-	/** Asks what became of a request. */
+	/** Requests the outcome of a request, and advances the clock until it is answered. */
 	askOutcome(proxy: string, requestId: string, token?: string): Promise<CallerAnswer>;
-	/** A request id made now. */
+	/** Creates a request id with the current time. */
 	createId(): string;
-	/** Parts a proxy and a server from all other proxies and servers, which still reach each other. */
+	/** Separates a proxy and a server, which still reach each other, from all other proxies and servers. */
 	cutOff(proxy: string, server: DatabaseServer): void;
-	/** Ends a proxy towards the others; what it has sent to a server is still on its way. */
+	/** Ends a proxy for the other proxies. What it has sent to a server still arrives. */
 	killProcess(proxy: string): void;
-	/** The network between a proxy and a server. */
+	/** Returns the link between a proxy and a server. */
 	getLink(proxy: string, server: DatabaseServer): Link;
-	/** The server that is primary at the highest term. */
+	/** Returns the server that is primary at the highest term. Throws if there is none. */
 	getPrimaryOrThrow(): DatabaseServer;
-	/** Scores of the member's nights as the primary holds them, in the order in which they were written. */
+	/** Describes the scores of the member's rows at the primary, in the order in which they were written. */
 	getScores(member?: string): string;
 };
 
-/** What a proof's system has that others' have not. */
+/** Options that differ from the default system. */
 export type ProofOptions = Pick<SimulatedGroup, 'config' | 'sizes'> & Partial<Pick<SimulatedSystemOptions, 'proxies' | 'wrapEndpoints'>>;
 
 export const MEMBER = 'm-17';
 
-/** A sync of one night, which no caller may see doubled. */
+/** Returns a write of one row, which must not appear twice. */
 export const sync = (score: number, more: Body = {}): Body => ({
 	kind: 'write', statement: 'INSERT INTO nights (member, score) VALUES ($1, $2)', values: [MEMBER, score], ...more,
 });
 
-/** A coach's pull of the member's nights. */
+/** Returns a read of the member's rows. */
 export const pull = (more: Body = {}): Body => ({
 	kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: [MEMBER], ...more,
 });
 
-/** Declares a proof: what the story's steps answer, against what they must. */
+/** Declares a test that compares the lines returned by `play` with the expected ones. */
 export function doProof(title: string, play: (proof: Proof) => Promise<readonly string[]>, expected: readonly string[], options: ProofOptions = {}): void {
 	it(title, async () => {
 		const system = createSimulatedSystem({
@@ -84,8 +84,8 @@
 	});
 }
 
-/** One line for an answer: its outcome with the scores that it shows, or with the reason for the refusal. */
-export function say({outcome, refusal, rows}: CallerAnswer): string {
+/** Describes an answer in one line: its outcome, with the scores that it shows or the code of the refusal. */
+export function describeAnswer({outcome, refusal, rows}: CallerAnswer): string {
 	if (refusal) {
 		return `${outcome}: ${refusal.code}`;
 	}
--- a/tests/proofs/traffic.ts
+++ b/tests/proofs/traffic.ts
@@ -1,33 +1,33 @@
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import type {CallerAnswer} from '../../src/callers/caller-answer.js';
 import {
-	GROUP, pull, say, sync, type Body, type Proof,
+	GROUP, pull, describeAnswer, sync, type Body, type Proof,
 } from './proof-bench.js';
 
-/** Callers who send one request after the other through every proxy, until they are stopped. */
+/** Callers that send one request after the other through every proxy until they are stopped. */
 export type Traffic = {
-	/** Callers of that proxy go elsewhere from now on, as the balancer would send them. */
-	leaveProxy(name: string): void;
-	/** Ends the callers after their last answers; tells what was not done, each with how often, and that enough was done. */
+	/** Sends the callers of a proxy to another one from now on, as the balancer does. */
+	avoidProxy(name: string): void;
+	/** Ends the callers after their last answers. Returns the failed requests with their counts, and the kinds with too few answers. */
 	stop(): Promise<readonly string[]>;
 };
 
-/** What kinds of callers there are besides those that read and write. */
+/** Options of {@link startTraffic}. */
 export type TrafficOptions = {
 	readonly transactions?: boolean;
-	/** The callers come through the proxy alone that does not look after the group. */
+	/** Whether all callers use the proxy that does not own the group. */
 	readonly atOutsider?: boolean;
-	/** What each read says besides its statement. */
+	/** Members of each read besides its statement. */
 	readonly read?: Body;
-	/** Pause of a caller after an answer, in milliseconds. */
+	/** Pause of a caller after each answer, in milliseconds. */
 	readonly pauseMs?: number;
 };
 
 /** Pause between two statements of a transaction, in milliseconds. */
-const THINKING_MS = 15;
+const STATEMENT_PAUSE_MS = 15;
 
-/** Fewer answers than this of each kind would prove nothing. */
-const ENOUGH = 20;
+/** Minimum number of answers of each kind. Fewer would not be conclusive. */
+const MIN_ANSWERS = 20;
 
 /** Starts one caller of each kind at every proxy. */
 export function startTraffic(proof: Proof, {transactions = false, atOutsider = false, read = {}, pauseMs = 25}: TrafficOptions = {}): Traffic {
@@ -43,7 +43,7 @@
 	const count = (what: string, answer: CallerAnswer) => {
 		const isDone = answer.outcome === 'done';
 		const counts = isDone ? done : failed;
-		const name = isDone ? what : `${what} ${say(answer)}`;
+		const name = isDone ? what : `${what} ${describeAnswer(answer)}`;
 		counts.set(name, (counts.get(name) ?? 0) + 1);
 		return isDone;
 	};
@@ -74,14 +74,14 @@
 
 		const id = begun.requestId;
 		for (const statement of [1, 2]) {
-			await clock.sleep(THINKING_MS);
+			await clock.sleep(STATEMENT_PAUSE_MS);
 			const req = callerRequestSchema.parse(sync(statement, {values: [`${home}-filings`, statement]}));
 			if (!count('statement', await proof.getEntry(choose(home)).run(id, req, 'new'))) {
 				return;
 			}
 		}
 
-		await clock.sleep(THINKING_MS);
+		await clock.sleep(STATEMENT_PAUSE_MS);
 		count('commit', await proof.getEntry(choose(home)).commit(id, 'new'));
 	});
 
@@ -93,18 +93,18 @@
 		...transactions ? [startTransactions(name)] : [],
 	]);
 
-	const describeLack = () => ['read', 'write', ...transactions ? ['commit'] : []]
-		.filter(what => (done.get(what) ?? 0) < ENOUGH)
+	const describeTooFew = () => ['read', 'write', ...transactions ? ['commit'] : []]
+		.filter(what => (done.get(what) ?? 0) < MIN_ANSWERS)
 		.map(what => `too few: ${done.get(what) ?? 0} of ${what}`);
 
 	return {
-		leaveProxy(name) {
+		avoidProxy(name) {
 			closed.add(name);
 		},
 		async stop() {
 			running = false;
 			await clock.runUntil(Promise.all(callers));
-			return [...describeLack(), ...[...failed].map(([what, times]) => `${what}, ${times} times`)];
+			return [...describeTooFew(), ...[...failed].map(([what, times]) => `${what}, ${times} times`)];
 		},
 	};
 }
