--- a/tests/golden/filing-session-tests.ts
+++ b/tests/golden/filing-session-tests.ts
@@ -14,11 +14,11 @@
 
 const INSERT = 'INSERT INTO filings (mark, class) VALUES ($1, $2)';
 
-describe('golden: filings through a night of failures', () => {
-	// An attorney files three marks against a priority date. The primary dies under the first, the answer to the second is
-	// lost, the proxy dies with the third in its hands and the message arrives when nobody waits for it any more. Each mark
-	// must be filed once or be known not to be filed, and the portal must show just that.
-	it('files each mark once, or says that it did not', async () => {
+describe('golden: writes of one session through several failures', () => {
+	// A caller inserts four rows. The primary dies after the first, the answer to the third is lost, and the proxy dies while it
+	// handles the fourth, whose message arrives when no caller waits for it any more. Each row must be inserted once or be
+	// reported as not inserted, and a later read must show just that.
+	it('inserts each row once, or reports that it did not run', async () => {
 		const script = await startSessionScript(FILINGS, {hidesTimes: true});
 		const {system} = script;
 		const random = createSeededRandom(4);
--- a/tests/golden/golden-file.ts
+++ b/tests/golden/golden-file.ts
@@ -3,10 +3,10 @@
 import {fileURLToPath} from 'node:url';
 import {expect} from 'chai';
 
-/** Set to rewrite the golden files from what the sessions print; the difference is then read like code. */
+/** Whether to rewrite the golden files with the new transcripts. The difference must then be reviewed like code. */
 const UPDATE = process.env.UPDATE_GOLDEN === '1';
 
-/** Compares a session's transcript with the golden file of that name. */
+/** Compares a session's transcript with the golden file of the given name. */
 export function expectGolden(name: string, transcript: string): void {
 	const file = fileURLToPath(new URL(`${name}.txt`, import.meta.url));
 	if (UPDATE) {
--- a/tests/golden/on-call-bench.ts
+++ b/tests/golden/on-call-bench.ts
@@ -11,17 +11,17 @@
 import type {ObjectStore} from '../../src/stand-ins/platform/object-store.js';
 import {createExplanationBench, createHost} from '../explanations/explanation-fixtures.js';
 
-/** What the fake owners know of an endpoint beside its configuration. */
+/** What the simulated owners report of an endpoint besides its configuration. */
 export type EndpointState = Partial<EndpointRow>;
 
 export const BOOTSTRAP_TOKEN = 'the token in the settings';
 
-/** Two proxies with all that operators use, one store, and owners that a test plays itself. */
+/** Creates three proxies with the operator commands, one store, and owners whose state the test sets. */
 export function createOnCallBench() {
 	const bench = createExplanationBench(3);
 	const {clock, random, store, platform} = bench;
 	const states = new Map<string, EndpointState>();
-	const sightings = createRecentSessions();
+	const recentSessions = createRecentSessions();
 	const configuration = createStoreConfiguration(store);
 	const promotions: string[] = [];
 	let promotionFailure: string | undefined;
@@ -46,11 +46,11 @@
 			})));
 		},
 		async getSessions() {
-			return sightings.getAll().map(sighting => ({...sighting, host: 'entry-1'}));
+			return recentSessions.getAll().map(session => ({...session, host: 'entry-1'}));
 		},
 		async getSession(sessionId) {
-			const sighting = sightings.get(sessionId);
-			return sighting && {...sighting, host: 'entry-1'};
+			const session = recentSessions.get(sessionId);
+			return session && {...session, host: 'entry-1'};
 		},
 		async getHosts() {
 			return [1, 2, 3].map(number => ({...createHost(number), reachable: number !== 1, configRevision: number === 1 ? undefined : store.revision}));
@@ -91,19 +91,19 @@
 	return {
 		...bench,
 		access,
-		sightings,
+		recentSessions,
 		setState,
-		/** The endpoints that the owners were asked to promote. */
+		/** Endpoints that the owners were requested to promote. */
 		promotions,
 		failPromotions(reason: string) {
 			promotionFailure = reason;
 		},
-		/** Changes something by way of another host, so that `access` does not hear of it. */
+		/** Runs a command through another host whose access is not refreshed, so that `access` does not receive the change. */
 		async runUnheard(command: string) {
-			const unheard = createOperatorCommands({...options, access: {...access, refresh: async () => true}, explanations: bench.hosts[2]!});
-			return clock.runUntil(unheard.run(command, {name: BOOTSTRAP_OPERATOR, role: 'operate'}, undefined));
+			const otherCommands = createOperatorCommands({...options, access: {...access, refresh: async () => true}, explanations: bench.hosts[2]!});
+			return clock.runUntil(otherCommands.run(command, {name: BOOTSTRAP_OPERATOR, role: 'operate'}, undefined));
 		},
-		/** Runs a command at a proxy, by its index, as whoever holds the token; undefined where nobody does. */
+		/** Runs a command at the proxy with this index as the operator with this token. Resolves to undefined if no operator has it. */
 		async run(proxy: number, token: string, command: string, changeId?: string): Promise<CommandAnswer | undefined> {
 			const who = access.identify(token);
 			if (!who) {
@@ -116,7 +116,7 @@
 	};
 }
 
-/** The configuration as it stands in the store, in force at once. */
+/** Creates a configuration that reads the groups from the store, so that changes are in force at once. */
 function createStoreConfiguration(store: ObjectStore): Configuration {
 	const getGroups = (): VersionedGroup[] => store.list('group', '').objects
 		.map(({version, value}) => ({version, ...groupKind.parse(value).state!}))
--- a/tests/golden/on-call-night-tests.ts
+++ b/tests/golden/on-call-night-tests.ts
@@ -7,7 +7,7 @@
 import {formatInstant} from '../../src/time/format-time.js';
 import {BOOTSTRAP_TOKEN, createOnCallBench} from './on-call-bench.js';
 
-/** The transcript; UPDATE_GOLDEN=1 writes it anew, to be read before it is committed. */
+/** The expected transcript. UPDATE_GOLDEN=1 rewrites it, and the new one must be reviewed before it is committed. */
 const GOLDEN = new URL('on-call-night.txt', import.meta.url);
 
 const CREATE_NIGHTS = 'create group nights '
@@ -15,7 +15,7 @@
 	+ 'endpoint nights-b at 10.0.0.2:5432 in hall-b connections 20 slots 3, '
 	+ 'endpoint nights-c at 10.0.0.3:5432 in hall-c connections 20 slots 3';
 
-/** Plays a night: notes, commands with their answers, and the time that passes between them. */
+/** Creates a bench that keeps a transcript of notes, and of commands with their answers and times. */
 function createNight() {
 	const bench = createOnCallBench();
 	const lines: string[] = [];
@@ -43,9 +43,9 @@
 }
 
 describe('on-call night', () => {
-	// A storm of refusals at night: members' pulls are refused, the host that refused them is replaced, and two operators answer
-	// the alarm at once. Everything that they see is in the transcript.
-	it('goes as in the golden transcript', async () => {
+	// Many reads are refused, the host that refused them is replaced, and two operators respond to the alarm at the same time.
+	// The transcript contains everything that they see.
+	it('gives the golden transcript', async () => {
 		const night = createNight();
 		const {bench} = night;
 		const [entry1] = bench.hosts;
@@ -83,7 +83,7 @@
 			entry1!.record(bench.createRecord());
 		}
 
-		bench.sightings.note({
+		bench.recentSessions.note({
 			session: {id: '5f0c2b9a', issuedAt: 0, floors: {nights: {term: 7, position: 48_207}}}, group: 'nights', requestId: record.requestId, at: bench.clock.wall(),
 		});
 		await night.pass(2000);
--- a/tests/golden/roaming-session-tests.ts
+++ b/tests/golden/roaming-session-tests.ts
@@ -1,9 +1,9 @@
 import {expectGolden} from './golden-file.js';
 import {startSessionScript} from './session-script.js';
 
-describe('golden: a session roams over three proxies', () => {
-	// A member's band syncs a night through one proxy. The coach's tablet, with the token that the sync answered,
-	// reads it through two others while replication lags: a stale answer would plan a hard session on a bad night.
+describe('golden: a session uses three proxies', () => {
+	// One caller writes a row through one proxy. Another caller, with the token that the write returned, reads it through two
+	// other proxies while replication lags. No read may return data from before the session's own writes.
 	it('reads its own writes at every proxy', async () => {
 		const script = await startSessionScript();
 		const {system} = script;
--- a/tests/golden/session-script.ts
+++ b/tests/golden/session-script.ts
@@ -3,42 +3,42 @@
 import type {Session} from '../../src/sessions/session.js';
 import {createSimulatedSystem, type SimulatedSystem, type SimulatedSystemOptions} from '../../src/stand-ins/system/simulated-system.js';
 
-/** A caller of a scripted session, holding its token as a tablet or a browser would. */
+/** A caller of a scripted session, which keeps its token as a client would. */
 export type ScriptedCaller = {
-	/** Sends a request to a proxy and writes question and answer down. */
+	/** Sends a request to a proxy and adds the request and its answer to the transcript. */
 	ask(proxy: string, group: string, body: Record<string, unknown>): Promise<CallerAnswer>;
-	/** Asks for the outcome of a request. */
+	/** Requests the outcome of a request, and adds it to the transcript. */
 	askOutcome(proxy: string, group: string, requestId: string): Promise<CallerAnswer>;
-	/** The header the next request carries; assign to lose or forge it. */
+	/** The session header of the next request. Assign it to simulate a lost or forged token. */
 	token: string | undefined;
 };
 
-/** A session played on a simulated system, with its transcript. */
+/** A session on a simulated system, with its transcript. */
 export type SessionScript = {
 	readonly system: SimulatedSystem;
 	createCaller(name: string, token?: string): ScriptedCaller;
-	/** Writes an event of the story down. */
+	/** Adds an event to the transcript. */
 	note(event: string): void;
-	/** Lets time pass and writes it down. */
+	/** Advances the clock and adds the wait to the transcript. */
 	wait(ms: number): Promise<void>;
 	getTranscript(): string;
 	end(): Promise<void>;
 };
 
-/** Three proxies and Granite Loop's sleep logs: three servers, 20 connections and 3 slots each. */
+/** Three proxies and one group with three servers, with 20 connections and 3 slots each. */
 export const SLEEP_LOGS: SimulatedSystemOptions = {
 	proxies: 3,
 	availabilityZones: ['hall-a', 'hall-b', 'hall-c', 'hall-d'],
 	groups: [{name: 'sleep-logs', availabilityZones: ['hall-a', 'hall-b', 'hall-c']}],
 };
 
-/** How a transcript is written. */
+/** Options of a transcript. */
 export type TranscriptOptions = {
-	/** Leaves times out, for sessions in which they say more of settings than of the story. */
+	/** Omits times, for sessions in which they would depend on settings that are not under test. */
 	readonly hidesTimes?: boolean;
 };
 
-/** Starts a system and an empty transcript. */
+/** Starts a simulated system with an empty transcript. */
 export async function startSessionScript(options: SimulatedSystemOptions = SLEEP_LOGS, {hidesTimes = false}: TranscriptOptions = {}): Promise<SessionScript> {
 	const system = createSimulatedSystem(options);
 	await system.start();
@@ -59,9 +59,9 @@
 		return session ? describeSession(session) : `"${token}"`;
 	};
 
-	const noteAnswer = (answer: CallerAnswer, sentAt: number) => {
-		const lasted = hidesTimes ? '' : ` after ${Math.round(clock.now() - sentAt)} ms`;
-		lines.push(`    ${describeOutcome(answer)}${lasted}`);
+	const addAnswer = (answer: CallerAnswer, sentAt: number) => {
+		const duration = hidesTimes ? '' : ` after ${Math.round(clock.now() - sentAt)} ms`;
+		lines.push(`    ${describeOutcome(answer)}${duration}`);
 		if (answer.rows && answer.rows.length > 0) {
 			lines.push(...answer.rows.map(row => `    row ${JSON.stringify(row)}`));
 		}
@@ -70,11 +70,11 @@
 	};
 
 	const createCaller = (name: string, token?: string): ScriptedCaller => {
-		const play = async (proxy: string, question: string, asking: () => Promise<CallerAnswer>) => {
-			note(`${name} at ${proxy}: ${question}, ${describeToken(caller.token)}`);
+		const play = async (proxy: string, description: string, send: () => Promise<CallerAnswer>) => {
+			note(`${name} at ${proxy}: ${description}, ${describeToken(caller.token)}`);
 			const sentAt = clock.now();
-			const answer = await clock.runUntil(asking());
-			noteAnswer(answer, sentAt);
+			const answer = await clock.runUntil(send());
+			addAnswer(answer, sentAt);
 			caller.token = answer.session ?? caller.token;
 			return answer;
 		};
@@ -84,8 +84,8 @@
 			token,
 			async ask(proxy, group, body) {
 				const req = callerRequestSchema.parse(body);
-				const question = `${req.kind} ${group} ${req.statement} ${JSON.stringify(req.values)}`;
-				return play(proxy, question, async () => getEntry(proxy).execute(group, req, caller.token));
+				const description = `${req.kind} ${group} ${req.statement} ${JSON.stringify(req.values)}`;
+				return play(proxy, description, async () => getEntry(proxy).execute(group, req, caller.token));
 			},
 			async askOutcome(proxy, group, requestId) {
 				return play(proxy, `what became of the request in ${group}?`, async () => getEntry(proxy).resolveOutcome(group, requestId, caller.token));
@@ -110,8 +110,8 @@
 function describeOutcome(answer: CallerAnswer): string {
 	const {outcome, refusal} = answer;
 	if (refusal) {
-		const comeBack = refusal.retryAfterMs === undefined ? '' : `, come back in ${Math.round(refusal.retryAfterMs)} ms`;
-		return `${outcome}: ${refusal.code}, ${refusal.reason}${comeBack}`;
+		const retryAfter = refusal.retryAfterMs === undefined ? '' : `, come back in ${Math.round(refusal.retryAfterMs)} ms`;
+		return `${outcome}: ${refusal.code}, ${refusal.reason}${retryAfter}`;
 	}
 
 	const where = answer.servedBy ? ` by ${answer.servedBy} at (${answer.term}, ${answer.position})` : '';
