--- a/src/explanations/batch-recorder.ts
+++ b/src/explanations/batch-recorder.ts
@@ -116,7 +116,7 @@
 			const dropped = pendingBatches.shift()!;
 			lost += dropped.seen;
 			lostSinceBatch += dropped.seen + dropped.value.lostBefore;
-			log.warn('a batch of records was lost, the platform gave no answer for too long', {records: dropped.seen});
+			log.warn('a batch of records was dropped because the platform did not store it in time', {records: dropped.seen});
 		}
 	};
 
@@ -157,7 +157,7 @@
 		try {
 			await putBatch(batch, timeoutMs);
 		} catch {
-			log.warn('a batch of records waits, the platform gave no answer', {waiting: pendingBatches.length});
+			log.warn('a batch of records is waiting because a call to the platform failed', {waiting: pendingBatches.length});
 			return false;
 		}
 
--- a/src/explanations/batch-sweeper.ts
+++ b/src/explanations/batch-sweeper.ts
@@ -65,7 +65,7 @@
 		try {
 			await sweep(minute, signal);
 		} catch {
-			log.info('old batches of records were left for the next sweep, the platform gave no answer');
+			log.info('expired batches of records were left to the next sweep because a call to the platform failed');
 		}
 	};
 
--- a/tests/random-check/history.ts
+++ b/tests/random-check/history.ts
@@ -9,7 +9,7 @@
 export type Key = {
 	readonly id: string;
 	/** The value that the request adds to the table. */
-	readonly night: number;
+	readonly rowId: number;
 	/** Number of submissions without an answer or with an unknown outcome. */
 	open: number;
 	/** Term of the first acknowledgement. */
@@ -54,21 +54,21 @@
 	};
 
 	const checkAcknowledged = (key: Key, runs: Runs, where: string) => {
-		if ((runs.get(key.night) ?? 0) === 0) {
-			violations.push(`acknowledged write lost: ${key.night} of term ${key.ackedTerm!} is missing ${where}`);
+		if ((runs.get(key.rowId) ?? 0) === 0) {
+			violations.push(`acknowledged write lost: ${key.rowId} of term ${key.ackedTerm!} is missing ${where}`);
 		}
 	};
 
 	const checkNotRun = (key: Key, runs: Runs, where: string) => {
-		if ((runs.get(key.night) ?? 0) > 0) {
-			violations.push(`not-run contradicted: ${key.night} ran ${where}`);
+		if ((runs.get(key.rowId) ?? 0) > 0) {
+			violations.push(`not-run contradicted: ${key.rowId} ran ${where}`);
 		}
 	};
 
 	const checkDuplicates = (runs: Runs, where: string) => {
-		for (const [night, count] of runs) {
+		for (const [rowId, count] of runs) {
 			if (count > 1) {
-				violations.push(`ran twice: ${String(night)} ran ${count} times ${where}`);
+				violations.push(`ran twice: ${String(rowId)} ran ${count} times ${where}`);
 			}
 		}
 	};
@@ -89,7 +89,7 @@
 
 	const checkContradiction = (key: Key) => {
 		if (key.ackedTerm !== undefined && key.notRunTerm !== undefined) {
-			violations.push(`not-run contradicted: ${key.night} was acknowledged as well`);
+			violations.push(`not-run contradicted: ${key.rowId} was acknowledged as well`);
 		}
 	};
 
@@ -98,7 +98,7 @@
 		violations,
 		figures,
 		addKey(id) {
-			const key: Key = {id, night: keys.length + 1, open: 0};
+			const key: Key = {id, rowId: keys.length + 1, open: 0};
 			keys.push(key);
 			return key;
 		},
@@ -123,8 +123,8 @@
 		recordRead(rows, mustHold, what) {
 			figures.reads++;
 			for (const key of mustHold) {
-				if (!rows.has(key.night)) {
-					violations.push(`stale read: ${what} lacks ${key.night} of term ${key.ackedTerm!}`);
+				if (!rows.has(key.rowId)) {
+					violations.push(`stale read: ${what} lacks ${key.rowId} of term ${key.ackedTerm!}`);
 				}
 			}
 		},
@@ -159,7 +159,7 @@
 	};
 }
 
-/** Counts how often each night was added. */
+/** Counts how often each row id was added. */
 function countRuns(log: DatabaseLog): Runs {
 	const runs = new Map<unknown, number>();
 	for (let position = 1; position <= log.end.position; position++) {
--- a/tests/random-check/run-schedule.ts
+++ b/tests/random-check/run-schedule.ts
@@ -1,7 +1,7 @@
 import {Outcome} from '../../src/callers/caller-answer.js';
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {
-	createStepRunner, getAcked, getNights, READ,
+	createStepRunner, getAcked, getRowIds, READ,
 } from './step-runner.js';
 import type {GuardBreak} from './guard-breaks.js';
 import type {Figures} from './history.js';
@@ -123,7 +123,7 @@
 	void (async () => {
 		const answer = await entry.execute(GROUP, READ, undefined);
 		if (answer.outcome === Outcome.Done) {
-			history.recordRead(getNights(answer), getAcked(history.keys), 'the last read');
+			history.recordRead(getRowIds(answer), getAcked(history.keys), 'the last read');
 		}
 	})();
 
--- a/tests/random-check/step-runner.ts
+++ b/tests/random-check/step-runner.ts
@@ -43,7 +43,7 @@
 			...READ,
 			kind: 'write',
 			statement: `INSERT INTO ${TABLE} (id) VALUES ($1)`,
-			values: [key.night],
+			values: [key.rowId],
 			requestId: key.id,
 			attempt: step.kind === 'write' ? 1 : 2,
 			deadlineMs: step.deadlineMs,
@@ -70,7 +70,7 @@
 		}
 
 		if (answer.outcome === Outcome.Done) {
-			history.recordRead(getNights(answer), mustHold, `a read (${step.how}) at ${answer.servedBy!}`);
+			history.recordRead(getRowIds(answer), mustHold, `a read (${step.how}) at ${answer.servedBy!}`);
 		}
 	};
 
@@ -163,7 +163,7 @@
 	return keys.filter(({ackedTerm}) => ackedTerm !== undefined);
 }
 
-/** Returns the nights in a read's rows. */
-export function getNights(answer: CallerAnswer): ReadonlySet<unknown> {
+/** Returns the ids in a read's rows. */
+export function getRowIds(answer: CallerAnswer): ReadonlySet<unknown> {
 	return new Set(answer.rows!.map(({id}) => id));
 }
