--- a/tests/proofs/leaving-endpoints-tests.ts
+++ b/tests/proofs/leaving-endpoints-tests.ts
@@ -4,7 +4,7 @@
 import {ExchangeKind} from '../../src/stand-ins/database/exchange-kind.js';
 import {Outage} from '../../src/stand-ins/platform/platform-faults.js';
 import {
-	doProof, GROUP, pull, sync, type Proof, type ProofOptions,
+	doProof, GROUP, createRead, sync, type Proof, type ProofOptions,
 } from './proof-bench.js';
 import {startTraffic, type TrafficOptions} from './traffic.js';
 
@@ -183,7 +183,7 @@
 			index, refuses: /./v, pauseMs: 0, read: {deadlineMs: 30_000},
 			async before(proof) {
 				for (let count = 0; count < 60; count++) {
-					void proof.send(proof.owners[0]!, index === 0 ? sync(count, {deadlineMs: 30_000}) : pull({deadlineMs: 30_000}), 'new');
+					void proof.send(proof.owners[0]!, index === 0 ? sync(count, {deadlineMs: 30_000}) : createRead({deadlineMs: 30_000}), 'new');
 				}
 			},
 		}, {sizes: {serviceMs: 1500}});
--- a/tests/proofs/lost-writes-tests.ts
+++ b/tests/proofs/lost-writes-tests.ts
@@ -1,6 +1,6 @@
 import type {DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {
-	doProof, pull, describeAnswer, sync, type Proof,
+	doProof, createRead, describeAnswer, sync, type Proof,
 } from './proof-bench.js';
 
 const PRIMARY_ALONE = {config: {durability: 'primary'}} as const;
@@ -10,7 +10,7 @@
 };
 
 /** Writes one row that all servers have, and a second acknowledged one that only the primary has. */
-async function syncUnreplicated(proof: Proof) {
+async function writeUnreplicated(proof: Proof) {
 	const [primary, ...replicas] = proof.servers;
 	const first = await proof.ask(proof.owners[0]!, sync(41), 'new');
 	await proof.clock.advance(100);
@@ -22,12 +22,12 @@
 	// The group acknowledges writes that only its primary holds. A write is acknowledged and lost with the primary. The session
 	// must be told of the loss before it reads rows without the write, and continue afterwards.
 	doProof('once, to its own session', async proof => {
-		const written = await syncUnreplicated(proof);
+		const written = await writeUnreplicated(proof);
 		proof.servers[0]!.kill();
 		await proof.clock.advance(5000);
-		const told = await proof.ask(proof.outsider, pull(), written.session);
-		const next = await proof.ask(proof.owners[0]!, pull(), told.session);
-		const stranger = await proof.ask(proof.owners[0]!, pull(), undefined);
+		const told = await proof.ask(proof.outsider, createRead(), written.session);
+		const next = await proof.ask(proof.owners[0]!, createRead(), told.session);
+		const stranger = await proof.ask(proof.owners[0]!, createRead(), undefined);
 		return [describeAnswer(written), describeAnswer(told), describeAnswer(next), describeAnswer(stranger)];
 	}, ['done', 'not-run: write-lost', 'done: 41', 'done: 41'], PRIMARY_ALONE);
 
@@ -35,17 +35,17 @@
 	// promotion uses its log. If the session had been told of a loss in between, that would have been wrong.
 	doProof('only once no promotion can bring the write back', async proof => {
 		const [old, successor, third] = proof.servers;
-		const written = await syncUnreplicated(proof);
+		const written = await writeUnreplicated(proof);
 		old!.kill();
 		cutApart(successor!, third!);
 		await proof.clock.advance(5000);
-		const between = await proof.ask(proof.owners[0]!, pull({deadlineMs: 1000}), written.session);
+		const between = await proof.ask(proof.owners[0]!, createRead({deadlineMs: 1000}), written.session);
 		const promoted = `promoted: ${successor!.member.isPrimaryAt(2)}`;
 		successor!.kill();
 		old!.restart();
 		old!.faults.heal();
 		await proof.clock.advance(5000);
-		const after = await proof.ask(proof.owners[0]!, pull(), written.session);
+		const after = await proof.ask(proof.owners[0]!, createRead(), written.session);
 		return [describeAnswer(written), promoted, describeAnswer(between), describeAnswer(after)];
 	}, ['done', 'promoted: true', 'not-run: no-endpoint', 'done: 41, 43'], PRIMARY_ALONE);
 
@@ -56,9 +56,9 @@
 		const [owner = ''] = proof.owners;
 		const [old] = proof.servers;
 		const link = proof.getLink(owner, old!);
-		const written = await syncUnreplicated(proof);
-		await proof.ask(owner, pull({latest: true}), written.session);
-		const reading = proof.send(owner, pull({deadlineMs: 30_000}), undefined);
+		const written = await writeUnreplicated(proof);
+		await proof.ask(owner, createRead({latest: true}), written.session);
+		const reading = proof.send(owner, createRead({deadlineMs: 30_000}), undefined);
 		await proof.clock.advance(1.5);
 		link.setDelay(20_000);
 		await proof.clock.advance(1);
--- a/tests/proofs/not-run-tests.ts
+++ b/tests/proofs/not-run-tests.ts
@@ -72,8 +72,8 @@
 		doProof('the group is overloaded', async proof => {
 			const scores = Array.from({length: 400}, (_, index) => index + 1);
 			const proxies = proof.system.proxies.map(({name}) => name);
-			const syncs = scores.map(async score => proof.send(proxies[score % 3]!, sync(score, {class: 'deadline', deadlineMs: 100 + (score % 200)}), 'new'));
-			const answers = await proof.clock.runUntil(Promise.all(syncs));
+			const writes = scores.map(async score => proof.send(proxies[score % 3]!, sync(score, {class: 'deadline', deadlineMs: 100 + (score % 200)}), 'new'));
+			const answers = await proof.clock.runUntil(Promise.all(writes));
 			await proof.clock.advance(RECOVERY_MS);
 			const refused = answers.filter(({outcome}) => outcome === 'not-run').length;
 			return [`some are refused: ${refused > 0}`, ...findWrongAnswers(proof, answers)];
--- a/tests/proofs/own-answers-tests.ts
+++ b/tests/proofs/own-answers-tests.ts
@@ -2,17 +2,17 @@
 import type {PeerFaults} from '../../src/stand-ins/peers/network-wire.js';
 import {createPipes} from './pipe-endpoints.js';
 import {
-	doProof, GROUP, pull, describeAnswer, sync, type Body, type Proof,
+	doProof, GROUP, createRead, describeAnswer, sync, type Body, type Proof,
 } from './proof-bench.js';
 
-const COACHES = [1, 2, 3, 4, 5, 6];
+const MEMBERS = [1, 2, 3, 4, 5, 6];
 const RETURNING = 'INSERT INTO nights (member, score) VALUES ($1, $2) RETURNING score';
 
-const pullOf = (member: number, more: Body = {}) => pull({values: [`m-${member}`], ...more});
+const createReadOf = (member: number, more: Body = {}) => createRead({values: [`m-${member}`], ...more});
 
 /** Writes one row for each member, with the member's number as its score. */
-async function syncAllMembers(proof: Proof) {
-	for (const member of COACHES) {
+async function writeAllMembers(proof: Proof) {
+	for (const member of MEMBERS) {
 		await proof.ask(proof.outsider, sync(member, {values: [`m-${member}`, member]}), 'new');
 	}
 
@@ -25,20 +25,20 @@
 			// Six callers read six members' rows at once through a proxy that forwards the requests. The answers arrive late,
 			// twice or in another order. A caller must receive the requested member's row or none, never another member's.
 			doProof(`answers ${title}`, async proof => {
-				await syncAllMembers(proof);
+				await writeAllMembers(proof);
 				const {address} = proof.system.getProxyOrThrow(proof.outsider);
 				for (const owner of proof.owners) {
 					proof.system.network.setFaults(proof.system.getProxyOrThrow(owner).address, address, faults);
 				}
 
-				const early = COACHES.map(async member => proof.send(proof.outsider, pullOf(member, {deadlineMs: 1500})));
+				const early = MEMBERS.map(async member => proof.send(proof.outsider, createReadOf(member, {deadlineMs: 1500})));
 				await proof.clock.runUntil(Promise.all(early));
 				proof.system.network.heal();
-				const late = COACHES.toReversed().map(async member => proof.send(proof.outsider, pullOf(member)));
+				const late = MEMBERS.toReversed().map(async member => proof.send(proof.outsider, createReadOf(member)));
 				const answers = await proof.clock.runUntil(Promise.all(late));
 				const others = await findMixedUpAnswers(early);
 				return [...others, ...answers.map(answer => describeAnswer(answer))];
-			}, COACHES.toReversed().map(member => `done: ${member}`));
+			}, MEMBERS.toReversed().map(member => `done: ${member}`));
 		};
 
 		doTest('that arrive in another order', {crossAnswers: true});
@@ -54,7 +54,7 @@
 			// soon afterwards. On the old connection it would receive the first answer.
 			doProof(`an answer to ${title} that arrives too late`, async proof => {
 				const [owner = ''] = proof.owners;
-				await syncAllMembers(proof);
+				await writeAllMembers(proof);
 				for (const replica of proof.servers.slice(1)) {
 					replica.setReplicationStalled(true);
 				}
@@ -68,7 +68,7 @@
 			}, expected, {wrapEndpoints: pipes.wrap, config: {durability: 'primary'}});
 		};
 
-		doTest('a read', pullOf(1), pullOf(2), ['unknown: endpoint-silent', 'done: 2']);
+		doTest('a read', createReadOf(1), createReadOf(2), ['unknown: endpoint-silent', 'done: 2']);
 		doTest('a write', sync(7, {statement: RETURNING}), sync(8, {statement: RETURNING}), ['done: 7', 'done: 8']);
 	});
 
@@ -128,5 +128,5 @@
 /** Returns the answers that show rows of another caller's request. None is expected. */
 async function findMixedUpAnswers(asked: ReadonlyArray<ReturnType<Proof['send']>>): Promise<readonly string[]> {
 	const answers = await Promise.all(asked);
-	return answers.flatMap((answer, index) => answer.outcome === 'done' && describeAnswer(answer) !== `done: ${COACHES[index]}` ? [`m-${COACHES[index]} got ${describeAnswer(answer)}`] : []);
+	return answers.flatMap((answer, index) => answer.outcome === 'done' && describeAnswer(answer) !== `done: ${MEMBERS[index]}` ? [`m-${MEMBERS[index]} got ${describeAnswer(answer)}`] : []);
 }
--- a/tests/proofs/planned-stops-tests.ts
+++ b/tests/proofs/planned-stops-tests.ts
@@ -1,7 +1,7 @@
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import {BOOTSTRAP_OPERATOR} from '../../src/operators/create-operator-access.js';
 import {
-	doProof, GROUP, pull, sync, type Proof, type ProofOptions,
+	doProof, GROUP, createRead, sync, type Proof, type ProofOptions,
 } from './proof-bench.js';
 import {startTraffic, type Traffic, type TrafficOptions} from './traffic.js';
 
@@ -95,7 +95,7 @@
 			const [owner = ''] = proof.owners;
 			const written = await proof.ask(owner, sync(41), 'new');
 			await proof.clock.advance(1000);
-			const bodies = [1, 2, 3].flatMap(score => [pull({deadlineMs: 500}), sync(score, {deadlineMs: 500})]);
+			const bodies = [1, 2, 3].flatMap(score => [createRead({deadlineMs: 500}), sync(score, {deadlineMs: 500})]);
 			const asked = bodies.map(async body => proof.send(proof.outsider, body, written.session));
 			await proof.clock.advance(50);
 			await proof.clock.runUntil(proof.system.leave(owner));
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -60,7 +60,7 @@
 });
 
 /** Returns a read of the member's rows. */
-export const pull = (more: Body = {}): Body => ({
+export const createRead = (more: Body = {}): Body => ({
 	kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: [MEMBER], ...more,
 });
 
--- a/tests/proofs/read-your-writes-tests.ts
+++ b/tests/proofs/read-your-writes-tests.ts
@@ -1,6 +1,6 @@
 import {withFloor} from '../../src/sessions/session.js';
 import {
-	doProof, pull, describeAnswer, sync, type Body, type Proof,
+	doProof, createRead, describeAnswer, sync, type Body, type Proof,
 } from './proof-bench.js';
 
 const LONG_LAG_MS = 60_000;
@@ -10,7 +10,7 @@
 	const {session} = await proof.ask(proof.owners[0]!, sync(41), 'new');
 	await proof.clock.advance(2000);
 	for (const owner of proof.owners) {
-		await proof.ask(owner, pull({latest: true}), session);
+		await proof.ask(owner, createRead({latest: true}), session);
 	}
 
 	proof.servers[1]!.setReplicationLag(LONG_LAG_MS);
@@ -25,7 +25,7 @@
 			doProof(title, async proof => {
 				const before = await lagFirstReplica(proof);
 				const written = await proof.ask(proof.owners[0]!, sync(43), before);
-				const read = await proof.ask(proof.outsider, pull(), change(written.session!, proof));
+				const read = await proof.ask(proof.outsider, createRead(), change(written.session!, proof));
 				return [describeAnswer(written), describeAnswer(read)];
 			}, ['done', expected]);
 		};
@@ -46,7 +46,7 @@
 				proof.cutOff(cutOff, proof.servers[0]!);
 				await proof.clock.advance(10_000);
 				const written = await proof.ask(owner, sync(43), before);
-				const read = await proof.ask(cutOff, pull({deadlineMs: 2000, ...body}), getToken(written.session));
+				const read = await proof.ask(cutOff, createRead({deadlineMs: 2000, ...body}), getToken(written.session));
 				return [describeAnswer(written), describeAnswer(read)];
 			}, ['done', expected]);
 		};
@@ -63,9 +63,9 @@
 		doProof('keeps the writes of a token from before it', async proof => {
 			const {session} = await proof.ask(proof.owners[0]!, sync(41), 'new');
 			proof.servers[0]!.kill();
-			const early = await proof.ask(proof.owners[1]!, pull(), session);
+			const early = await proof.ask(proof.owners[1]!, createRead(), session);
 			const written = await proof.ask(proof.outsider, sync(43), session);
-			const late = await proof.ask(proof.owners[0]!, pull(), written.session);
+			const late = await proof.ask(proof.owners[0]!, createRead(), written.session);
 			return [describeAnswer(early), describeAnswer(written), describeAnswer(late)];
 		}, ['done: 41', 'done', 'done: 41, 43']);
 
@@ -80,14 +80,14 @@
 			await proof.clock.advance(15_000);
 			const written = await proof.ask(proof.owners[0]!, sync(43), before.session);
 			const {term, position} = old!.member.log.end;
-			const read = await proof.ask(proof.owners[0]!, pull(), written.session);
+			const read = await proof.ask(proof.owners[0]!, createRead(), written.session);
 			const [first] = await Promise.all(lost);
 			return [describeAnswer(first!), describeAnswer(written), `behind: (${term}, ${position}) and ${written.position}`, describeAnswer(read)];
 		}, ['unknown: not-confirmed', 'done', 'behind: (1, 7) and 4', 'done: 41, 43']);
 	});
 
 	describe('the age that a read accepts', () => {
-		const young = pull({maxAgeMs: 1000, deadlineMs: 20_000});
+		const young = createRead({maxAgeMs: 1000, deadlineMs: 20_000});
 
 		// Every replica lags by a minute, and the group acknowledges a write that only its primary holds. Five seconds later, a
 		// caller that has written nothing reads and accepts data of at most one second.
@@ -124,7 +124,7 @@
 			proof.servers[0]!.kill();
 			const written = await proof.ask(proof.owners[0]!, sync(43), session);
 			await proof.clock.advance(heldUntil - 100 - proof.clock.now());
-			await proof.ask(proof.owners[0]!, pull({latest: true}), session);
+			await proof.ask(proof.owners[0]!, createRead({latest: true}), session);
 			return [describeAnswer(written), describeAnswer(await proof.clock.runUntil(reading))];
 		}, ['done', 'done: 41, 43']);
 	});
--- a/tests/proofs/retries-tests.ts
+++ b/tests/proofs/retries-tests.ts
@@ -3,7 +3,7 @@
 import {throwNoAnswer} from '../../src/endpoints/endpoint-errors.js';
 import type {Endpoints} from '../../src/endpoints/endpoint.js';
 import {
-	doProof, GROUP, pull, describeAnswer, sync, type Proof,
+	doProof, GROUP, createRead, describeAnswer, sync, type Proof,
 } from './proof-bench.js';
 
 /** Returns the distinct answers with their numbers of occurrences, the most frequent first. */
@@ -17,11 +17,11 @@
 }
 
 /** Sends writes through all proxies at once, and returns the counted answers. */
-async function syncAtOnce(proof: Proof, howMany: number, deadlineMs: number): Promise<readonly string[]> {
+async function writeAtOnce(proof: Proof, howMany: number, deadlineMs: number): Promise<readonly string[]> {
 	const proxies = proof.system.proxies.map(({name}) => name);
-	const syncs = Array.from({length: howMany}, async (_, index) =>
+	const writes = Array.from({length: howMany}, async (_, index) =>
 		proof.send(proxies[index % proxies.length]!, sync(index + 1, {class: 'deadline', deadlineMs}), 'new'));
-	return count(await proof.clock.runUntil(Promise.all(syncs)));
+	return count(await proof.clock.runUntil(Promise.all(writes)));
 }
 
 /** Creates a wrapper that, once `isBroken` is set, breaks the connection of every write and counts these writes. */
@@ -81,7 +81,7 @@
 			doProof(title, async proof => {
 				await proof.ask(proof.owners[0]!, sync(40), 'new');
 				fail(proof);
-				return syncAtOnce(proof, 50, 15_000);
+				return writeAtOnce(proof, 50, 15_000);
 			}, ['50 done']);
 		};
 
@@ -107,7 +107,7 @@
 		await proof.ask(owner, sync(40), 'new');
 		proof.servers[2]!.faults.freeze();
 		for (let round = 0; round < 500; round++) {
-			await proof.clock.runUntil(Promise.all([proof.send(owner, pull()), proof.send(other, pull())]));
+			await proof.clock.runUntil(Promise.all([proof.send(owner, createRead()), proof.send(other, createRead())]));
 		}
 
 		proof.servers[2]!.faults.thaw();
@@ -139,9 +139,9 @@
 		await proof.clock.advance(1000);
 		const answers = [];
 		for (let round = 0; round < 100; round++) {
-			await proof.ask(owner, pull({deadlineMs: 3}), 'new');
+			await proof.ask(owner, createRead({deadlineMs: 3}), 'new');
 			await proof.ask(owner, sync(41, {values: ['m-1', 41], deadlineMs: 3}), 'new');
-			answers.push(await proof.ask(owner, pull(), 'new'));
+			answers.push(await proof.ask(owner, createRead(), 'new'));
 		}
 
 		const byReplicas = answers.filter(({servedBy}) => servedBy !== 'sleep-logs-1');
@@ -156,7 +156,7 @@
 	doProof('the retries of a failing group stay within the retry budget', async proof => {
 		await proof.ask(proof.owners[0]!, sync(40), 'new');
 		breaker.isBroken = true;
-		await syncAtOnce(proof, 60, 2000);
+		await writeAtOnce(proof, 60, 2000);
 		const retries = breaker.writes - 60;
 		return [retries > 0 && retries <= 3 * 7 ? 'within budget' : `${retries} retries`, proof.getScores()];
 	}, ['within budget', 'stands: 40'], {wrapEndpoints: breaker.wrap});
@@ -184,7 +184,7 @@
 				const requestId = proof.createId();
 				await proof.ask(proof.outsider, sync(40), 'new');
 				await proof.clock.advance(1000);
-				await proof.ask(proof.owners[1]!, pull({latest: true}));
+				await proof.ask(proof.owners[1]!, createRead({latest: true}));
 				fail(proof);
 				void proof.send(proof.outsider, sync(41, {requestId}), 'new');
 				await proof.clock.advance(20);
@@ -192,7 +192,7 @@
 				await proof.clock.advance(500);
 				const outcome = await proof.askOutcome(proof.owners[0]!, requestId, 'new');
 				await proof.clock.advance(5000);
-				const read = await proof.ask(proof.owners[1]!, pull(), outcome.session);
+				const read = await proof.ask(proof.owners[1]!, createRead(), outcome.session);
 				return [describeAnswer(outcome), describeAnswer(read)];
 			}, [expected, shown]);
 		};
--- a/tests/proofs/traffic.ts
+++ b/tests/proofs/traffic.ts
@@ -1,7 +1,7 @@
 import {callerRequestSchema} from '../../src/callers/caller-request.js';
 import type {CallerAnswer} from '../../src/callers/caller-answer.js';
 import {
-	GROUP, pull, describeAnswer, sync, type Body, type Proof,
+	GROUP, createRead, describeAnswer, sync, type Body, type Proof,
 } from './proof-bench.js';
 
 /** Callers that send one request after the other through every proxy until they are stopped. */
@@ -58,7 +58,7 @@
 	};
 
 	const startReader = async (home: string, token: string | undefined) => repeat(home, async proxy => {
-		count('read', await proof.send(proxy, pull(read), token));
+		count('read', await proof.send(proxy, createRead(read), token));
 	});
 
 	const startWriter = async (home: string) => repeat(home, async proxy => {
--- a/tests/proofs/transactions-tests.ts
+++ b/tests/proofs/transactions-tests.ts
@@ -2,7 +2,7 @@
 import type {CallerAnswer} from '../../src/callers/caller-answer.js';
 import {createPipes} from './pipe-endpoints.js';
 import {
-	doProof, GROUP, pull, describeAnswer, type Body, type Proof,
+	doProof, GROUP, createRead, describeAnswer, type Body, type Proof,
 } from './proof-bench.js';
 
 const RETURNING = 'INSERT INTO nights (member, score) VALUES ($1, $2) RETURNING score';
@@ -137,7 +137,7 @@
 			const committed = await commit(proof, proof.outsider, id);
 			const reads = [];
 			for (const {name} of proof.system.proxies) {
-				reads.push(describeAnswer(await proof.ask(name, pull(), committed.session)));
+				reads.push(describeAnswer(await proof.ask(name, createRead(), committed.session)));
 			}
 
 			const again = await commit(proof, proof.outsider, id);
@@ -173,7 +173,7 @@
 			const committed = await proof.clock.runUntil(committing);
 			old!.faults.heal();
 			await proof.clock.advance(5000);
-			const read = await proof.ask(proof.outsider, pull(), committed.session);
+			const read = await proof.ask(proof.outsider, createRead(), committed.session);
 			return [entry, describeAnswer(committed), describeAnswer(read), ...listCommitted(proof)];
 		}, ['at the old primary: true', 'not-run: resolved', 'done: 1', 'committed: 1']);
 	});
