--- a/tests/proofs/transactions-tests.ts
+++ b/tests/proofs/transactions-tests.ts
@@ -144,7 +144,7 @@
 			return [describeAnswer(committed), ...reads, describeAnswer(again), ...listCommitted(proof)];
 		}, ['done', 'done: 1', 'done: 1', 'done: 1', 'done', 'committed: 1']);
 
-		// The commit is lost on its way to the primary and arrives long after the caller was told that nothing ran.
+		// The link to the primary is cut, so the commit arrives long after the caller was told that nothing ran.
 		doProof('that did not arrive is not run, also when it comes later', async proof => {
 			const [owner = ''] = proof.owners;
 			const id = await begin(proof, owner);
