--- a/src/cli/run-report.ts
+++ b/src/cli/run-report.ts
@@ -53,6 +53,6 @@
 
 async function noteLines(lines: AsyncIterable<string>, reporter: FleetReporter) {
 	for await (const line of lines) {
-		reporter.note(line);
+		reporter.addLine(line);
 	}
 }
--- a/tests/operators/create-operator-commands-tests.ts
+++ b/tests/operators/create-operator-commands-tests.ts
@@ -139,7 +139,7 @@
 	// Dana is deleted. A host whose watch has gone silent still identifies her as an operator.
 	it('are refused, where they change something, for a deleted operator at a host that has not received the deletion', async () => {
 		const bench = await createBench();
-		await bench.runUnheard('delete operator dana');
+		await bench.runThroughOtherHost('delete operator dana');
 		expect(bench.access.identify('token of dana')).to.deep.equal({name: 'dana', role: 'operate'});
 		const answer = await bench.run(0, 'token of dana', 'set group nights read-age 1s');
 		expect(answer).to.include({status: 'refused', text: 'Refused, nothing was changed: dana may not change anything any more.'});
--- a/tests/owners/read-path-tests.ts
+++ b/tests/owners/read-path-tests.ts
@@ -1,4 +1,4 @@
-import {doProof, MEMBER, sync} from '../proofs/proof-bench.js';
+import {doProof, MEMBER, createWrite} from '../proofs/proof-bench.js';
 
 describe('read path', () => {
 	const doTest = (title: string, quietMs: number, answerDelayMs: number) => {
@@ -7,7 +7,7 @@
 		// the rows arrive.
 		doProof(title, async proof => {
 			const [owner = ''] = proof.owners;
-			const {term = 0, position = 0} = await proof.ask(owner, sync(41), 'new');
+			const {term = 0, position = 0} = await proof.ask(owner, createWrite(41), 'new');
 			await proof.clock.advance(quietMs);
 			for (const {faults} of proof.servers) {
 				faults.delayAnswers(answerDelayMs);
