--- a/src/stand-ins/database/backend.ts
+++ b/src/stand-ins/database/backend.ts
@@ -12,49 +12,49 @@
 import {executeStatement} from './statement-execution.js';
 import {parseStatement, StatementKind} from './statement.js';
 
-/** The statements' side of one connection at the server. */
+/** Executes the statements of one connection at the server. */
 export type Backend = {
 	readonly inTransaction: boolean;
-	/** Runs a keyed write; rejects with DatabaseError where its key stays in flight elsewhere for `waitMs`. */
+	/** Runs a keyed write; rejects with DatabaseError if another transaction keeps the key in flight for `waitMs` milliseconds. */
 	write(write: KeyedWrite, waitMs: number): Promise<KeyedWriteAnswer>;
 	resolve(requestId: string, term: number, waitMs: number): Promise<KeyedWriteAnswer>;
 	read(read: FloorRead): Promise<FloorReadAnswer>;
 	begin(key: TransactionKey, waitMs: number): Promise<KeyedWriteAnswer>;
 	run(statement: string, values: readonly unknown[]): Promise<StatementAnswer>;
 	commit(): Promise<KeyedWriteAnswer>;
-	/** Ends the open transaction, if there is one, without effect. */
+	/** Rolls back the open transaction, if there is one. */
 	rollback(): void;
 };
 
-/** What a backend needs of its server. */
+/** Options of {@link createBackend}. */
 export type BackendOptions = {
 	readonly member: GroupMember;
 	readonly memory: ServerMemory;
 	readonly clock: Clock;
-	/** Takes the time of one statement; rejects with DatabaseError when the server dies meanwhile. */
+	/** Waits for the service time of one statement; rejects with DatabaseError if the connection or the server ends meanwhile. */
 	serve(): Promise<void>;
-	/** Throws DatabaseError where the server has died. */
+	/** Throws DatabaseError if the connection or the server has ended. */
 	checkAlive(): void;
 };
 
-type KeyRequest = {
+type KeyLookup = {
 	readonly requestId: string;
-	/** Absent in a resolve, which takes whatever stands. */
+	/** Absent in a resolve, which accepts a record of any digest. */
 	readonly digest?: string;
 	readonly term: number;
 	readonly waitMs: number;
-	/** Called in the same instant in which the key was found absent. */
+	/** Called synchronously once the key was found absent. */
 	onAbsent(): KeyedWriteAnswer | Promise<KeyedWriteAnswer>;
 };
 
 /** Creates the backend of a new connection. */
 export function createBackend({member, memory, clock, serve, checkAlive}: BackendOptions): Backend {
 	const {slots, keysInFlight} = memory;
-	let open: KeyedTransaction | undefined;
+	let openTransaction: KeyedTransaction | undefined;
 
-	const answer = (result: KeyedWriteResult): KeyedWriteAnswer => ({result, status: member.getStatus()});
+	const createAnswer = (result: KeyedWriteResult): KeyedWriteAnswer => ({result, status: member.getStatus()});
 
-	const inSlot = async <T>(work: () => Promise<T>): Promise<T> => {
+	const runInSlot = async <T>(work: () => Promise<T>): Promise<T> => {
 		await slots.take();
 		try {
 			checkAlive();
@@ -64,7 +64,7 @@
 		}
 	};
 
-	/** Waits for another transaction's key without holding a slot: its owner may need one to end. */
+	/** Waits until another transaction releases the key. The slot is released meanwhile, since that transaction may need one to end. */
 	const waitForKey = async (inFlight: Promise<void>, ms: number) => {
 		slots.release();
 		const waited = await withinMs(clock, ms, inFlight);
@@ -76,16 +76,16 @@
 	};
 
 	/**
-	 * Answers what stands under a key, or goes on where nothing does.
+	 * Returns the recorded answer of a key, or calls `onAbsent` if the key has no record and is not in flight.
 	 *
-	 * Two tries of one request that wait for the same key would both run if they could find it absent before either
-	 * inserts it. So `onAbsent` is called in the instant of the check, with no other task in between.
+	 * Two attempts of one request that wait for the same key would both run if both could find it absent before either
+	 * inserts it. So `onAbsent` is called synchronously after the check, with no other task in between.
 	 */
-	const withKey = async ({requestId, digest, term, waitMs, onAbsent}: KeyRequest): Promise<KeyedWriteAnswer> => {
-		const until = clock.now() + waitMs;
+	const findAnswerOrRun = async ({requestId, digest, term, waitMs, onAbsent}: KeyLookup): Promise<KeyedWriteAnswer> => {
+		const deadlineAt = clock.now() + waitMs;
 		for (;;) {
 			if (!member.isPrimaryAt(term)) {
-				return answer(KeyedWriteResult.NotPrimary);
+				return createAnswer(KeyedWriteResult.NotPrimary);
 			}
 
 			const record = member.state.getKey(requestId);
@@ -98,19 +98,19 @@
 				return onAbsent();
 			}
 
-			await waitForKey(inFlight, Math.max(0, until - clock.now()));
+			await waitForKey(inFlight, Math.max(0, deadlineAt - clock.now()));
 		}
 	};
 
-	/** Writes the transaction's one entry; the role is checked in the same instant, so that no superseded primary commits. */
+	/** Appends the transaction to the log as one entry. The role is checked synchronously before it, so that no superseded primary commits. */
 	const commitTransaction = (transaction: KeyedTransaction, rows: readonly Row[]): KeyedWriteAnswer => {
 		const {requestId, digest, term} = transaction.key;
 		if (!member.isPrimaryAt(term)) {
-			return answer(KeyedWriteResult.NotPrimary);
+			return createAnswer(KeyedWriteResult.NotPrimary);
 		}
 
 		member.append({key: {requestId, record: {kind: 'answer', digest, rows}}, changes: transaction.getChanges()});
-		return {...answer(KeyedWriteResult.Ran), rows};
+		return {...createAnswer(KeyedWriteResult.Ran), rows};
 	};
 
 	const runKeyedWrite = async (write: KeyedWrite): Promise<KeyedWriteAnswer> => {
@@ -120,7 +120,7 @@
 			return commitTransaction(transaction, transaction.run(write.statement, write.values));
 		} catch (err) {
 			checkAlive();
-			return {...answer(KeyedWriteResult.Failed), message: getMessageOrThrow(err)};
+			return {...createAnswer(KeyedWriteResult.Failed), message: getMessageOrThrow(err)};
 		} finally {
 			transaction.end();
 		}
@@ -155,51 +155,51 @@
 	};
 
 	const rollback = () => {
-		open?.end();
-		open = undefined;
+		openTransaction?.end();
+		openTransaction = undefined;
 	};
 
 	return {
 		get inTransaction() {
-			return open !== undefined;
+			return openTransaction !== undefined;
 		},
-		write: async (write, waitMs) => inSlot(async () =>
-			withKey({...write, waitMs, onAbsent: async () => runKeyedWrite(write)})),
-		resolve: async (requestId, term, waitMs) => inSlot(async () => withKey({
+		write: async (write, waitMs) => runInSlot(async () =>
+			findAnswerOrRun({...write, waitMs, onAbsent: async () => runKeyedWrite(write)})),
+		resolve: async (requestId, term, waitMs) => runInSlot(async () => findAnswerOrRun({
 			requestId,
 			term,
 			waitMs,
 			onAbsent() {
 				member.append({key: {requestId, record: {kind: 'tombstone'}}, changes: []});
-				return answer(KeyedWriteResult.Tombstone);
+				return createAnswer(KeyedWriteResult.Tombstone);
 			},
 		})),
-		read: async read => inSlot(async () => runRead(read)),
-		begin: async (key, waitMs) => inSlot(async () => withKey({
+		read: async read => runInSlot(async () => runRead(read)),
+		begin: async (key, waitMs) => runInSlot(async () => findAnswerOrRun({
 			...key,
 			waitMs,
 			onAbsent() {
-				// As in PostgreSQL, a BEGIN within a transaction is only warned of: what follows belongs to the open one.
-				open ??= createKeyedTransaction(key, member.state, memory);
-				return {...answer(KeyedWriteResult.Ran), rows: []};
+				// As in PostgreSQL, a BEGIN within a transaction has no effect: the statements that follow belong to the open transaction.
+				openTransaction ??= createKeyedTransaction(key, member.state, memory);
+				return {...createAnswer(KeyedWriteResult.Ran), rows: []};
 			},
 		})),
-		run: async (statement, values) => inSlot(async () => {
+		run: async (statement, values) => runInSlot(async () => {
 			try {
 				await serve();
-				return {rows: open ? open.run(statement, values) : throwStatementError('no transaction is open')};
+				return {rows: openTransaction ? openTransaction.run(statement, values) : throwStatementError('no transaction is open')};
 			} catch (err) {
 				checkAlive();
 				return {rows: [], message: getMessageOrThrow(err)};
 			}
 		}),
-		commit: async () => inSlot(async () => {
-			if (!open || open.failed) {
+		commit: async () => runInSlot(async () => {
+			if (!openTransaction || openTransaction.failed) {
 				rollback();
-				return {...answer(KeyedWriteResult.Failed), message: 'the transaction had failed and was rolled back'};
+				return {...createAnswer(KeyedWriteResult.Failed), message: 'the transaction had failed and was rolled back'};
 			}
 
-			const committed = commitTransaction(open, []);
+			const committed = commitTransaction(openTransaction, []);
 			rollback();
 			return committed;
 		}),
--- a/src/stand-ins/database/database-errors.ts
+++ b/src/stand-ins/database/database-errors.ts
@@ -1,16 +1,16 @@
 import ModernError from 'modern-errors';
 
-/** Codes of errors by which the stand-in server ends an exchange; the PostgreSQL front sends them as SQLSTATE. */
+/** Codes of the errors with which the stand-in server ends an exchange; the PostgreSQL listener sends them as SQLSTATE. */
 export const DatabaseErrorCode = {
-	/** The server or the connection died during the exchange. */
+	/** The server or the connection ended during the exchange. */
 	ConnectionLost: '57P01',
-	/** The server grants no more connections. */
+	/** The server has reached its connection limit. */
 	TooManyConnections: '53300',
-	/** A request key stayed in flight for longer than the exchange may wait. */
+	/** A request key was in flight for longer than the exchange may wait. */
 	LockTimeout: '55P03',
-	/** The statement is wrong or conflicts with another. */
+	/** The statement is invalid or conflicts with another transaction. */
 	Statement: '42000',
-	/** A statement came after the transaction had failed. */
+	/** A statement was received after the transaction had failed. */
 	TransactionFailed: '25P02',
 	/** The server is not primary at the transaction's term. */
 	NotPrimary: '25006',
@@ -19,7 +19,7 @@
 /** One of the codes in {@link DatabaseErrorCode}. */
 export type DatabaseErrorCode = typeof DatabaseErrorCode[keyof typeof DatabaseErrorCode];
 
-/** An exchange that the stand-in server ended with an error in place of an answer. */
+/** The stand-in server ended an exchange with an error instead of an answer. */
 export const DatabaseError = ModernError.subclass('DatabaseError', {
 	props: {code: DatabaseErrorCode.Statement as DatabaseErrorCode},
 });
--- a/src/stand-ins/database/database-group.ts
+++ b/src/stand-ins/database/database-group.ts
@@ -4,21 +4,22 @@
 	createDatabaseServer, DEFAULT_SERVER_SIZES, type DatabaseServer, type DatabaseServerSizes,
 } from './database-server.js';
 
-/** A stand-in database group. */
+/** A group of in-memory database servers that replicate from one primary. */
 export type DatabaseGroup = {
 	readonly servers: readonly DatabaseServer[];
+	/** Returns the server at the address; throws Error if there is none. */
 	getServerOrThrow(address: string): DatabaseServer;
-	/** Ends the servers' background work. */
+	/** Ends the servers' connections and background work. */
 	stop(): void;
 };
 
-/** What a stand-in group needs. */
+/** Options of {@link createDatabaseGroup}. */
 export type DatabaseGroupOptions = {
-	/** `ip:port` of each server; the first one begins as primary at term 1. */
+	/** `ip:port` of each server; the first one starts as primary at term 1. */
 	readonly addresses: readonly string[];
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Sizes of all servers; the defaults hold for what is absent. */
+	/** Capacities and durations of all servers; absent ones take their defaults. */
 	readonly sizes?: Partial<DatabaseServerSizes>;
 };
 
--- a/src/stand-ins/database/database-log.ts
+++ b/src/stand-ins/database/database-log.ts
@@ -1,27 +1,27 @@
 import {LOG_START, type LogPosition} from '../../terms/log-position.js';
 import type {LogEffect} from './database-state.js';
 
-/** One entry of a server's log; servers share the object, none changes it. */
+/** One entry of a server's log. The object is immutable and shared by all servers that hold the entry. */
 export type LogEntry = {
 	readonly term: number;
-	/** From 1. */
+	/** Position in the log, from 1. */
 	readonly position: number;
 	readonly effect: LogEffect;
-	/** When its primary wrote it, on the clock's `now`. */
+	/** Time at which its primary wrote it, as returned by the clock's `now`. */
 	readonly writtenAt: number;
 };
 
 /** A server's log. */
 export type DatabaseLog = {
-	/** Where the log ends. */
+	/** Position of the last entry. */
 	readonly end: LogPosition;
-	/** The entry at a position from 1. */
+	/** Returns the entry at a position, counted from 1. */
 	get(position: number): LogEntry | undefined;
 	/** Adds the next entry. */
 	push(entry: LogEntry): void;
 	/** Removes the last entry and returns it. */
 	pop(): LogEntry | undefined;
-	/** The last position up to which both logs are the same. */
+	/** Returns the last position up to which both logs are equal. */
 	getCommonPosition(other: DatabaseLog): number;
 };
 
@@ -40,7 +40,7 @@
 		},
 		pop: () => entries.pop(),
 		getCommonPosition(other) {
-			// Entries of one term come from one primary, so logs that agree on the term at a position agree up to it.
+			// All entries of a term come from one primary, so two logs with the same term at a position are equal up to it.
 			let position = Math.min(entries.length, other.end.position);
 			while (position > 0 && get(position)!.term !== other.get(position)!.term) {
 				position--;
--- a/src/stand-ins/database/database-server.ts
+++ b/src/stand-ins/database/database-server.ts
@@ -13,53 +13,53 @@
 export type DatabaseServer = {
 	/** `ip:port`. */
 	readonly address: string;
-	/** Log, state, term and role; they outlive a kill. */
+	/** Log, state, term and role, which are kept over a kill. */
 	readonly member: GroupMember;
 	readonly faults: ServerFaults;
-	/** Connections open at present. */
+	/** Number of open connections. */
 	readonly connections: number;
-	/** Opens a connection from a host; rejects with DatabaseError where the server is down or grants no more. */
+	/** Opens a connection from a host; rejects with DatabaseError if the server is down or has reached its connection limit. */
 	connect(from: string): Promise<DatabaseSession>;
-	/** Ends the process: connections and what runs are lost, the log stays. */
+	/** Simulates the death of the process: connections and running statements are lost, the log is kept. */
 	kill(): void;
 	/** Starts a killed server with its log, promised term and role. */
 	restart(): void;
-	/** Makes the connections open now, from everyone or from one host, silent for good; new ones work. */
+	/** Makes the open connections, of all hosts or of one, silent for good; new connections work. */
 	silenceConnections(from?: string): void;
 	setReplicationLag(ms: number): void;
 	setReplicationStalled(stalled: boolean): void;
-	/** Sets the server's own word that it is about to leave. */
+	/** Sets whether the server announces that it is about to leave. */
 	setLeaving(leaving: boolean): void;
-	/** Calls back with each exchange that arrives, and with the host that it came from. */
+	/** Registers a listener for each exchange that arrives, with the host that sent it. */
 	onExchange(listener: ExchangeListener): void;
-	/** Goes on with replication after a change elsewhere in the group. */
+	/** Resumes replication after a change elsewhere in the group. */
 	wake(): void;
 	/** Ends the server's connections and background work. */
 	stop(): void;
 };
 
-/** Is told of an exchange that arrived at a server. */
+/** Is called for each exchange that arrives at a server. */
 export type ExchangeListener = (kind: ExchangeKind, from: string) => void;
 
-/** The sizes of a stand-in server. */
+/** Capacities and durations of a stand-in server. */
 export type DatabaseServerSizes = {
 	/** Time to open a connection, in milliseconds. */
 	readonly connectMs: number;
-	/** Connections granted. */
+	/** Maximum number of open connections. */
 	readonly connections: number;
-	/** Statements run at once. */
+	/** Maximum number of statements that run at once. */
 	readonly slots: number;
 	/** Mean time for which a statement holds a slot, in milliseconds. */
 	readonly serviceMs: number;
-	/** Time an entry takes to reach a replica, in milliseconds. */
+	/** Time that an entry takes to reach a replica, in milliseconds. */
 	readonly replicationLagMs: number;
-	/** How long a transaction may wait for its next statement, in milliseconds. */
+	/** How long a transaction may be idle before the server ends its connection, in milliseconds. */
 	readonly idleInTransactionMs: number;
-	/** How long the server keeps a connection that went silent, in milliseconds. */
+	/** How long the server keeps a connection after it has become silent, in milliseconds. */
 	readonly keepAliveMs: number;
 };
 
-/** Sizes as the users have them today. */
+/** Capacities and durations of the users' servers. */
 export const DEFAULT_SERVER_SIZES: DatabaseServerSizes = {
 	connectMs: 10,
 	connections: 20,
@@ -70,12 +70,12 @@
 	keepAliveMs: 5000,
 };
 
-/** What a stand-in server needs. */
+/** Options of {@link createDatabaseServer}. */
 export type DatabaseServerOptions = {
 	readonly address: string;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** The group's servers by address, this one among them once it is made. */
+	/** The group's servers by address, including this one once it is created. */
 	readonly servers: ReadonlyMap<string, DatabaseServer>;
 	readonly sizes: DatabaseServerSizes;
 };
@@ -108,7 +108,7 @@
 
 	const getServiceMs = () => sizes.serviceMs * (0.5 + random.fraction());
 
-	const passThaw = async () => {
+	const waitUntilThawed = async () => {
 		while (faults.frozen) {
 			await faults.changed();
 		}
@@ -131,7 +131,7 @@
 						await clock.sleep(getServiceMs());
 					}
 
-					await passThaw();
+					await waitUntilThawed();
 					checkAlive();
 				},
 				checkAlive,
--- a/src/stand-ins/database/database-session.ts
+++ b/src/stand-ins/database/database-session.ts
@@ -3,40 +3,40 @@
 import type {Backend} from './backend.js';
 import {throwConnectionLost} from './database-errors.js';
 import type {ExchangeKind} from './exchange-kind.js';
-import {never} from './never.js';
+import {waitForever} from './wait-forever.js';
 import type {ServerFaults} from './server-faults.js';
 
-/** One connection at the server, with the faults that lie between it and its client. */
+/** The server's end of one connection, with the faults between it and its client. */
 export type DatabaseSession = {
 	/** Name of the host at the other end. */
 	readonly from: string;
 	readonly backend: Backend;
-	/** Runs one exchange: resolves when its answer leaves the server; rejects with DatabaseError for an error or a dead server. */
+	/** Runs one exchange and resolves when its answer leaves the server; rejects with DatabaseError if it fails or the connection ends. */
 	exchange<T>(kind: ExchangeKind, work: () => T | Promise<T>): Promise<T>;
-	/** Tells the server that the client is gone: what runs goes on to its end, an open transaction is rolled back. */
+	/** Notifies the server that the client has closed: a running exchange is completed, then an open transaction is rolled back. */
 	close(): Promise<void>;
-	/** Loses both directions for good without either end being told. */
+	/** Discards all later packets in both directions without notifying either end. */
 	silence(): void;
 	/** Ends the connection from the server's side. */
 	drop(): void;
-	/** Calls back when the server ends the connection. */
+	/** Registers a listener that is called when the server ends the connection. */
 	onDrop(listener: () => void): void;
 };
 
-/** What a session needs of its server. */
+/** Options of {@link createDatabaseSession}. */
 export type DatabaseSessionOptions = {
 	readonly address: string;
 	readonly from: string;
 	readonly clock: Clock;
 	readonly faults: ServerFaults;
-	/** How long a transaction may wait for its next statement, in milliseconds. */
+	/** How long a transaction may be idle before the server ends its connection, in milliseconds. */
 	readonly idleInTransactionMs: number;
-	/** How long the server keeps a connection that went silent, in milliseconds. */
+	/** How long the server keeps a connection after it has become silent, in milliseconds. */
 	readonly keepAliveMs: number;
 	createBackend(checkAlive: () => void): Backend;
 	/** Called with each exchange that arrives. */
 	onExchange?(kind: ExchangeKind): void;
-	/** Called once, at the end. */
+	/** Called once, when the session ends. */
 	onEnd(): void;
 };
 
@@ -45,7 +45,7 @@
 	const {address, from, clock, faults} = options;
 	const listeners: Array<() => void> = [];
 	let alive = true;
-	let gone = false;
+	let clientClosed = false;
 	let silent = false;
 	let active = false;
 
@@ -60,8 +60,8 @@
 	const end = () => {
 		if (alive) {
 			alive = false;
-			idleWatch.stop();
-			keepAliveWatch.stop();
+			idleTimer.stop();
+			keepAliveTimer.stop();
 			backend.rollback();
 			options.onEnd();
 		}
@@ -78,43 +78,43 @@
 
 	const isBlocked = () => silent || faults.isCutFrom(from) || (alive && faults.frozen);
 
-	/** Resolves when a packet can pass between the server and the client. */
-	const pass = async () => {
+	/** Resolves once a packet can pass between the server and the client. */
+	const waitUntilReachable = async () => {
 		while (isBlocked()) {
 			await faults.changed();
 		}
 	};
 
-	/** A transaction whose client is gone unnoticed must not hold its key and rows for ever. */
-	const idleWatch = createDeadlineTimer(clock, drop);
+	/** A transaction whose client has disappeared unnoticed must not lock its key and rows forever. */
+	const idleTimer = createDeadlineTimer(clock, drop);
 
-	/** A connection that went silent must not count for ever among those granted. */
-	const keepAliveWatch = createDeadlineTimer(clock, drop);
+	/** A connection that has become silent must not count towards the connection limit forever. */
+	const keepAliveTimer = createDeadlineTimer(clock, drop);
 
 	const beginExchange = () => {
-		idleWatch.clear();
+		idleTimer.clear();
 		active = true;
 	};
 
 	const endExchange = () => {
 		active = false;
-		if (gone) {
+		if (clientClosed) {
 			end();
 		} else if (backend.inTransaction) {
-			idleWatch.set(clock.now() + options.idleInTransactionMs);
+			idleTimer.set(clock.now() + options.idleInTransactionMs);
 		}
 	};
 
-	const answer = async (kind: ExchangeKind) => {
+	const waitToAnswer = async (kind: ExchangeKind) => {
 		if (faults.answerDelayMs > 0) {
 			await clock.sleep(faults.answerDelayMs);
 		}
 
-		if (faults.takeDroppedAnswer(kind)) {
-			await never();
+		if (faults.consumeDroppedAnswer(kind)) {
+			await waitForever();
 		}
 
-		await pass();
+		await waitUntilReachable();
 		checkAlive();
 	};
 
@@ -122,7 +122,7 @@
 		from,
 		backend,
 		async exchange(kind, work) {
-			await pass();
+			await waitUntilReachable();
 			checkAlive();
 			options.onExchange?.(kind);
 			beginExchange();
@@ -134,7 +134,7 @@
 			}
 
 			endExchange();
-			await answer(kind);
+			await waitToAnswer(kind);
 			if ('err' in outcome) {
 				throw outcome.err;
 			}
@@ -142,15 +142,15 @@
 			return outcome.value;
 		},
 		async close() {
-			await pass();
-			gone = true;
+			await waitUntilReachable();
+			clientClosed = true;
 			if (!active) {
 				end();
 			}
 		},
 		silence() {
 			silent = true;
-			keepAliveWatch.set(clock.now() + options.keepAliveMs);
+			keepAliveTimer.set(clock.now() + options.keepAliveMs);
 		},
 		drop,
 		onDrop(listener) {
--- a/src/stand-ins/database/database-state.ts
+++ b/src/stand-ins/database/database-state.ts
@@ -2,40 +2,40 @@
 import type {Condition} from './statement.js';
 import {createTable, type StoredRow, type Table} from './table.js';
 
-/** One change that a committed entry makes; it names the row before and after, so that it can be taken back. */
+/** One change of a committed entry; it holds the row before and after, so that it can be reverted. */
 export type TableChange =
 	| {readonly kind: 'create'; readonly table: string; readonly columns: readonly string[]}
 	| {readonly kind: 'row'; readonly table: string; readonly rowId: number; readonly before?: Row; readonly after?: Row};
 
-/** What stands under a request key. */
+/** The record stored under a request key. */
 export type KeyRecord =
 	| {readonly kind: 'answer'; readonly digest: string; readonly rows: readonly Row[]}
 	| {readonly kind: 'tombstone'};
 
-/** All that one log entry does; an empty effect marks the start of a term. */
+/** The changes of one log entry; an entry without changes and key marks the start of a term. */
 export type LogEffect = {
 	readonly key?: {readonly requestId: string; readonly record: KeyRecord};
 	readonly changes: readonly TableChange[];
 };
 
-/** Tables as a statement sees them. */
+/** The tables as visible to a statement. */
 export type TableReader = {
-	/** Names of the table's columns, undefined where there is no such table. */
+	/** Returns the names of the table's columns; undefined if there is no such table. */
 	getColumns(table: string): readonly string[] | undefined;
-	/** The rows of a table of which every named column has the value. */
+	/** Returns the rows of a table that meet all conditions. */
 	findRows(table: string, conditions: readonly BoundCondition[]): readonly StoredRow[];
-	/** A row id not used before. */
+	/** Returns a row id that was not used before. */
 	allocateRowId(): number;
 };
 
-/** A condition with its value in place. */
+/** A condition whose operand has been replaced by its value. */
 export type BoundCondition = Pick<Condition, 'column'> & {readonly value: unknown};
 
-/** Tables and request keys: what a server's log amounts to. */
+/** Tables and request keys: the state that results from applying a server's log. */
 export type DatabaseState = TableReader & {
 	getKey(requestId: string): KeyRecord | undefined;
 	apply(effect: LogEffect): void;
-	/** Takes back the newest effect applied. */
+	/** Reverts the effect that was applied last. */
 	revert(effect: LogEffect): void;
 };
 
--- a/src/stand-ins/database/database-transaction.ts
+++ b/src/stand-ins/database/database-transaction.ts
@@ -6,51 +6,51 @@
 import {parseStatement} from './statement.js';
 import {matchesAll, type StoredRow} from './table.js';
 
-/** An open transaction: what it changed is its own until it commits. */
+/** An open transaction; its changes are visible only to itself until it commits. */
 export type DatabaseTransaction = {
-	/** True once a statement failed; it can then only be rolled back. */
+	/** True once a statement has failed; the transaction can then only be rolled back. */
 	readonly failed: boolean;
-	/** Runs a statement; throws DatabaseError where it fails. */
+	/** Runs a statement; throws DatabaseError if it fails. */
 	run(statement: string, values: readonly unknown[]): readonly Row[];
-	/** What to write to the log at the commit. */
+	/** Returns the changes to write to the log at the commit. */
 	getChanges(): readonly TableChange[];
-	/** Gives up its rows; to be called at the end, however it ends. */
+	/** Releases its row locks; must be called at the end, also after a rollback. */
 	end(): void;
 };
 
-/** Opens a transaction on a server's committed state. */
+/** Opens a transaction on the committed state of a server. */
 export function createDatabaseTransaction(state: DatabaseState, locks: RowLocks): DatabaseTransaction {
 	const changes: TableChange[] = [];
-	const created = new Map<string, readonly string[]>();
-	const changed = new Map<string, Map<number, Row | undefined>>();
+	const createdTables = new Map<string, readonly string[]>();
+	const changedRows = new Map<string, Map<number, Row | undefined>>();
 	const owner = {};
 	let failed = false;
 
 	const tables: TableReader = {
-		getColumns: table => state.getColumns(table) ?? created.get(table),
+		getColumns: table => state.getColumns(table) ?? createdTables.get(table),
 		allocateRowId: () => state.allocateRowId(),
 		findRows(table, conditions) {
-			const own = changed.get(table);
+			const ownChanges = changedRows.get(table);
 			const committed = state.findRows(table, conditions);
-			if (!own) {
+			if (!ownChanges) {
 				return committed;
 			}
 
-			const ownRows = [...own].flatMap(([rowId, row]): StoredRow[] => row && matchesAll(row, conditions) ? [{rowId, row}] : []);
-			return [...committed.filter(({rowId}) => !own.has(rowId)), ...ownRows];
+			const ownRows = [...ownChanges].flatMap(([rowId, row]): StoredRow[] => row && matchesAll(row, conditions) ? [{rowId, row}] : []);
+			return [...committed.filter(({rowId}) => !ownChanges.has(rowId)), ...ownRows];
 		},
 	};
 
-	const keep = (change: TableChange) => {
+	const recordChange = (change: TableChange) => {
 		changes.push(change);
 		if (change.kind === 'create') {
-			created.set(change.table, change.columns);
+			createdTables.set(change.table, change.columns);
 			return;
 		}
 
-		const rows = changed.get(change.table) ?? new Map<number, Row | undefined>();
+		const rows = changedRows.get(change.table) ?? new Map<number, Row | undefined>();
 		rows.set(change.rowId, change.after);
-		changed.set(change.table, rows);
+		changedRows.set(change.table, rows);
 	};
 
 	return {
@@ -66,12 +66,12 @@
 				const outcome = executeStatement(parseStatement(statement), values, tables);
 				for (const change of outcome.changes) {
 					if (change.kind === 'row') {
-						locks.take(change.table, change.rowId, owner);
+						locks.acquire(change.table, change.rowId, owner);
 					}
 				}
 
 				for (const change of outcome.changes) {
-					keep(change);
+					recordChange(change);
 				}
 
 				return outcome.rows;
@@ -80,7 +80,7 @@
 				throw err;
 			}
 		},
-		// Another transaction may have created the table meanwhile.
+		// Another transaction may have created the table since.
 		getChanges: () => changes.filter(change => change.kind === 'row' || state.getColumns(change.table) === undefined),
 		end() {
 			locks.release(owner);
--- a/src/stand-ins/database/fault-command.ts
+++ b/src/stand-ins/database/fault-command.ts
@@ -2,7 +2,7 @@
 import type {DatabaseServer} from './database-server.js';
 import {ExchangeKind} from './exchange-kind.js';
 
-/** The faults that can be ordered of a running server. */
+/** The faults that can be injected into a running server, and the commands that end them. */
 export const FaultKind = {
 	Kill: 'kill',
 	Restart: 'restart',
@@ -24,12 +24,12 @@
 const ms = z.number().min(0);
 const on = z.boolean().default(true);
 
-/** Checks one order of a fault. */
+/** Schema of a fault command. */
 export const faultCommandSchema = z.discriminatedUnion('fault', [
 	z.strictObject({fault: z.enum([FaultKind.Kill, FaultKind.Restart, FaultKind.Heal, FaultKind.Freeze, FaultKind.Thaw])}),
-	/** `names`: hosts by application name and servers by address; absent: everyone. */
+	/** `names`: hosts by application name and servers by address; absent: all of them. */
 	z.strictObject({fault: z.literal(FaultKind.Cut), names: z.array(z.string()).optional()}),
-	/** `from`: one host by application name; absent: all. */
+	/** `from`: one host by application name; absent: all hosts. */
 	z.strictObject({fault: z.literal(FaultKind.Silence), from: z.string().optional()}),
 	z.strictObject({fault: z.literal(FaultKind.DelayAnswers), ms}),
 	z.strictObject({fault: z.literal(FaultKind.DropAnswers), count: z.int().min(0), kind: z.enum(ExchangeKind).optional()}),
@@ -37,10 +37,10 @@
 	z.strictObject({fault: z.enum([FaultKind.ReplicationStall, FaultKind.Leaving]), on}),
 ]);
 
-/** One order of a fault. */
+/** A command that starts or ends a fault. */
 export type FaultCommand = z.infer<typeof faultCommandSchema>;
 
-/** Carries out an order at a server. */
+/** Executes a fault command on a server. */
 export function applyFault(server: DatabaseServer, command: FaultCommand): void {
 	switch (command.fault) {
 		case FaultKind.Kill: {
--- a/src/stand-ins/database/fault-control.ts
+++ b/src/stand-ins/database/fault-control.ts
@@ -4,13 +4,13 @@
 import type {DatabaseServer} from './database-server.js';
 import {applyFault, faultCommandSchema} from './fault-command.js';
 
-const orderSchema = z.object({server: z.int().min(0)});
+const targetSchema = z.object({server: z.int().min(0)});
 
 /**
- * Creates the HTTP interface to a stand-in group's faults.
+ * Creates the HTTP interface to the faults of a stand-in group.
  *
- * `GET /faults` answers a list of what each server is and suffers; `POST /faults` takes `{server, fault, …}`, where
- * `server` counts from 0, and answers the same of that server. What cannot be understood is answered with 400.
+ * `GET /faults` returns a list with the status and the faults of each server. `POST /faults` takes `{server, fault, …}`,
+ * where `server` is an index from 0, and returns the same for that server. An invalid request gets status 400.
  */
 export function createFaultControl(group: DatabaseGroup): FastifyInstance {
 	const control = fastify();
@@ -18,8 +18,8 @@
 	control.get('/faults', async () => group.servers.map(server => describeServer(server)));
 
 	control.post('/faults', async (req, res) => {
-		const order = orderSchema.safeParse(req.body);
-		const server = order.success ? group.servers[order.data.server] : undefined;
+		const target = targetSchema.safeParse(req.body);
+		const server = target.success ? group.servers[target.data.server] : undefined;
 		if (!server) {
 			return res.code(400).send({message: `server must be 0 to ${group.servers.length - 1}`});
 		}
--- a/src/stand-ins/database/group-member.ts
+++ b/src/stand-ins/database/group-member.ts
@@ -6,33 +6,34 @@
 import {createDatabaseLog, type DatabaseLog} from './database-log.js';
 import {createDatabaseState, type DatabaseState, type LogEffect} from './database-state.js';
 
-/** The primary that a replica pulls from, and the term in which it was told to. */
-export type Following = {readonly term: number; readonly address: string};
+/** The primary from which a replica pulls entries, and the term in which it was made to follow it. */
+export type FollowedPrimary = {readonly term: number; readonly address: string};
 
-/** What a server keeps as on a disk: its log and what it amounts to, the promised term, and its role. */
+/** The durable state of a server: its log and the state that results from it, the promised term, and its role. */
 export type GroupMember = {
 	readonly address: string;
 	readonly log: DatabaseLog;
 	readonly state: DatabaseState;
-	readonly following: Following | undefined;
+	readonly following: FollowedPrimary | undefined;
 	getStatus(): EndpointStatus;
-	/** Tells whether the server takes writes of the term. */
+	/** Returns whether the server is primary at the term, and so accepts writes of it. */
 	isPrimaryAt(term: number): boolean;
 	fence(term: number): TermAnswer;
 	promote(term: number): TermAnswer;
 	follow(term: number, address: string): TermAnswer;
-	/** Writes the next entry at the promised term; for a primary. */
+	/** Appends the next entry at the promised term; only for a primary. */
 	append(effect: LogEffect): void;
-	/** Takes entries after the log's end up to a position from a primary's log; for a replica. */
+	/** Copies the entries from the end of the log up to a position from a primary's log; only for a replica. */
 	receive(source: DatabaseLog, upTo: number): void;
-	/** Removes the entries after a position and takes back what they did. */
+	/** Removes the entries after a position and reverts their changes. */
 	truncate(position: number): void;
-	/** Resolves once the log holds the position, or after `waitMs`. */
+	/** Resolves once the log holds the position, or after `waitMs` milliseconds. */
 	waitFor(position: LogPosition, waitMs: number): Promise<void>;
+	/** Sets whether the server announces that it is about to leave. */
 	setLeaving(leaving: boolean): void;
 };
 
-/** What a group member needs. */
+/** Options of {@link createGroupMember}. */
 export type GroupMemberOptions = {
 	readonly address: string;
 	readonly clock: Clock;
@@ -50,7 +51,7 @@
 	let term = 0;
 	let role: EndpointRole = EndpointRole.Replica;
 	let leaving = false;
-	let following: Following | undefined;
+	let following: FollowedPrimary | undefined;
 
 	const getStatus = (): EndpointStatus => {
 		const {end} = log;
@@ -61,7 +62,7 @@
 
 	const answer = (granted: boolean): TermAnswer => ({granted, status: getStatus()});
 
-	const changed = () => {
+	const notifyChanged = () => {
 		for (const waiter of waiters) {
 			if (holdsLogPosition(log.end, waiter.position)) {
 				waiter.wake();
@@ -76,7 +77,7 @@
 		log.push({
 			term, position: log.end.position + 1, effect, writtenAt: clock.now(),
 		});
-		changed();
+		notifyChanged();
 	};
 
 	return {
@@ -87,22 +88,22 @@
 			return following;
 		},
 		getStatus,
-		isPrimaryAt: asked => role === EndpointRole.Primary && term === asked,
-		fence(asked) {
-			if (asked <= term) {
+		isPrimaryAt: requestedTerm => role === EndpointRole.Primary && term === requestedTerm,
+		fence(requestedTerm) {
+			if (requestedTerm <= term) {
 				return answer(false);
 			}
 
-			term = asked;
+			term = requestedTerm;
 			role = EndpointRole.Replica;
 			following = undefined;
-			changed();
+			notifyChanged();
 			return answer(true);
 		},
-		promote(asked) {
-			// A server that was told to follow another primary of the term must not become a second one: two logs
-			// would then carry different entries under the same term and position, and no comparison could tell.
-			if (asked !== term || following?.term === asked) {
+		promote(requestedTerm) {
+			// A server that was made to follow another primary of the term must not become a second one: two logs would
+			// then hold different entries at the same term and position, which no comparison of positions could detect.
+			if (requestedTerm !== term || following?.term === requestedTerm) {
 				return answer(false);
 			}
 
@@ -114,16 +115,16 @@
 
 			return answer(true);
 		},
-		follow(asked, primary) {
-			const isPrimary = role === EndpointRole.Primary && term === asked;
-			if (asked < term || isPrimary || primary === address) {
+		follow(requestedTerm, primaryAddress) {
+			const isPrimary = role === EndpointRole.Primary && term === requestedTerm;
+			if (requestedTerm < term || isPrimary || primaryAddress === address) {
 				return answer(false);
 			}
 
-			term = asked;
+			term = requestedTerm;
 			role = EndpointRole.Replica;
-			following = {term: asked, address: primary};
-			changed();
+			following = {term: requestedTerm, address: primaryAddress};
+			notifyChanged();
 			return answer(true);
 		},
 		append,
@@ -134,14 +135,14 @@
 				log.push(entry);
 			}
 
-			changed();
+			notifyChanged();
 		},
 		truncate(position) {
 			while (log.end.position > position) {
 				state.revert(log.pop()!.effect);
 			}
 
-			changed();
+			notifyChanged();
 		},
 		async waitFor(position, waitMs) {
 			if (holdsLogPosition(log.end, position)) {
--- a/src/stand-ins/database/in-memory-connection.ts
+++ b/src/stand-ins/database/in-memory-connection.ts
@@ -5,9 +5,9 @@
 import type {GroupMember} from './group-member.js';
 import {ExchangeKind} from './exchange-kind.js';
 import type {Link} from './link-faults.js';
-import {never} from './never.js';
+import {waitForever} from './wait-forever.js';
 
-/** What an in-memory connection joins. */
+/** Options of {@link createInMemoryConnection}. */
 export type InMemoryConnectionOptions = {
 	readonly address: string;
 	readonly session: DatabaseSession;
@@ -25,31 +25,31 @@
 		address,
 		clock,
 		async onEnd() {
-			await link.carry(epoch);
+			await link.transmit(epoch);
 			await session.close();
 		},
 	});
 
-	const cross = async <T>(kind: ExchangeKind, work: () => T | Promise<T>) => {
-		await link.carry(epoch);
+	const runOverLink = async <T>(kind: ExchangeKind, work: () => T | Promise<T>) => {
+		await link.transmit(epoch);
 		const answer = await session.exchange(kind, work);
-		if (link.takeDroppedAnswer(kind)) {
-			await never();
+		if (link.consumeDroppedAnswer(kind)) {
+			await waitForever();
 		}
 
-		await link.carry(epoch);
+		await link.transmit(epoch);
 		return answer;
 	};
 
 	const exchange = async <T>(kind: ExchangeKind, timeoutMs: number, work: () => T | Promise<T>): Promise<T> =>
-		runner.run(kind, timeoutMs, async () => cross(kind, work));
+		runner.run(kind, timeoutMs, async () => runOverLink(kind, work));
 
 	const destroy = () => {
 		runner.end('the connection was destroyed');
 	};
 
 	session.onDrop(async () => {
-		await link.carry(epoch);
+		await link.transmit(epoch);
 		runner.end(`${address} closed the connection`);
 	});
 
--- a/src/stand-ins/database/in-memory-endpoints.ts
+++ b/src/stand-ins/database/in-memory-endpoints.ts
@@ -7,22 +7,22 @@
 import {createInMemoryConnection} from './in-memory-connection.js';
 import {createLink, type Link} from './link-faults.js';
 
-/** Endpoints that reach stand-in servers without a socket, as one proxy host sees them. */
+/** Endpoints of one proxy host that reach the stand-in servers without sockets. */
 export type InMemoryEndpoints = Endpoints & {
-	/** The network between this host and a server, for faults. */
+	/** Returns the network link between this host and a server, on which faults can be injected. */
 	getLink(address: string): Link;
 };
 
-/** What the in-memory way to the servers needs. */
+/** Options of {@link createInMemoryEndpoints}. */
 export type InMemoryEndpointsOptions = {
 	readonly clock: Clock;
-	/** One way, in milliseconds. */
+	/** One-way latency, in milliseconds. */
 	readonly latencyMs: number;
-	/** Name of the proxy host at this end; servers can be cut from it. */
+	/** Name of the proxy host; servers can be cut off from it by this name. */
 	readonly host?: string;
 };
 
-/** Creates one proxy host's way to the servers. */
+/** Creates the endpoints of one proxy host. */
 export function createInMemoryEndpoints(servers: readonly DatabaseServer[], {clock, latencyMs, host = 'proxy'}: InMemoryEndpointsOptions): InMemoryEndpoints {
 	const serversByAddress = new Map(servers.map(server => [server.address, server]));
 	const links = new Map<string, Link>();
@@ -33,13 +33,13 @@
 		return link;
 	};
 
-	const open = async (address: string, server: DatabaseServer): Promise<DatabaseSession> => {
+	const openSession = async (address: string, server: DatabaseServer): Promise<DatabaseSession> => {
 		const link = getLink(address);
-		await link.carry(link.epoch);
+		await link.transmit(link.epoch);
 		try {
 			return await server.connect(host);
 		} finally {
-			await link.carry(link.epoch);
+			await link.transmit(link.epoch);
 		}
 	};
 
@@ -47,10 +47,10 @@
 		address,
 		async connect(timeoutMs) {
 			const server = serversByAddress.get(address) ?? throwNotConnected(address, 'nothing listens there');
-			const opening = open(address, server);
+			const opening = openSession(address, server);
 			const opened = await withinMs(clock, timeoutMs, opening).catch((err: unknown) => throwNotConnected(address, err));
 			if (opened.timedOut) {
-				// The server may still accept; its end must not stay open.
+				// The server may still accept the connection; its end must not stay open.
 				opening.then(async session => session.close(), () => undefined);
 				throwNotConnected(address, `not open within ${timeoutMs} ms`);
 			}
--- a/src/stand-ins/database/keyed-answers.ts
+++ b/src/stand-ins/database/keyed-answers.ts
@@ -1,7 +1,7 @@
 import {KeyedWriteResult, type EndpointStatus, type KeyedWriteAnswer} from '../../endpoints/endpoint.js';
 import type {KeyRecord} from './database-state.js';
 
-/** What stands under a request key, as the answer to a write with the digest; without a digest, to a resolve. */
+/** Returns the record of a request key as the answer to a write with the digest, or to a resolve if `digest` is undefined. */
 export function getRecordAnswer(record: KeyRecord, digest: string | undefined, status: EndpointStatus): KeyedWriteAnswer {
 	if (record.kind === 'tombstone') {
 		return {result: KeyedWriteResult.Tombstone, status};
--- a/src/stand-ins/database/keyed-transaction.ts
+++ b/src/stand-ins/database/keyed-transaction.ts
@@ -3,13 +3,13 @@
 import {createDatabaseTransaction, type DatabaseTransaction} from './database-transaction.js';
 import type {ServerMemory} from './server-memory.js';
 
-/** The request key under which a transaction runs. */
+/** The request key of a transaction, with its digest and term. */
 export type TransactionKey = Omit<KeyedWrite, 'statement' | 'values'>;
 
-/** A transaction whose request key is in flight until it ends. */
+/** A transaction that keeps its request key in flight until it ends. */
 export type KeyedTransaction = DatabaseTransaction & {readonly key: TransactionKey};
 
-/** Opens a transaction and puts its key in flight. */
+/** Opens a transaction and marks its key as in flight. */
 export function createKeyedTransaction(key: TransactionKey, state: DatabaseState, memory: ServerMemory): KeyedTransaction {
 	const {locks, keysInFlight} = memory;
 	const transaction = createDatabaseTransaction(state, locks);
--- a/src/stand-ins/database/link-faults.ts
+++ b/src/stand-ins/database/link-faults.ts
@@ -1,34 +1,34 @@
 import type {Clock} from '../../time/clock.js';
 import type {ExchangeKind} from './exchange-kind.js';
-import {never} from './never.js';
+import {waitForever} from './wait-forever.js';
 import {createSignal} from './signal.js';
 
-/** The network between one proxy host and one database server, with its faults. */
+/** The network link between one proxy host and one database server, with its faults. */
 export type Link = {
-	/** Drops all packets both ways until healed; what was sent meanwhile then arrives. */
+	/** Blocks all packets in both directions until `heal` is called; those sent meanwhile arrive then. */
 	cut(): void;
 	heal(): void;
-	/** Adds to the latency of every packet, in milliseconds. */
+	/** Sets a delay that is added to the latency of every packet, in milliseconds. */
 	setDelay(ms: number): void;
-	/** Makes the connections open now silent for good; new ones work. */
+	/** Makes the open connections silent for good; new connections work. */
 	silence(): void;
-	/** Drops the next `count` answers, of one kind of exchange where it is named, after they took effect. */
+	/** Drops the next `count` answers, only those to exchanges of `kind` if it is given. The exchanges take effect. */
 	dropAnswers(count: number, kind?: ExchangeKind): void;
-	/** @internal Resolves when a packet of a connection opened at the epoch has crossed. */
-	carry(epoch: number): Promise<void>;
-	/** @internal Counts how often the link's connections were made silent. */
+	/** @internal Resolves when a packet of a connection that was opened at the epoch has arrived; never if the connection is silent. */
+	transmit(epoch: number): Promise<void>;
+	/** @internal How often the link's connections have been made silent. */
 	readonly epoch: number;
-	/** @internal */
-	takeDroppedAnswer(kind: ExchangeKind): boolean;
+	/** @internal Returns whether the current answer is to be dropped, and counts it if so. */
+	consumeDroppedAnswer(kind: ExchangeKind): boolean;
 };
 
-/** Creates a link without faults whose packets take `latencyMs` one way. */
+/** Creates a link without faults whose packets take `latencyMs` milliseconds in each direction. */
 export function createLink(clock: Clock, latencyMs: number): Link {
-	const changed = createSignal();
+	const healed = createSignal();
 	let isCut = false;
 	let delayMs = 0;
 	let epoch = 0;
-	let drop: {count: number; kind?: ExchangeKind} = {count: 0};
+	let answersToDrop: {count: number; kind?: ExchangeKind} = {count: 0};
 
 	const isBlocked = () => isCut;
 
@@ -41,7 +41,7 @@
 		},
 		heal() {
 			isCut = false;
-			changed.notify();
+			healed.notify();
 		},
 		setDelay(ms) {
 			delayMs = ms;
@@ -50,27 +50,27 @@
 			epoch++;
 		},
 		dropAnswers(count, kind) {
-			drop = {count, kind};
+			answersToDrop = {count, kind};
 		},
-		async carry(openedAt) {
+		async transmit(openedAtEpoch) {
 			if (latencyMs + delayMs > 0) {
 				await clock.sleep(latencyMs + delayMs);
 			}
 
 			while (isBlocked()) {
-				await changed.wait();
+				await healed.wait();
 			}
 
-			if (openedAt !== epoch) {
-				await never();
+			if (openedAtEpoch !== epoch) {
+				await waitForever();
 			}
 		},
-		takeDroppedAnswer(kind) {
-			if (drop.count === 0 || (drop.kind !== undefined && drop.kind !== kind)) {
+		consumeDroppedAnswer(kind) {
+			if (answersToDrop.count === 0 || (answersToDrop.kind !== undefined && answersToDrop.kind !== kind)) {
 				return false;
 			}
 
-			drop.count--;
+			answersToDrop.count--;
 			return true;
 		},
 	};
--- a/src/stand-ins/database/main.ts
+++ b/src/stand-ins/database/main.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in database group as a process: one PostgreSQL port a server and one HTTP port for faults, on loopback.
- * It prints one line of JSON once all are open, `{"servers": ["ip:port", …], "control": "http://ip:port"}`, and ends
- * on SIGTERM.
+ * Runs a stand-in database group as a process, with one PostgreSQL port per server and one HTTP port for faults, on
+ * loopback. Once all ports are open it prints one line of JSON, `{"servers": ["ip:port", …], "control": "http://ip:port"}`.
+ * It stops on SIGTERM.
  */
 import process from 'node:process';
 import {defineCommand, runMain} from 'citty';
@@ -16,11 +16,11 @@
 const command = defineCommand({
 	meta: {name: 'stand-in-database', description: 'A stand-in database group'},
 	args: {
-		ports: {type: 'string', default: '0,0,0', description: 'PostgreSQL ports, one a server; 0 for any'},
+		ports: {type: 'string', default: '0,0,0', description: 'PostgreSQL ports, one per server; 0 for any'},
 		control: {type: 'string', default: '0', description: 'HTTP port for faults; 0 for any'},
-		password: {type: 'string', description: 'Asked of every client; all are trusted without'},
-		connections: {type: 'string', default: String(DEFAULT_SERVER_SIZES.connections), description: 'Connections granted by each server'},
-		slots: {type: 'string', default: String(DEFAULT_SERVER_SIZES.slots), description: 'Statements run at once by each server'},
+		password: {type: 'string', description: 'Password required of every client; absent: none is required'},
+		connections: {type: 'string', default: String(DEFAULT_SERVER_SIZES.connections), description: 'Maximum number of connections of each server'},
+		slots: {type: 'string', default: String(DEFAULT_SERVER_SIZES.slots), description: 'Maximum number of statements that each server runs at once'},
 		serviceMs: {type: 'string', default: String(DEFAULT_SERVER_SIZES.serviceMs), description: 'Mean time of a statement in milliseconds'},
 		lagMs: {type: 'string', default: String(DEFAULT_SERVER_SIZES.replicationLagMs), description: 'Replication lag in milliseconds'},
 	},
--- a/src/stand-ins/database/pg-backend.ts
+++ b/src/stand-ins/database/pg-backend.ts
@@ -11,16 +11,16 @@
 	FrontendMessage, NO_DATA, PARSE_COMPLETE, ROW_DESCRIPTION, TransactionStatus, type BindMessage, type ClientMessage,
 } from './pg-messages.js';
 
-/** What a Describe message begins with where it asks for a portal. */
+/** First byte of a Describe message that asks for a portal. */
 const PORTAL = 'P'.codePointAt(0);
 
-/** Answers the messages of one client after its startup. */
+/** Answers the messages of one client after the startup of its connection. */
 export type PgBackend = {
-	/** Answers one message; resolves when the answer is written. */
+	/** Processes one message; resolves once its answer, if it has one, is buffered or written. */
 	answer(message: ClientMessage): Promise<void>;
 };
 
-/** What a backend needs of its connection. */
+/** Options of {@link createPgBackend}. */
 export type PgBackendOptions = {
 	readonly socket: Socket;
 	readonly session: DatabaseSession;
@@ -33,7 +33,7 @@
 	let bound: BindMessage | undefined;
 	let output: Uint8Array[] = [];
 	let transaction: TransactionStatus = TransactionStatus.Idle;
-	/** After an error everything up to Sync is passed over, as the protocol has it. */
+	/** True after an error: all messages up to the next Sync are skipped, as the protocol requires. */
 	let failed = false;
 
 	const flush = () => {
@@ -41,13 +41,13 @@
 		output = [];
 	};
 
-	const ready = () => {
+	const sendReady = () => {
 		output.push(encodeReady(transaction));
 		flush();
 		failed = false;
 	};
 
-	const fail = (err: unknown) => {
+	const addError = (err: unknown) => {
 		if (!isDatabaseError(err) || err.code === DatabaseErrorCode.ConnectionLost) {
 			throw err;
 		}
@@ -150,16 +150,16 @@
 		try {
 			await runCommand(decodeString(body, 0).text);
 		} catch (err) {
-			fail(err);
+			addError(err);
 		}
 
-		ready();
+		sendReady();
 	};
 
 	return {
 		async answer(message) {
 			if (message.type === FrontendMessage.Sync) {
-				ready();
+				sendReady();
 				return;
 			}
 
@@ -172,7 +172,7 @@
 				try {
 					await answerExtended(message);
 				} catch (err) {
-					fail(err);
+					addError(err);
 				}
 			}
 		},
--- a/src/stand-ins/database/pg-exchanges.ts
+++ b/src/stand-ins/database/pg-exchanges.ts
@@ -3,21 +3,21 @@
 import {ExchangeKind} from './exchange-kind.js';
 import type {GroupMember} from './group-member.js';
 
-/** A function call of the group's SQL interface as one exchange with the model. */
+/** A function call of the group's SQL interface, as one exchange with the in-memory server. */
 export type PgExchange = {
 	readonly kind: ExchangeKind;
-	/** What the answer's one json value is made from. */
+	/** Runs the exchange and returns the value that the answer holds as JSON. */
 	work(): unknown;
 };
 
 type Values = ReadonlyArray<string | undefined>;
 
-type Build = (session: DatabaseSession, member: GroupMember, values: Values) => PgExchange;
+type ExchangeBuilder = (session: DatabaseSession, member: GroupMember, values: Values) => PgExchange;
 
-const CALL = /^\s*(?:select|call)\s+aldercroft\.(?<name>\w+)\s*\(/iv;
+const CALL_PATTERN = /^\s*(?:select|call)\s+aldercroft\.(?<name>\w+)\s*\(/iv;
 
-/** Functions and procedures of the schema `aldercroft` by name. */
-const FUNCTIONS: Readonly<Record<string, Build>> = {
+/** Functions and procedures of the schema `aldercroft`, by name. */
+const FUNCTIONS: Readonly<Record<string, ExchangeBuilder>> = {
 	status: (_session, member) => ({kind: ExchangeKind.Status, work: () => member.getStatus()}),
 	wait_for: (_session, member, [term, position, waitMs]) => ({
 		kind: ExchangeKind.WaitFor,
@@ -58,9 +58,9 @@
 	}),
 };
 
-/** Finds the exchange that a statement calls; throws DatabaseError where it calls none. */
+/** Returns the exchange that a statement calls; throws DatabaseError if it calls none. */
 export function getPgExchange(text: string, session: DatabaseSession, member: GroupMember, values: Values): PgExchange {
-	const name = CALL.exec(text)?.groups?.name;
+	const name = CALL_PATTERN.exec(text)?.groups?.name;
 	const build = name === undefined ? undefined : FUNCTIONS[name];
 	return build ? build(session, member, values) : throwStatementError('the stand-in server knows only the functions of aldercroft');
 }
--- a/src/stand-ins/database/pg-group.ts
+++ b/src/stand-ins/database/pg-group.ts
@@ -1,40 +1,40 @@
 import {createDatabaseGroup, type DatabaseGroup, type DatabaseGroupOptions} from './database-group.js';
-import {startPgFront, type PgFront} from './pg-front.js';
+import {startPgListener, type PgListener} from './pg-listener.js';
 
-/** A stand-in group whose servers answer on PostgreSQL ports. */
+/** A stand-in group whose servers listen on PostgreSQL ports. */
 export type PgGroup = {
 	readonly group: DatabaseGroup;
-	/** Closes the ports and ends the servers' background work. */
+	/** Closes the ports and ends the servers' connections and background work. */
 	stop(): Promise<void>;
 };
 
-/** What a group on ports needs. */
+/** Options of {@link startPgGroup}. */
 export type PgGroupOptions = Omit<DatabaseGroupOptions, 'addresses'> & {
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	readonly host: string;
-	/** One port a server; 0: any free port. */
+	/** One port per server; 0: any free port. */
 	readonly ports: readonly number[];
-	/** Asked of every client; absent: all are trusted. */
+	/** Password required of every client; absent: none is required. */
 	readonly password?: string;
 };
 
-/** Opens the ports and starts the group behind them; the first server begins as primary. */
+/** Opens the ports and starts the group behind them; the first server starts as primary. */
 export async function startPgGroup({host, ports, password, ...options}: PgGroupOptions): Promise<PgGroup> {
-	const fronts: PgFront[] = [];
+	const listeners: PgListener[] = [];
 	for (const [i, port] of ports.entries()) {
-		fronts.push(await startPgFront({
+		listeners.push(await startPgListener({
 			host, port, password, getServer: () => group.servers[i]!,
 		}));
 	}
 
-	// A server is known by its address, and a free port is known once it is open: so the ports come first.
-	const group = createDatabaseGroup({...options, addresses: fronts.map(front => `${host}:${front.port}`)});
+	// A server's address includes its port, and a free port is known only once it is open, so the ports are opened first.
+	const group = createDatabaseGroup({...options, addresses: listeners.map(listener => `${host}:${listener.port}`)});
 	return {
 		group,
 		async stop() {
 			group.stop();
-			for (const front of fronts) {
-				await front.stop();
+			for (const listener of listeners) {
+				await listener.stop();
 			}
 		},
 	};
--- a/src/stand-ins/database/pg-front.ts
+++ b/src/stand-ins/database/pg-listener.ts
@@ -7,32 +7,32 @@
 import type {DatabaseSession} from './database-session.js';
 import {createPgBackend} from './pg-backend.js';
 import {
-	AUTHENTICATION_OK, decodeStartup, decodeStartupCode, decodeString, encodeError, encodeParameter, encodeReady, FrontendMessage, PASSWORD_WANTED,
+	AUTHENTICATION_OK, decodeStartup, decodeStartupCode, decodeString, encodeError, encodeParameter, encodeReady, FrontendMessage, PASSWORD_REQUESTED,
 	SSL_REFUSED, StartupCode, TransactionStatus,
 } from './pg-messages.js';
 import {createPgReader, type PgReader} from './pg-reader.js';
 
-/** A stand-in server's PostgreSQL port: just enough of the protocol for the `pg` client. */
-export type PgFront = {
+/** The PostgreSQL port of a stand-in server; it supports as much of the protocol as the `pg` client needs. */
+export type PgListener = {
 	readonly port: number;
 	/** Closes the port and every connection. */
 	stop(): Promise<void>;
 };
 
-/** What a PostgreSQL port needs. */
-export type PgFrontOptions = {
-	/** The server behind the port; asked for at each connection. */
+/** Options of {@link startPgListener}. */
+export type PgListenerOptions = {
+	/** Returns the server behind the port; called for each connection. */
 	getServer(): DatabaseServer;
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	readonly host: string;
-	/** 0: any free port. */
+	/** Port to listen on; 0: any free port. */
 	readonly port: number;
-	/** Asked of every client; absent: all are trusted. */
+	/** Password required of every client; absent: none is required. */
 	readonly password?: string;
 };
 
-/** Opens a stand-in server's port. */
-export async function startPgFront({getServer, host, port, password}: PgFrontOptions): Promise<PgFront> {
+/** Opens the PostgreSQL port of a stand-in server. */
+export async function startPgListener({getServer, host, port, password}: PgListenerOptions): Promise<PgListener> {
 	const sockets = new Set<Socket>();
 	const listener = createServer(socket => {
 		sockets.add(socket);
@@ -40,7 +40,7 @@
 		socket.on('close', () => {
 			sockets.delete(socket);
 		});
-		// A broken connection shows as its closing.
+		// An error is followed by the close event, which is handled above.
 		socket.on('error', () => undefined);
 		void serveSocket(socket, getServer(), password);
 	});
@@ -68,7 +68,7 @@
 	});
 }
 
-/** The task of one connection, from its first byte to its last. */
+/** Serves one connection from its startup until it closes. */
 async function serveSocket(socket: Socket, server: DatabaseServer, password: string | undefined) {
 	let session: DatabaseSession | undefined;
 	try {
@@ -110,7 +110,7 @@
 	}
 }
 
-/** Reads the startup; answers the name that the client gives itself, undefined where it left or has no right to enter. */
+/** Runs the startup of a connection; resolves with the client's application name, or with undefined if the client has closed or was refused. */
 async function startUp(socket: Socket, reader: PgReader, password: string | undefined): Promise<string | undefined> {
 	let startup = await reader.nextStartup();
 	while (startup && decodeStartupCode(startup) === StartupCode.Ssl) {
@@ -123,7 +123,7 @@
 	}
 
 	if (password !== undefined) {
-		socket.write(PASSWORD_WANTED);
+		socket.write(PASSWORD_REQUESTED);
 		const answer = await reader.next();
 		if (!answer || decodeString(answer.body, 0).text !== password) {
 			socket.end(encodeError('FATAL', '28P01', 'password authentication failed'));
--- a/src/stand-ins/database/pg-messages.ts
+++ b/src/stand-ins/database/pg-messages.ts
@@ -1,8 +1,8 @@
 import {Buffer} from 'node:buffer';
 
 /**
- * Messages of the PostgreSQL protocol, version 3, as far as the stand-in server needs them. Every answer with rows
- * is one row of one json column.
+ * The messages of the PostgreSQL protocol, version 3, that the stand-in server needs. Every answer with rows is one
+ * row of one json column.
  */
 
 /** Type bytes of the messages that a client sends. */
@@ -19,7 +19,7 @@
 	Terminate: 'X',
 } as const;
 
-/** Codes in place of a protocol version in the first message of a connection. */
+/** Protocol versions and request codes in the first message of a connection. */
 export const StartupCode = {
 	Protocol3: 196_608,
 	Ssl: 80_877_103,
@@ -28,7 +28,7 @@
 /** A message from the client; the first one has no type byte. */
 export type ClientMessage = {readonly type: string; readonly body: Uint8Array};
 
-/** State of the connection's transaction as ReadyForQuery tells it. */
+/** The transaction status of a connection, as sent in ReadyForQuery. */
 export const TransactionStatus = {
 	Idle: 'I',
 	Open: 'T',
@@ -42,14 +42,14 @@
 const TYPE_BYTES = 1;
 const LENGTH_BYTES = 4;
 
-/** Refuses an SSLRequest. */
+/** The answer that refuses an SSLRequest. */
 export const SSL_REFUSED = Buffer.from('N');
 
 /** AuthenticationOk. */
 export const AUTHENTICATION_OK = encodeMessage('R', encodeInt32(0));
 
 /** AuthenticationCleartextPassword. */
-export const PASSWORD_WANTED = encodeMessage('R', encodeInt32(3));
+export const PASSWORD_REQUESTED = encodeMessage('R', encodeInt32(3));
 
 /** ParseComplete. */
 export const PARSE_COMPLETE = encodeMessage('1');
@@ -98,18 +98,18 @@
 	return encodeMessage('E', Buffer.from(`S${severity}\0V${severity}\0C${code}\0M${message}\0\0`));
 }
 
-/** Reads the parameters of a startup message. */
+/** Decodes the parameters of a startup message. */
 export function decodeStartup(body: Uint8Array): ReadonlyMap<string, string> {
-	const words = toBuffer(body).toString('utf8', LENGTH_BYTES).split('\0');
+	const fields = toBuffer(body).toString('utf8', LENGTH_BYTES).split('\0');
 	const parameters = new Map<string, string>();
-	for (let i = 0; i + 1 < words.length; i += 2) {
-		parameters.set(words[i]!, words[i + 1]!);
+	for (let i = 0; i + 1 < fields.length; i += 2) {
+		parameters.set(fields[i]!, fields[i + 1]!);
 	}
 
 	return parameters;
 }
 
-/** Reads a zero-terminated string and tells where the next field begins. */
+/** Decodes a zero-terminated string and returns it with the offset of the next field. */
 export function decodeString(body: Uint8Array, start: number): {readonly text: string; readonly next: number} {
 	const end = body.indexOf(0, start);
 	return {text: toBuffer(body).toString('utf8', start, end), next: end + 1};
@@ -118,32 +118,32 @@
 /** A Bind message: the name of a prepared statement and its parameters as text. */
 export type BindMessage = {readonly statement: string; readonly values: ReadonlyArray<string | undefined>};
 
-/** Reads a Bind message; parameters in binary form are not understood. */
+/** Decodes a Bind message; parameters in binary format are not supported. */
 export function decodeBind(body: Uint8Array): BindMessage {
 	const portal = decodeString(body, 0);
 	const statement = decodeString(body, portal.next);
 	const buffer = toBuffer(body);
 	const formats = buffer.readInt16BE(statement.next);
-	let at = statement.next + 2 + (2 * formats);
-	const count = buffer.readInt16BE(at);
-	at += 2;
+	let offset = statement.next + 2 + (2 * formats);
+	const count = buffer.readInt16BE(offset);
+	offset += 2;
 	const values: Array<string | undefined> = [];
 	for (let i = 0; i < count; i++) {
-		const length = buffer.readInt32BE(at);
-		at += LENGTH_BYTES;
-		values.push(length < 0 ? undefined : buffer.toString('utf8', at, at + length));
-		at += Math.max(0, length);
+		const length = buffer.readInt32BE(offset);
+		offset += LENGTH_BYTES;
+		values.push(length < 0 ? undefined : buffer.toString('utf8', offset, offset + length));
+		offset += Math.max(0, length);
 	}
 
 	return {statement: statement.text, values};
 }
 
-/** Reads the code or version that a startup message begins with. */
+/** Decodes the protocol version or request code at the start of a startup message. */
 export function decodeStartupCode(body: Uint8Array): number {
 	return toBuffer(body).readInt32BE(0);
 }
 
-/** The same bytes with the methods of Node's buffers. */
+/** Returns the same bytes as a Node.js buffer, without copying them. */
 function toBuffer(bytes: Uint8Array) {
 	return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
 }
--- a/src/stand-ins/database/pg-reader.ts
+++ b/src/stand-ins/database/pg-reader.ts
@@ -3,11 +3,11 @@
 import type {ClientMessage} from './pg-messages.js';
 import {createSignal} from './signal.js';
 
-/** Cuts what a socket receives into protocol messages. */
+/** Splits the data that a socket receives into protocol messages. */
 export type PgReader = {
-	/** The first message of a connection, which has no type byte; undefined where the socket closed. */
+	/** Returns the first message of a connection, which has no type byte; undefined if the socket has closed. */
 	nextStartup(): Promise<Uint8Array | undefined>;
-	/** The next message; undefined where the socket closed. */
+	/** Returns the next message; undefined if the socket has closed. */
 	next(): Promise<ClientMessage | undefined>;
 };
 
@@ -30,24 +30,24 @@
 
 	const isOpen = () => !closed;
 
-	/** Takes a message whose length field stands at the offset. */
-	const take = (lengthAt: number) => {
-		const bodyAt = lengthAt + LENGTH_BYTES;
-		const end = received.length < bodyAt ? Infinity : lengthAt + received.readInt32BE(lengthAt);
+	/** Removes and returns the first message, whose length field is at the offset; undefined if it is not complete yet. */
+	const takeMessage = (lengthOffset: number) => {
+		const bodyOffset = lengthOffset + LENGTH_BYTES;
+		const end = received.length < bodyOffset ? Infinity : lengthOffset + received.readInt32BE(lengthOffset);
 		if (received.length < end) {
 			return undefined;
 		}
 
-		const message = {type: received.toString('latin1', 0, lengthAt), body: received.subarray(bodyAt, end)};
+		const message = {type: received.toString('latin1', 0, lengthOffset), body: received.subarray(bodyOffset, end)};
 		received = received.subarray(end);
 		return message;
 	};
 
-	const wait = async (lengthAt: number) => {
-		let message = take(lengthAt);
+	const waitForMessage = async (lengthOffset: number) => {
+		let message = takeMessage(lengthOffset);
 		while (!message && isOpen()) {
 			await changed.wait();
-			message = take(lengthAt);
+			message = takeMessage(lengthOffset);
 		}
 
 		return message;
@@ -55,9 +55,9 @@
 
 	return {
 		async nextStartup() {
-			const message = await wait(0);
+			const message = await waitForMessage(0);
 			return message?.body;
 		},
-		next: async () => wait(1),
+		next: async () => waitForMessage(1),
 	};
 }
--- a/src/stand-ins/database/replication.ts
+++ b/src/stand-ins/database/replication.ts
@@ -2,30 +2,30 @@
 import type {GroupMember} from './group-member.js';
 import {createSignal} from './signal.js';
 
-/** A replica's task that pulls entries from the primary it follows. */
+/** The background task of a replica that pulls entries from the primary that it follows. */
 export type Replication = {
-	/** Tells the task that a log, a role or a fault in the group has changed. */
+	/** Notifies the task that a log, a role or a fault in the group has changed. */
 	wake(): void;
-	/** How long an entry takes to arrive, in milliseconds; holds for what has not arrived yet too. */
+	/** Sets how long an entry takes to arrive, in milliseconds; this also applies to entries that have not arrived yet. */
 	setLag(ms: number): void;
-	/** Stops and goes on pulling, whatever the primary does. */
+	/** Pauses or resumes pulling, whatever the primary does. */
 	setStalled(stalled: boolean): void;
 	stop(): void;
 };
 
-/** What replication needs. */
+/** Options of {@link createReplication}. */
 export type ReplicationOptions = {
 	readonly member: GroupMember;
 	readonly clock: Clock;
 	readonly lagMs: number;
-	/** The primary at that address, where it can be reached and leads at that term. */
+	/** Returns the server at the address if it is reachable and is primary at the term. */
 	getPrimary(address: string, term: number): GroupMember | undefined;
 };
 
 /** Starts a server's replication task. */
 export function createReplication({member, clock, lagMs, getPrimary}: ReplicationOptions): Replication {
-	const awoken = createSignal();
-	let interruption = new AbortController();
+	const woken = createSignal();
+	let sleepAbort = new AbortController();
 	let lag = lagMs;
 	let stalled = false;
 	let stopped = false;
@@ -33,13 +33,13 @@
 	let sourceTerm = 0;
 
 	const interrupt = () => {
-		interruption.abort();
-		interruption = new AbortController();
-		awoken.notify();
+		sleepAbort.abort();
+		sleepAbort = new AbortController();
+		woken.notify();
 	};
 
-	/** Takes up the source anew after every change of term or loss, since the logs may have parted meanwhile. */
-	const attach = () => {
+	/** Selects the primary to pull from. If it or its term is new, entries that it does not hold are removed: the logs may have diverged. */
+	const updateSource = () => {
 		const {following} = member;
 		const primary = following && !stalled ? getPrimary(following.address, following.term) : undefined;
 		const isNew = primary !== source || following?.term !== sourceTerm;
@@ -49,15 +49,15 @@
 			return;
 		}
 
-		// A tail that the primary does not have was never confirmed by a majority of its term; kept, it would answer
-		// reads and request keys with what the group never agreed to.
-		const common = member.log.getCommonPosition(primary.log);
-		if (common < member.log.end.position) {
-			member.truncate(common);
+		// A tail that the primary does not have was never confirmed by a majority in its term. If it were kept, reads and
+		// request keys would be answered with entries on which the group never agreed.
+		const commonPosition = member.log.getCommonPosition(primary.log);
+		if (commonPosition < member.log.end.position) {
+			member.truncate(commonPosition);
 		}
 	};
 
-	/** Takes what has arrived; answers how long until the next entry arrives, undefined where none is under way. */
+	/** Copies the entries that have arrived; returns the milliseconds until the next one arrives, undefined if there is none. */
 	const pull = (primary: GroupMember, now: number): number | undefined => {
 		const {end} = member.log;
 		let {position} = end;
@@ -77,16 +77,16 @@
 
 	const run = async () => {
 		while (isRunning()) {
-			attach();
+			updateSource();
 			const waitMs = source && pull(source, clock.now());
-			await (waitMs === undefined ? awoken.wait() : clock.sleep(waitMs, interruption.signal));
+			await (waitMs === undefined ? woken.wait() : clock.sleep(waitMs, sleepAbort.signal));
 		}
 	};
 
 	void run();
 	return {
 		wake() {
-			awoken.notify();
+			woken.notify();
 		},
 		setLag(ms) {
 			lag = ms;
--- a/src/stand-ins/database/row-locks.ts
+++ b/src/stand-ins/database/row-locks.ts
@@ -1,21 +1,22 @@
 import {throwStatementError} from './database-errors.js';
 
-/** Which open transaction has changed which row. */
+/** Locks of rows, held by the open transactions that have changed them. */
 export type RowLocks = {
-	/** Takes a row for a transaction; throws DatabaseError where another has it. */
-	take(table: string, rowId: number, owner: Record<string, unknown>): void;
+	/** Locks a row for a transaction; throws DatabaseError if another transaction holds the lock. */
+	acquire(table: string, rowId: number, owner: Record<string, unknown>): void;
+	/** Releases all locks of a transaction. */
 	release(owner: Record<string, unknown>): void;
 };
 
-/** Creates the locks of a server without transactions. */
+/** Creates an empty set of locks. */
 export function createRowLocks(): RowLocks {
-	const owners = new Map<string, Record<string, unknown>>();
-	const taken = new Map<Record<string, unknown>, string[]>();
+	const ownersByLock = new Map<string, Record<string, unknown>>();
+	const locksByOwner = new Map<Record<string, unknown>, string[]>();
 
 	return {
-		take(table, rowId, owner) {
+		acquire(table, rowId, owner) {
 			const lock = `${table}/${rowId}`;
-			const holder = owners.get(lock);
+			const holder = ownersByLock.get(lock);
 			if (holder === owner) {
 				return;
 			}
@@ -24,20 +25,20 @@
 				throwStatementError('could not serialize access due to concurrent update');
 			}
 
-			owners.set(lock, owner);
-			const locks = taken.get(owner);
+			ownersByLock.set(lock, owner);
+			const locks = locksByOwner.get(owner);
 			if (locks) {
 				locks.push(lock);
 			} else {
-				taken.set(owner, [lock]);
+				locksByOwner.set(owner, [lock]);
 			}
 		},
 		release(owner) {
-			for (const lock of taken.get(owner) ?? []) {
-				owners.delete(lock);
+			for (const lock of locksByOwner.get(owner) ?? []) {
+				ownersByLock.delete(lock);
 			}
 
-			taken.delete(owner);
+			locksByOwner.delete(owner);
 		},
 	};
 }
--- a/src/stand-ins/database/server-faults.ts
+++ b/src/stand-ins/database/server-faults.ts
@@ -1,33 +1,33 @@
 import type {ExchangeKind} from './exchange-kind.js';
 import {createSignal} from './signal.js';
 
-/** The faults of one server that can be switched while it runs. */
+/** The faults of one server, which can be changed while it runs. */
 export type ServerFaults = {
 	readonly killed: boolean;
 	readonly frozen: boolean;
-	/** How long every answer is held, in milliseconds. */
+	/** Delay of every answer, in milliseconds. */
 	readonly answerDelayMs: number;
 	/** Resolves at the next change of any fault. */
 	changed(): Promise<void>;
 	setKilled(killed: boolean): void;
-	/** Pauses everything within the server; what arrives waits. */
+	/** Pauses the server; whatever arrives waits. */
 	freeze(): void;
-	/** Lets the server go on where it was. */
+	/** Resumes the server where it was paused. */
 	thaw(): void;
-	/** Drops all packets to and from the named hosts and servers, or everyone. */
+	/** Blocks all packets to and from the named hosts and servers, or to and from all of them. */
 	cut(names?: readonly string[]): void;
-	/** Ends every cut; what was sent meanwhile arrives. */
+	/** Ends every cut; the packets that were sent meanwhile arrive. */
 	heal(): void;
 	isCutFrom(name: string): boolean;
-	/** Holds every answer for `ms` milliseconds from now on; 0 ends it. */
+	/** Delays every later answer by `ms` milliseconds; 0 ends the delay. */
 	delayAnswers(ms: number): void;
-	/** Drops the next `count` answers, of one kind of exchange where it is named, after they took effect. */
+	/** Drops the next `count` answers, only those to exchanges of `kind` if it is given. The exchanges take effect. */
 	dropAnswers(count: number, kind?: ExchangeKind): void;
-	/** Tells whether to drop the answer at hand, and counts it. */
-	takeDroppedAnswer(kind: ExchangeKind): boolean;
+	/** Returns whether the current answer is to be dropped, and counts it if so. */
+	consumeDroppedAnswer(kind: ExchangeKind): boolean;
 };
 
-/** Creates the switches of a server without faults. */
+/** Creates the faults of a server, none of which is active. */
 export function createServerFaults(onChange: () => void): ServerFaults {
 	const signal = createSignal();
 	const cutNames = new Set<string>();
@@ -35,16 +35,16 @@
 	let frozen = false;
 	let cutFromAll = false;
 	let answerDelayMs = 0;
-	let drop: {count: number; kind?: ExchangeKind} = {count: 0};
+	let answersToDrop: {count: number; kind?: ExchangeKind} = {count: 0};
 
-	const changed = () => {
+	const notifyChanged = () => {
 		signal.notify();
 		onChange();
 	};
 
 	const setFrozen = (value: boolean) => {
 		frozen = value;
-		changed();
+		notifyChanged();
 	};
 
 	return {
@@ -60,7 +60,7 @@
 		changed: async () => signal.wait(),
 		setKilled(value) {
 			killed = value;
-			changed();
+			notifyChanged();
 		},
 		freeze() {
 			setFrozen(true);
@@ -74,26 +74,26 @@
 				cutNames.add(name);
 			}
 
-			changed();
+			notifyChanged();
 		},
 		heal() {
 			cutFromAll = false;
 			cutNames.clear();
-			changed();
+			notifyChanged();
 		},
 		isCutFrom: name => cutFromAll || cutNames.has(name),
 		delayAnswers(ms) {
 			answerDelayMs = ms;
 		},
 		dropAnswers(count, kind) {
-			drop = {count, kind};
+			answersToDrop = {count, kind};
 		},
-		takeDroppedAnswer(kind) {
-			if (drop.count === 0 || (drop.kind !== undefined && drop.kind !== kind)) {
+		consumeDroppedAnswer(kind) {
+			if (answersToDrop.count === 0 || (answersToDrop.kind !== undefined && answersToDrop.kind !== kind)) {
 				return false;
 			}
 
-			drop.count--;
+			answersToDrop.count--;
 			return true;
 		},
 	};
--- a/src/stand-ins/database/service-slots.ts
+++ b/src/stand-ins/database/service-slots.ts
@@ -1,8 +1,8 @@
-/** The statements that a server runs at once; others wait in order of arrival. */
+/** Limits how many statements a server runs at once; others wait in order of arrival. */
 export type ServiceSlots = {
 	readonly running: number;
 	readonly waiting: number;
-	/** Resolves once a slot is free. */
+	/** Acquires a slot; resolves once one is free. */
 	take(): Promise<void>;
 	release(): void;
 };
@@ -32,7 +32,7 @@
 		release() {
 			const next = queue.shift();
 			if (next) {
-				// The slot passes on without being free in between.
+				// The slot is handed to the next waiter without becoming free in between.
 				next();
 			} else {
 				running--;
--- a/src/stand-ins/database/signal.ts
+++ b/src/stand-ins/database/signal.ts
@@ -1,11 +1,11 @@
-/** Wakes all that wait for the next change. */
+/** Notifies all waiters of a change. */
 export type Signal = {
 	/** Resolves at the next notification; check the condition again afterwards. */
 	wait(): Promise<void>;
 	notify(): void;
 };
 
-/** Creates a signal; a notification that nobody waits for costs nothing and is not kept. */
+/** Creates a signal; a notification without waiters has no effect and is not kept. */
 export function createSignal(): Signal {
 	let promise: Promise<void> | undefined;
 	let wake: (() => void) | undefined;
--- a/src/stand-ins/database/statement-execution.ts
+++ b/src/stand-ins/database/statement-execution.ts
@@ -6,7 +6,7 @@
 } from './statement.js';
 import type {StoredRow} from './table.js';
 
-/** What a statement answers, and what it would change. */
+/** The rows that a statement returns, and the changes that it would make. */
 export type StatementOutcome = {
 	readonly rows: readonly Row[];
 	readonly changes: readonly TableChange[];
@@ -14,7 +14,7 @@
 
 type StatementOf<K extends StatementKind> = Extract<Statement, {kind: K}>;
 
-/** Runs a statement against the tables without changing them; throws DatabaseError where it fails. */
+/** Runs a statement against the tables without changing them; throws DatabaseError if it fails. */
 export function executeStatement(statement: Statement, values: readonly unknown[], tables: TableReader): StatementOutcome {
 	switch (statement.kind) {
 		case StatementKind.Create: {
@@ -46,16 +46,16 @@
 
 function executeInsert(statement: StatementOf<typeof StatementKind.Insert>, values: readonly unknown[], tables: TableReader): StatementOutcome {
 	const {table} = statement;
-	const known = tables.getColumns(table);
-	const columns = known ?? statement.columns;
+	const existingColumns = tables.getColumns(table);
+	const columns = existingColumns ?? statement.columns;
 	checkColumns(table, columns, statement.columns);
 
-	const given = new Map(statement.columns.map((column, i) => [column, getValue(statement.operands[i]!, values)]));
-	const row = Object.fromEntries(columns.map(column => [column, given.get(column) ?? null]));
+	const valuesByColumn = new Map(statement.columns.map((column, i) => [column, getValue(statement.operands[i]!, values)]));
+	const row = Object.fromEntries(columns.map(column => [column, valuesByColumn.get(column) ?? null]));
 	const inserted: TableChange = {
 		kind: 'row', table, rowId: tables.allocateRowId(), after: row,
 	};
-	const changes: TableChange[] = known ? [inserted] : [{kind: 'create', table, columns}, inserted];
+	const changes: TableChange[] = existingColumns ? [inserted] : [{kind: 'create', table, columns}, inserted];
 	return {rows: project([row], columns, statement.returning), changes};
 }
 
@@ -89,7 +89,7 @@
 	for (const {rowId, row} of findRows(statement, values, tables)) {
 		const after = {...row};
 		for (const assignment of assignments) {
-			after[assignment.column] = getAssigned(assignment, row, values);
+			after[assignment.column] = getAssignedValue(assignment, row, values);
 		}
 
 		changes.push({
@@ -111,9 +111,9 @@
 	return {rows: project(found.map(({row}) => row), columns, statement.returning), changes};
 }
 
-type WithWhere = {readonly table: string; readonly where: readonly Condition[]};
+type FilteredStatement = {readonly table: string; readonly where: readonly Condition[]};
 
-function findRows({table, where}: WithWhere, values: readonly unknown[], tables: TableReader): readonly StoredRow[] {
+function findRows({table, where}: FilteredStatement, values: readonly unknown[], tables: TableReader): readonly StoredRow[] {
 	checkColumns(table, getColumnsOrThrow(table, tables), where.map(({column}) => column));
 	const conditions = where.map(({column, operand}): BoundCondition => ({column, value: getValue(operand, values)}));
 	return tables.findRows(table, conditions);
@@ -131,28 +131,28 @@
 	return values[operand.parameter];
 }
 
-function getAssigned({column, operand, adds}: Assignment, row: Row, values: readonly unknown[]): unknown {
+function getAssignedValue({column, operand, isIncrement}: Assignment, row: Row, values: readonly unknown[]): unknown {
 	const value = getValue(operand, values);
-	return adds ? Number(row[column]) + Number(value) : value;
+	return isIncrement ? Number(row[column]) + Number(value) : value;
 }
 
 function getColumnsOrThrow(table: string, tables: TableReader): readonly string[] {
 	return tables.getColumns(table) ?? throwStatementError(`relation "${table}" does not exist`);
 }
 
-function checkColumns(table: string, known: readonly string[], used: readonly string[]) {
-	const unknown = used.find(column => !known.includes(column));
+function checkColumns(table: string, existing: readonly string[], used: readonly string[]) {
+	const unknown = used.find(column => !existing.includes(column));
 	if (unknown !== undefined) {
 		throwStatementError(`column "${unknown}" of relation "${table}" does not exist`);
 	}
 }
 
-function project(rows: readonly Row[], known: readonly string[], columns: ColumnList | undefined): readonly Row[] {
+function project(rows: readonly Row[], allColumns: readonly string[], columns: ColumnList | undefined): readonly Row[] {
 	if (columns === undefined) {
 		return [];
 	}
 
-	const names = columns === '*' ? known : columns;
+	const names = columns === '*' ? allColumns : columns;
 	return rows.map(row => Object.fromEntries(names.map(column => [column, row[column]])));
 }
 
--- a/src/stand-ins/database/statement.ts
+++ b/src/stand-ins/database/statement.ts
@@ -1,6 +1,6 @@
 import {throwStatementError} from './database-errors.js';
 
-/** The few forms of statement that the stand-in server understands; it has no parser of SQL. */
+/** The kinds of statement that the stand-in server supports; it matches a few patterns and has no full SQL parser. */
 export const StatementKind = {
 	Create: 'CREATE TABLE',
 	Insert: 'INSERT',
@@ -18,8 +18,8 @@
 /** `column = operand`. */
 export type Condition = {readonly column: string; readonly operand: Operand};
 
-/** `column = operand`, or `column = column + operand` where `adds`. */
-export type Assignment = Condition & {readonly adds: boolean};
+/** `column = operand`, or `column = column + operand` if `isIncrement`. */
+export type Assignment = Condition & {readonly isIncrement: boolean};
 
 /** Names of columns, or `*` for all. */
 export type ColumnList = readonly string[] | '*';
@@ -48,28 +48,28 @@
 const CONDITION = /^(?<column>\w+)\s*=\s*(?<operand>'(?:[^']|'')*'|\S+)(?:\s+and\s+|$)/isv;
 const ASSIGNMENT = /^(?<column>\w+)\s*=\s*(?:(?<added>\w+)\s*\+\s*)?(?<operand>'(?:[^']|'')*'|\S+)$/isv;
 
-/** Statements kept parsed, at most. */
-const MOST_PARSED = 1000;
+/** Maximum number of parsed statements in the cache. */
+const MAX_CACHED_STATEMENTS = 1000;
 
-const parsed = new Map<string, Statement>();
+const statementCache = new Map<string, Statement>();
 
-/** Parses a statement; throws DatabaseError for one that the stand-in does not understand. */
+/** Parses a statement; throws DatabaseError if the stand-in server does not support it. */
 export function parseStatement(text: string): Statement {
-	const known = parsed.get(text);
-	if (known) {
-		return known;
+	const cached = statementCache.get(text);
+	if (cached) {
+		return cached;
 	}
 
-	const statement = parseUnknown(text.trim().replace(/;$/v, ''));
-	if (parsed.size >= MOST_PARSED) {
-		parsed.clear();
+	const statement = parseUncached(text.trim().replace(/;$/v, ''));
+	if (statementCache.size >= MAX_CACHED_STATEMENTS) {
+		statementCache.clear();
 	}
 
-	parsed.set(text, statement);
+	statementCache.set(text, statement);
 	return statement;
 }
 
-function parseUnknown(text: string): Statement {
+function parseUncached(text: string): Statement {
 	for (const form of FORMS) {
 		const groups = form.pattern.exec(text)?.groups;
 		if (groups) {
@@ -98,11 +98,11 @@
 }
 
 function buildSelect(groups: Groups): Statement {
-	const counts = /^count\(\*\)$/iv.test(groups.columns!);
+	const isCount = /^count\(\*\)$/iv.test(groups.columns!);
 	return {
 		kind: StatementKind.Select,
 		table: groups.table!,
-		columns: counts ? 'count' : parseColumns(groups.columns!),
+		columns: isCount ? 'count' : parseColumns(groups.columns!),
 		where: parseWhere(groups.where),
 		orderBy: groups.order,
 	};
@@ -138,7 +138,7 @@
 		throwStatementError('the stand-in server adds only to the column itself');
 	}
 
-	return {column: groups.column!, operand: parseOperand(groups.operand!), adds: groups.added !== undefined};
+	return {column: groups.column!, operand: parseOperand(groups.operand!), isIncrement: groups.added !== undefined};
 }
 
 function parseWhere(text = ''): readonly Condition[] {
@@ -166,15 +166,15 @@
 		return {literal: Number(text)};
 	}
 
-	const word = text.toLowerCase();
-	if (word === 'true' || word === 'false') {
-		return {literal: word === 'true'};
+	const lowerCased = text.toLowerCase();
+	if (lowerCased === 'true' || lowerCased === 'false') {
+		return {literal: lowerCased === 'true'};
 	}
 
-	return word === 'null' ? {literal: null} : throwStatementError(`syntax error at "${text}"`);
+	return lowerCased === 'null' ? {literal: null} : throwStatementError(`syntax error at "${text}"`);
 }
 
-/** Splits at commas outside quotes. */
+/** Splits a list at the commas outside quotes. */
 function splitList(text: string): string[] {
 	const items = text.match(/(?:'(?:[^']|'')*'|[^,'])+/gv) ?? [];
 	return items.map(item => item.trim());
--- a/src/stand-ins/database/table.ts
+++ b/src/stand-ins/database/table.ts
@@ -1,7 +1,7 @@
 import type {Row} from '../../endpoints/endpoint.js';
 import type {BoundCondition} from './database-state.js';
 
-/** A row with its id. */
+/** A row and its id. */
 export type StoredRow = {readonly rowId: number; readonly row: Row};
 
 /** The rows of one table. */
@@ -9,20 +9,21 @@
 	readonly columns: readonly string[];
 	/** Sets a row, or removes it where `row` is undefined. */
 	set(rowId: number, row: Row | undefined): void;
+	/** Returns the rows that meet all conditions. */
 	findRows(conditions: readonly BoundCondition[]): readonly StoredRow[];
 };
 
 type ColumnIndex = Map<unknown, Set<number>>;
 
-/** Creates an empty table; a column gets an index the first time that a condition begins with it. */
+/** Creates an empty table; a column is indexed the first time that it is in the first condition of a query. */
 export function createTable(columns: readonly string[]): Table {
 	const rows = new Map<number, Row>();
 	const indexes = new Map<string, ColumnIndex>();
 
 	const getIndex = (column: string) => {
-		const known = indexes.get(column);
-		if (known) {
-			return known;
+		const existing = indexes.get(column);
+		if (existing) {
+			return existing;
 		}
 
 		const index: ColumnIndex = new Map();
@@ -71,7 +72,7 @@
 	};
 }
 
-/** Tells whether every named column has the value; null equals nothing, as in SQL. */
+/** Returns whether the row meets all conditions; null equals nothing, as in SQL. */
 export function matchesAll(row: Row, conditions: readonly BoundCondition[]): boolean {
 	return conditions.every(({column, value}) => value !== null && row[column] === value);
 }
