--- a/src/stand-ins/platform/http-front.ts
+++ b/src/stand-ins/platform/http-front.ts
@@ -10,16 +10,16 @@
 import {MAX_VALUE_BYTES, type ObjectStore} from './object-store.js';
 import {CallEffect, platformFaultsSchema, type FaultGate} from './platform-faults.js';
 
-/** Options of {@link createHttpFront}. */
+/** Options of {@link createPlatformServer}. */
 export type HttpFrontOptions = {
 	readonly store: ObjectStore;
 	readonly gate: FaultGate;
 };
 
-/** Room for names, versions and escapes around a value of the largest size. */
+/** The 65536 bytes above the largest value are for names, versions and escape sequences. */
 const MAX_BODY_BYTES = MAX_VALUE_BYTES + 65_536;
 const MAX_NAME_LENGTH = 512;
-/** Answers from this size on are compressed where the client accepts it, in bytes. */
+/** Size in bytes from which a response is compressed if the client accepts it. */
 const MIN_COMPRESSED_BYTES = 2048;
 const MAX_WAIT_MS = 60_000;
 
@@ -37,61 +37,61 @@
 
 const compress = promisify(gzip);
 
-/** Creates the HTTP interface of a store, with control routes below `/control`; the caller listens and closes. */
-export function createHttpFront({store, gate}: HttpFrontOptions): FastifyInstance {
+/** Creates the HTTP server of a store, with control routes below `/control`. The caller starts listening and closes it. */
+export function createHttpFront({store, gate: injector}: HttpFrontOptions): FastifyInstance {
 	const app = fastify({bodyLimit: MAX_BODY_BYTES, forceCloseConnections: true, routerOptions: {maxParamLength: MAX_NAME_LENGTH * 3}});
-	app.setErrorHandler(answerError);
-	app.addHook('onSend', compressAnswer);
-	addObjectRoutes(app, store, gate);
-	addWatchRoute(app, store, gate);
-	addHostsRoute(app, store, gate);
-	addControlRoutes(app, store, gate);
+	app.setErrorHandler(sendError);
+	app.addHook('onSend', compressResponse);
+	addObjectRoutes(app, store, injector);
+	addWatchRoute(app, store, injector);
+	addHostsRoute(app, store, injector);
+	addControlRoutes(app, store, injector);
 	return app;
 }
 
-function addObjectRoutes(app: FastifyInstance, store: ObjectStore, gate: FaultGate) {
+function addObjectRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
 	app.get('/v1/objects/:kind/:name', async (req, res) => {
 		const {kind, name} = objectPath.parse(req.params);
-		const object = await gate.pass(CallEffect.Read, () => store.get(kind, name));
+		const object = await injector.runWithFaults(CallEffect.Read, () => store.get(kind, name));
 		return object ?? res.code(404).send({error: 'object-missing', message: `there is no ${kind} ${name}`});
 	});
 	app.get('/v1/objects/:kind', async req => {
 		const {kind} = kindPath.parse(req.params);
 		const {prefix} = listQuery.parse(req.query);
-		return gate.pass(CallEffect.Read, () => store.list(kind, prefix));
+		return injector.runWithFaults(CallEffect.Read, () => store.list(kind, prefix));
 	});
 	app.put('/v1/objects/:kind/:name', async req => {
 		const {kind, name} = objectPath.parse(req.params);
 		const {value, expectedVersion} = putBody.parse(req.body);
-		return gate.pass(CallEffect.Change, () => store.put({
+		return injector.runWithFaults(CallEffect.Change, () => store.put({
 			kind, name, value, expectedVersion,
 		}));
 	});
 	app.delete('/v1/objects/:kind/:name', async (req, res) => {
 		const {kind, name} = objectPath.parse(req.params);
 		const {expectedVersion} = deleteQuery.parse(req.query);
-		await gate.pass(CallEffect.Change, () => {
+		await injector.runWithFaults(CallEffect.Change, () => {
 			store.delete(kind, name, expectedVersion);
 		});
 		return res.code(204).send();
 	});
 }
 
-function addWatchRoute(app: FastifyInstance, store: ObjectStore, gate: FaultGate) {
+function addWatchRoute(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
 	app.get('/v1/watches/:kind', async (req, res) => {
 		const {kind} = kindPath.parse(req.params);
 		const {revision, waitMs} = watchQuery.parse(req.query);
-		const gone = new AbortController();
+		const closed = new AbortController();
 		res.raw.once('close', () => {
-			gone.abort();
+			closed.abort();
 		});
-		return gate.pass(CallEffect.Watch, async () => store.watch(kind, revision, waitMs, gone.signal));
+		return injector.runWithFaults(CallEffect.Watch, async () => store.watch(kind, revision, waitMs, closed.signal));
 	});
 }
 
-function addHostsRoute(app: FastifyInstance, store: ObjectStore, gate: FaultGate) {
+function addHostsRoute(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
 	app.get('/v1/hosts', async (req, res) => {
-		const hosts = await gate.pass(CallEffect.Read, () => store.hosts());
+		const hosts = await injector.runWithFaults(CallEffect.Read, () => store.hosts());
 		const text = JSON.stringify(hosts);
 		const etag = `"${createHash('sha1').update(text).digest('base64url')}"`;
 		void res.header('etag', etag);
@@ -99,14 +99,14 @@
 	});
 }
 
-/** Routes by which a demo or a benchmark changes faults and hosts while the process runs; no fault reaches them. */
-function addControlRoutes(app: FastifyInstance, store: ObjectStore, gate: FaultGate) {
+/** Adds the routes by which a demo or a benchmark changes faults and hosts while the process runs. No fault affects these routes. */
+function addControlRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
 	app.get('/control', async () => ({
-		faults: gate.faults, calls: store.calls, waitingWatches: store.waitingWatches, revision: store.revision,
+		faults: injector.faults, calls: store.calls, waitingWatches: store.waitingWatches, revision: store.revision,
 	}));
-	app.put('/control/faults', async req => Object.assign(gate.faults, faultsBody.parse(req.body)));
+	app.put('/control/faults', async req => Object.assign(injector.faults, faultsBody.parse(req.body)));
 	app.post('/control/silence-open-watches', async () => {
-		gate.silenceOpenWatches();
+		injector.silenceOpenWatches();
 		return {};
 	});
 	app.put('/control/hosts', async req => {
@@ -120,7 +120,7 @@
 	});
 }
 
-async function answerError(err: Error & {statusCode?: number}, _req: FastifyRequest, res: FastifyReply) {
+async function sendError(err: Error & {statusCode?: number}, _req: FastifyRequest, res: FastifyReply) {
 	const {status, error} = getErrorStatus(err);
 	const message = err instanceof z.ZodError ? z.prettifyError(err) : err.message;
 	return res.code(status).send({error, message});
@@ -146,7 +146,7 @@
 	return {status: err.statusCode ?? 500, error: 'failed'};
 }
 
-async function compressAnswer(req: FastifyRequest, res: FastifyReply, payload: unknown) {
+async function compressResponse(req: FastifyRequest, res: FastifyReply, payload: unknown) {
 	const accepted = req.headers['accept-encoding']?.includes('gzip') ?? false;
 	if (!accepted || typeof payload !== 'string' || Buffer.byteLength(payload) < MIN_COMPRESSED_BYTES) {
 		return payload;
--- a/src/stand-ins/platform/in-memory-platform.ts
+++ b/src/stand-ins/platform/in-memory-platform.ts
@@ -7,9 +7,9 @@
 import type {ObjectStore} from './object-store.js';
 import {CallEffect, createFaultGate, type FaultGate} from './platform-faults.js';
 
-/** One client's way to a store in the same process. */
+/** One client of a store in the same process. */
 export type InMemoryPlatform = Platform & {
-	/** Faults of this client's way alone. */
+	/** Injects faults into the calls of this client only. */
 	readonly gate: FaultGate;
 };
 
@@ -17,11 +17,11 @@
 export type InMemoryPlatformOptions = {
 	readonly store: ObjectStore;
 	readonly clock: Clock;
-	/** Faults common to all clients of the store. */
+	/** Injects faults into the calls of all clients of the store. */
 	readonly sharedGate?: FaultGate;
 };
 
-/** What a call does and how it is named in an error. */
+/** A call to the store; errors name it by `what`. */
 type Call<T> = {
 	readonly what: string;
 	readonly effect: CallEffect;
@@ -31,19 +31,19 @@
 
 /** Creates a client of the store. */
 export function createInMemoryPlatform({store, clock, sharedGate}: InMemoryPlatformOptions): InMemoryPlatform {
-	const gate = createFaultGate({clock});
+	const injector = createFaultGate({clock});
 
 	const call = async <T>({what, effect, timeoutMs, run}: Call<T>): Promise<T> => {
 		const abort = new AbortController();
 		const runAtStore = async () => run(abort.signal);
-		const runShared = async (): Promise<T> => sharedGate ? sharedGate.pass(effect, runAtStore) : runAtStore();
-		const bounded = await withinMs(clock, timeoutMs, gate.pass(effect, runShared)).catch((err: unknown) => rethrow(what, err));
+		const runShared = async (): Promise<T> => sharedGate ? sharedGate.runWithFaults(effect, runAtStore) : runAtStore();
+		const outcome = await withinMs(clock, timeoutMs, injector.runWithFaults(effect, runShared)).catch((err: unknown) => rethrow(what, err));
 		abort.abort();
-		return bounded.timedOut ? throwPlatformSilent(what) : bounded.value;
+		return outcome.timedOut ? throwPlatformSilent(what) : outcome.value;
 	};
 
 	return {
-		gate,
+		gate: injector,
 		async get(kind, name, timeoutMs) {
 			return call({
 				what: `get ${kind} ${name}`, effect: CallEffect.Read, timeoutMs, run: () => store.get(kind, name),
@@ -79,7 +79,7 @@
 	};
 }
 
-/** Passes a conflict on, which the store decided, and names the call in any other error. */
+/** Rethrows a version conflict as it is, and any other error with the name of the call. */
 function rethrow(what: string, err: unknown): never {
 	if (err instanceof PlatformConflictError) {
 		throw err;
--- a/src/stand-ins/platform/main.ts
+++ b/src/stand-ins/platform/main.ts
@@ -5,12 +5,12 @@
 import {createObjectStore} from './object-store.js';
 import {createFaultGate} from './platform-faults.js';
 
-/** Runs the stand-in platform as a process; once it listens it prints `{"ready":true,"url":…}` on one line. */
+/** Runs the stand-in platform as a process. Once it listens, it prints `{"ready":true,"url":…}` on one line. */
 const command = defineCommand({
 	meta: {name: 'stand-in-platform', description: 'A stand-in for the platform\'s object API and host list'},
 	args: {
-		address: {type: 'string', default: '127.0.0.1', description: 'IP number to listen on'},
-		port: {type: 'string', default: '0', description: 'Port to listen on; 0 takes a free one'},
+		address: {type: 'string', default: '127.0.0.1', description: 'IP address to listen on'},
+		port: {type: 'string', default: '0', description: 'Port to listen on; 0 for any'},
 	},
 	async run({args}) {
 		const clock = createSystemClock();
--- a/src/stand-ins/platform/object-store.ts
+++ b/src/stand-ins/platform/object-store.ts
@@ -5,41 +5,43 @@
 import {PlatformRefusedError, throwVersionConflict} from '../../object-store/platform-errors.js';
 import type {Clock} from '../../time/clock.js';
 
-/** Largest value the platform holds, in bytes of JSON. */
+/** Maximum size of a value, in bytes of JSON. */
 export const MAX_VALUE_BYTES = 1_048_576;
 
-/** Host lists remembered for the sake of the lag. */
-const MAX_SNAPSHOTS = 100;
+/** Maximum number of past host lists that are kept to simulate the lag. */
+const MAX_HOST_SNAPSHOTS = 100;
 
-/** The platform as a model: versioned objects, watches and the lagging host list, without faults or transport. */
+/** An in-memory model of the platform: versioned objects, watches and the lagging host list, without faults or transport. */
 export type ObjectStore = {
+	/** Returns an object; undefined if it does not exist. */
 	get(kind: ObjectKind, name: string): PlatformObject | undefined;
+	/** Lists the objects of a kind whose names begin with `prefix`. */
 	list(kind: ObjectKind, prefix: string): PlatformList;
-	/** Writes on the expected version; throws PlatformConflictError on another, PlatformRefusedError on a value over {@link MAX_VALUE_BYTES}. */
+	/** Writes an object at the expected version; throws PlatformConflictError at another version, PlatformRefusedError if the value is over {@link MAX_VALUE_BYTES}. */
 	put(object: PutObject): PlatformObject;
-	/** Deletes on the expected version; throws PlatformConflictError on another. */
+	/** Deletes an object at the expected version; throws PlatformConflictError at another version. */
 	delete(kind: ObjectKind, name: string, expectedVersion: number): void;
-	/** Answers with what changed after `revision`, deletions among it, at once or when it does; empty after `waitMs` or once aborted. */
+	/** Resolves with the objects that changed after `revision`, including deletions: at once if there are any, otherwise once one changes, or without objects after `waitMs` milliseconds or when aborted. */
 	watch(kind: ObjectKind, revision: number, waitMs: number, signal?: AbortSignal): Promise<PlatformList>;
-	/** The host list as it stood `hostLagMs` ago. */
+	/** Returns the host list as it was `hostLagMs` milliseconds ago. */
 	hosts(): readonly PlatformHost[];
-	/** Replaces the true host list. */
+	/** Replaces the actual host list. */
 	setHosts(hosts: readonly PlatformHost[]): void;
-	/** How far the host list trails the truth, in milliseconds. */
+	/** How far the host list that `hosts` returns lags behind the actual one, in milliseconds. */
 	hostLagMs: number;
-	/** Calls counted so far; a watch is one call however long it waits. */
+	/** Number of calls so far; a watch counts as one call however long it waits. */
 	readonly calls: Readonly<CallCounts>;
-	/** Watches that wait now. */
+	/** Number of watches that are waiting. */
 	readonly waitingWatches: number;
-	/** Highest version given to any object. */
+	/** The highest version of any object. */
 	readonly revision: number;
 };
 
-/** Calls by operation. */
+/** Numbers of calls, by operation. */
 export type CallCounts = Record<'get' | 'list' | 'put' | 'delete' | 'watch' | 'hosts', number>;
 
-/** A value is kept as text, so that no caller shares an object with another. */
-type Entry = {
+/** An object as stored; its value is kept as text, so that callers share no objects, and is undefined once it is deleted. */
+type StoredObject = {
 	readonly version: number;
 	readonly text: string | undefined;
 };
@@ -51,9 +53,9 @@
 
 /** Creates an empty store. */
 export function createObjectStore({clock}: {readonly clock: Clock}): ObjectStore {
-	const kinds = new Map<ObjectKind, Map<string, Entry>>();
+	const kinds = new Map<ObjectKind, Map<string, StoredObject>>();
 	const kindRevisions = new Map<ObjectKind, number>();
-	const waiting = new Map<AbortController, ObjectKind>();
+	const waiters = new Map<AbortController, ObjectKind>();
 	const calls: CallCounts = {
 		get: 0, list: 0, put: 0, delete: 0, watch: 0, hosts: 0,
 	};
@@ -62,7 +64,7 @@
 	let hostLagMs = 0;
 
 	const getEntries = (kind: ObjectKind) => {
-		const entries = kinds.get(kind) ?? new Map<string, Entry>();
+		const entries = kinds.get(kind) ?? new Map<string, StoredObject>();
 		kinds.set(kind, entries);
 		return entries;
 	};
@@ -72,7 +74,7 @@
 		return entry?.text === undefined ? 0 : entry.version;
 	};
 
-	const change = (kind: ObjectKind, name: string, expectedVersion: number, text: string | undefined) => {
+	const applyChange = (kind: ObjectKind, name: string, expectedVersion: number, text: string | undefined) => {
 		if (getLiveVersion(kind, name) !== expectedVersion) {
 			throwVersionConflict(kind, name, expectedVersion);
 		}
@@ -80,7 +82,7 @@
 		revision++;
 		getEntries(kind).set(name, {version: revision, text});
 		kindRevisions.set(kind, revision);
-		for (const [waiter, waitingKind] of waiting) {
+		for (const [waiter, waitingKind] of waiters) {
 			if (waitingKind === kind) {
 				waiter.abort();
 			}
@@ -98,15 +100,15 @@
 
 	const waitForChange = async (kind: ObjectKind, waitMs: number, signal: AbortSignal | undefined) => {
 		const waiter = new AbortController();
-		const end = () => {
+		const abortWait = () => {
 			waiter.abort();
 		};
 
-		signal?.addEventListener('abort', end, {once: true});
-		waiting.set(waiter, kind);
+		signal?.addEventListener('abort', abortWait, {once: true});
+		waiters.set(waiter, kind);
 		await clock.sleep(waitMs, waiter.signal);
-		waiting.delete(waiter);
-		signal?.removeEventListener('abort', end);
+		waiters.delete(waiter);
+		signal?.removeEventListener('abort', abortWait);
 	};
 
 	return {
@@ -127,7 +129,7 @@
 				throw new PlatformRefusedError(`the value is over ${MAX_VALUE_BYTES} bytes`);
 			}
 
-			change(object.kind, object.name, object.expectedVersion, text);
+			applyChange(object.kind, object.name, object.expectedVersion, text);
 			return toObject(object.kind, object.name, {version: revision, text});
 		},
 		delete(kind, name, expectedVersion) {
@@ -136,7 +138,7 @@
 				throwVersionConflict(kind, name, expectedVersion);
 			}
 
-			change(kind, name, expectedVersion, undefined);
+			applyChange(kind, name, expectedVersion, undefined);
 		},
 		async watch(kind, after, waitMs, signal) {
 			calls.watch++;
@@ -155,7 +157,7 @@
 		},
 		setHosts(hosts) {
 			snapshots.push({at: clock.now(), hosts: structuredClone(hosts)});
-			snapshots.splice(0, Math.max(0, snapshots.length - MAX_SNAPSHOTS));
+			snapshots.splice(0, Math.max(0, snapshots.length - MAX_HOST_SNAPSHOTS));
 		},
 		get hostLagMs() {
 			return hostLagMs;
@@ -167,7 +169,7 @@
 			return {...calls};
 		},
 		get waitingWatches() {
-			return waiting.size;
+			return waiters.size;
 		},
 		get revision() {
 			return revision;
@@ -175,7 +177,7 @@
 	};
 }
 
-function toObject(kind: ObjectKind, name: string, {version, text}: Entry): PlatformObject {
+function toObject(kind: ObjectKind, name: string, {version, text}: StoredObject): PlatformObject {
 	if (text === undefined) {
 		return {
 			kind, name, version, value: null, deleted: true,
--- a/src/stand-ins/platform/platform-faults.ts
+++ b/src/stand-ins/platform/platform-faults.ts
@@ -5,34 +5,34 @@
 /** How the platform fails as a whole. */
 export const Outage = {
 	None: 'none',
-	/** Every call is answered at once with an error. */
+	/** Every call gets an error response at once. */
 	Refusing: 'refusing',
-	/** No call is ever answered. */
+	/** No call ever gets a response. */
 	Silent: 'silent',
 } as const;
 
 /** One of the outages in {@link Outage}. */
 export type Outage = typeof Outage[keyof typeof Outage];
 
-/** Checks a change of faults. */
+/** Schema of the faults. */
 export const platformFaultsSchema = z.strictObject({
 	outage: z.enum(Outage),
 	/** Time before a call takes effect, in milliseconds. */
 	requestDelayMs: z.number().min(0),
-	/** Time between a call's effect and its answer, in milliseconds. */
+	/** Time between a call's effect and its response, in milliseconds. */
 	answerDelayMs: z.number().min(0),
-	/** Every other answer is held back this much longer, in milliseconds, so that later ones overtake it. */
+	/** Every other response is delayed by this much more, in milliseconds, so that later ones overtake it. */
 	overtakenMs: z.number().min(0),
-	/** How many further changes take effect without their answers arriving. */
+	/** How many of the next changes take effect while their responses are lost. */
 	lostAnswers: z.int().min(0),
-	/** Watches hang for good, also those that wait already when a change comes. */
+	/** Watches never get a response; this includes those that are already waiting when an object changes. */
 	deadWatches: z.boolean(),
 });
 
-/** The faults in effect; assigned to at run time. */
+/** The active faults; their fields are assigned at run time. */
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
 
-/** What a call does, as far as faults tell calls apart. */
+/** What a call does, as far as faults distinguish between calls. */
 export const CallEffect = {
 	Read: 'read',
 	Change: 'change',
@@ -42,45 +42,45 @@
 /** One of the effects in {@link CallEffect}. */
 export type CallEffect = typeof CallEffect[keyof typeof CallEffect];
 
-/** A stretch of the way to the platform on which faults act. */
+/** Injects faults into the calls that pass through it to the platform. */
 export type FaultGate = {
-	/** The faults in effect; assign to its fields. */
+	/** The active faults; assign to the fields to change them. */
 	readonly faults: PlatformFaults;
-	/** Calls that came this way so far, whatever became of them. */
+	/** Number of calls so far, whatever their result. */
 	readonly passed: number;
-	/** Runs a call under the faults; stays pending for good where the answer is lost, rejects with PlatformError where it is refused. */
-	pass<T>(effect: CallEffect, run: () => T | Promise<T>): Promise<T>;
-	/** Makes every watch that waits now hang for good, while new ones work. */
+	/** Runs a call under the active faults; never settles if the response is lost, and rejects with PlatformError if the call is refused. */
+	runWithFaults<T>(effect: CallEffect, run: () => T | Promise<T>): Promise<T>;
+	/** Makes every waiting watch hang for good; new watches work. */
 	silenceOpenWatches(): void;
 };
 
-/** Creates a gate without faults. */
+/** Creates a fault injector without active faults. */
 export function createFaultGate({clock}: {readonly clock: Clock}): FaultGate {
 	const faults: PlatformFaults = {
 		outage: Outage.None, requestDelayMs: 0, answerDelayMs: 0, overtakenMs: 0, lostAnswers: 0, deadWatches: false,
 	};
-	let passed = 0;
-	let answers = 0;
+	let callCount = 0;
+	let answerCount = 0;
 	let watchGeneration = 0;
 
-	const failUnderOutage = async () => {
+	const failDuringOutage = async () => {
 		if (faults.outage === Outage.Refusing) {
 			throwPlatformSilent('any call during an outage');
 		}
 
 		if (faults.outage === Outage.Silent) {
-			await hang();
+			await waitForever();
 		}
 	};
 
 	const failAfterEffect = async (effect: CallEffect, generation: number) => {
 		if (effect === CallEffect.Watch && (faults.deadWatches || generation !== watchGeneration)) {
-			await hang();
+			await waitForever();
 		}
 
 		if (effect === CallEffect.Change && faults.lostAnswers > 0) {
 			faults.lostAnswers--;
-			await hang();
+			await waitForever();
 		}
 	};
 
@@ -91,25 +91,25 @@
 	};
 
 	const getAnswerDelayMs = () => {
-		answers++;
-		return faults.answerDelayMs + (answers % 2 === 1 ? faults.overtakenMs : 0);
+		answerCount++;
+		return faults.answerDelayMs + (answerCount % 2 === 1 ? faults.overtakenMs : 0);
 	};
 
 	return {
 		faults,
 		get passed() {
-			return passed;
+			return callCount;
 		},
-		async pass(effect, run) {
-			passed++;
+		async runWithFaults(effect, run) {
+			callCount++;
 			const generation = watchGeneration;
-			await failUnderOutage();
+			await failDuringOutage();
 			await delay(faults.requestDelayMs);
-			const answer = settle(run);
+			const answer = runAsync(run);
 			await answer.catch(() => undefined);
 			await failAfterEffect(effect, generation);
 			await delay(getAnswerDelayMs());
-			await failUnderOutage();
+			await failDuringOutage();
 			return answer;
 		},
 		silenceOpenWatches() {
@@ -118,10 +118,10 @@
 	};
 }
 
-async function settle<T>(run: () => T | Promise<T>): Promise<T> {
+async function runAsync<T>(run: () => T | Promise<T>): Promise<T> {
 	return run();
 }
 
-async function hang(): Promise<never> {
+async function waitForever(): Promise<never> {
 	return new Promise(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 }
