--- a/src/stand-ins/platform/in-memory-platform.ts
+++ b/src/stand-ins/platform/in-memory-platform.ts
@@ -30,13 +30,13 @@
 };
 
 /** Creates a client of the store. */
-export function createInMemoryPlatform({store, clock, sharedGate}: InMemoryPlatformOptions): InMemoryPlatform {
+export function createInMemoryPlatform({store, clock, sharedGate: sharedInjector}: InMemoryPlatformOptions): InMemoryPlatform {
 	const injector = createFaultGate({clock});
 
 	const call = async <T>({what, effect, timeoutMs, run}: Call<T>): Promise<T> => {
 		const abort = new AbortController();
 		const runAtStore = async () => run(abort.signal);
-		const runShared = async (): Promise<T> => sharedGate ? sharedGate.runWithFaults(effect, runAtStore) : runAtStore();
+		const runShared = async (): Promise<T> => sharedInjector ? sharedInjector.runWithFaults(effect, runAtStore) : runAtStore();
 		const outcome = await withinMs(clock, timeoutMs, injector.runWithFaults(effect, runShared)).catch((err: unknown) => rethrow(what, err));
 		abort.abort();
 		return outcome.timedOut ? throwPlatformSilent(what) : outcome.value;
--- a/tests/stand-ins/database/contract-steps.ts
+++ b/tests/stand-ins/database/contract-steps.ts
@@ -5,27 +5,27 @@
 import type {DatabaseGroup} from '../../../src/stand-ins/database/database-group.js';
 import {LOG_START, type LogPosition} from '../../../src/terms/log-position.js';
 
-/** A stand-in group of three servers and a way to reach it. */
+/** A stand-in group of three servers and the endpoints that reach it. */
 export type ContractHarness = {
 	readonly group: DatabaseGroup;
 	readonly endpoints: Endpoints;
-	/** Lets time pass until the promise settles. */
+	/** Advances time until the promise settles. */
 	settle<T>(promise: Promise<T>): Promise<T>;
 	stop(): Promise<void>;
 };
 
-/** Timeout of exchanges that are meant to end, in milliseconds. */
+/** Timeout of exchanges that are expected to get an answer, in milliseconds. */
 export const TIMEOUT_MS = 1000;
-/** Inserts a row of `nights` and answers it. */
+/** Inserts a row into `nights` and returns it. */
 export const INSERT = 'INSERT INTO nights (member, score) VALUES ($1, $2) RETURNING member, score';
-/** Answers the rows of one member. */
+/** Selects the rows of one member. */
 export const SELECT = 'SELECT member, score FROM nights WHERE member = $1 ORDER BY score';
 
-/** Steps of a test, each answering one line of text. */
+/** The steps of a test; each returns its outcome as one line of text. */
 export class ContractSteps {
 	constructor(readonly harness: ContractHarness, private readonly connections: readonly EndpointConnection[]) {}
 
-	/** The connection to the primary, then those to the replicas; 3 is a second one to the primary. */
+	/** Returns a connection: 0 to the primary, 1 and 2 to the replicas, 3 a second one to the primary. */
 	at(index: number): EndpointConnection {
 		return this.connections[index]!;
 	}
@@ -91,8 +91,8 @@
 		return 'rolled back';
 	}
 
-	/** Tells how an exchange that brings no answer ends. */
-	async fail(promise: Promise<unknown>) {
+	/** Returns whether an exchange that should get no answer was answered, or how it failed. */
+	async describeFailure(promise: Promise<unknown>) {
 		try {
 			await this.settle(promise);
 			return 'answered';
@@ -106,7 +106,7 @@
 	}
 }
 
-/** A status as `role term/position of promised`. */
+/** Formats a status as `role term/position of promised`, where `promised` is the promised term. */
 export function formatStatus({role, log, term, leaving}: EndpointStatus) {
 	return `${role} ${log.term}/${log.position} of ${term}${leaving ? ' leaving' : ''}`;
 }
@@ -115,7 +115,7 @@
 	return `${granted ? 'granted' : 'refused'} ${formatStatus(status)}`;
 }
 
-/** The answer to a keyed write or a resolve. */
+/** Formats the answer to a keyed write or a resolve. */
 export function formatKeyed({result, rows, message, status}: KeyedWriteAnswer) {
 	return [result, rows && JSON.stringify(rows), message && `"${message}"`, formatStatus(status)].filter(Boolean).join(' ');
 }
--- a/tests/stand-ins/database/database-faults-tests.ts
+++ b/tests/stand-ins/database/database-faults-tests.ts
@@ -15,9 +15,9 @@
 	readonly group: DatabaseGroup;
 	readonly endpoints: InMemoryEndpoints;
 	connect(server?: number): Promise<EndpointConnection>;
-	/** Lets time pass until the exchange ends, and tells how. */
+	/** Advances time until the exchange ends, and returns its outcome. */
 	end(exchange: Promise<string>): Promise<string>;
-	/** Tells the milliseconds besides. */
+	/** Does the same, and adds how many milliseconds the exchange took. */
 	time(exchange: Promise<string>): Promise<string>;
 };
 
@@ -52,7 +52,7 @@
 		});
 	};
 
-	doTest('a connection takes its time and an exchange two crossings', {connectMs: 10}, async ({clock, endpoints, group, time, connect}) => {
+	doTest('opening a connection takes connectMs and a round trip, an exchange takes a round trip', {connectMs: 10}, async ({clock, endpoints, group, time, connect}) => {
 		const lines = [
 			await time(endpoints.getEndpoint(SERVERS[0]!).connect(1000).then(() => 'open')),
 			await time(endpoints.getEndpoint(SERVERS[0]!).connect(5).then(() => 'open')),
@@ -62,7 +62,7 @@
 		return [...lines, `${group.servers[0]!.connections} open`];
 	}, ['12 ms: open', '5 ms: no answer, sent false', '2 ms: primary 1/1 of 1', '2 open']);
 
-	doTest('statements beyond the slots wait their turn', {slots: 1, serviceMs: 100}, async ({connect, clock, group}) => {
+	doTest('statements beyond the number of slots wait for a slot', {slots: 1, serviceMs: 100}, async ({connect, clock, group}) => {
 		const connections = [await connect(), await connect(), await connect()];
 		const writes = connections.map(async (connection, i) => insert(connection, `${i}`));
 		const ends = [];
@@ -74,7 +74,7 @@
 		return ends.map(String);
 	}, ['2', '3', '4']);
 
-	doTest('an entry arrives after the replication lag, set while it is under way', {replicationLagMs: 500}, async ({connect, clock, group}) => {
+	doTest('an entry arrives after the replication lag, also if the lag is changed meanwhile', {replicationLagMs: 500}, async ({connect, clock, group}) => {
 		const [primary, replica] = [await connect(), await connect(1)];
 		await clock.advance(500);
 		await clock.runUntil(insert(primary, 'a'));
@@ -90,7 +90,7 @@
 		return lines;
 	}, ['replica 1/1 of 1', 'replica 1/1 of 1', 'replica 1/2 of 1', 'replica 1/3 of 1']);
 
-	doTest('a frozen server stops in the middle of a statement and goes on when thawed', {serviceMs: 100}, async ({connect, clock, group, time}) => {
+	doTest('a frozen server pauses in the middle of a statement and resumes when thawed', {serviceMs: 100}, async ({connect, clock, group, time}) => {
 		const connection = await connect();
 		const write = insert(connection, 'a');
 		await clock.advance(10);
@@ -101,7 +101,7 @@
 		return [`${before}`, await time(write)];
 	}, ['1', '1 ms: ran [{"member":"ana","score":7}] primary 1/2 of 1']);
 
-	doTest('a fenced primary does not commit the statement under way', {serviceMs: 100}, async ({connect, clock, end}) => {
+	doTest('a fenced primary does not commit the running statement', {serviceMs: 100}, async ({connect, clock, end}) => {
 		const [connection, control] = [await connect(), await connect()];
 		const write = insert(connection, 'a');
 		await clock.advance(10);
@@ -109,7 +109,7 @@
 		return [await end(write)];
 	}, ['not-primary replica 1/1 of 2']);
 
-	doTest('a killed server loses the statement under way', {serviceMs: 100}, async ({connect, clock, group, time}) => {
+	doTest('a killed server loses the running statement', {serviceMs: 100}, async ({connect, clock, group, time}) => {
 		const write = insert(await connect(), 'a');
 		await clock.advance(10);
 		group.servers[0]!.kill();
@@ -120,16 +120,16 @@
 		return lines;
 	}, ['1 ms: no answer, sent true', '2 ms: primary 1/1 of 1']);
 
-	// Two retries of one filing wait for its first try, which rolls back. If both found the key absent before either
-	// put its own in place, the filing would run twice.
+	// Two retries of one request wait for its first attempt, which is rolled back. If both found the key absent before
+	// either inserted it, the request would run twice.
 	for (const slots of [1, 3]) {
-		doTest(`of two tries that wait for a key that is rolled back, one runs; ${slots} slots`, {slots, serviceMs: 10}, async ({connect, clock, end}) => {
+		doTest(`one of two retries that wait for a rolled-back key runs, with ${slots} slots`, {slots, serviceMs: 10}, async ({connect, clock, end}) => {
 			const [first, second, third] = [await connect(), await connect(), await connect()];
 			await clock.runUntil(first.begin({requestId: 'a', digest: 'd', term: 1}, 1000));
-			const tries = [insert(second, 'a'), insert(third, 'a')];
+			const retries = [insert(second, 'a'), insert(third, 'a')];
 			await clock.advance(50);
 			await clock.runUntil(first.rollback(1000));
-			return [await end(tries[0]!), await end(tries[1]!), await end(status(first))];
+			return [await end(retries[0]!), await end(retries[1]!), await end(status(first))];
 		}, [
 			'ran [{"member":"ana","score":7}] primary 1/2 of 1',
 			'found [{"member":"ana","score":7}] primary 1/2 of 1',
@@ -137,22 +137,22 @@
 		]);
 	}
 
-	// A proxy dies in the middle of a transaction behind a cut, so the server is not told. The key and the rows must
-	// not stay locked for ever.
-	doTest('a transaction that waits too long for its next statement is rolled back', {idleInTransactionMs: 300}, async ({connect, clock, end}) => {
+	// A proxy that is cut off from the server dies in the middle of a transaction, so the server is not notified. The key
+	// and the rows must not stay locked forever.
+	doTest('a transaction that is idle for too long is rolled back', {idleInTransactionMs: 300}, async ({connect, clock, end}) => {
 		const [first, second] = [await connect(), await connect()];
 		await clock.runUntil(first.begin({requestId: 'a', digest: 'd', term: 1}, 1000));
 		return [await end(insert(second, 'a')), `usable ${first.usable}`];
 	}, ['ran [{"member":"ana","score":7}] primary 1/2 of 1', 'usable false']);
 
-	doTest('a key in flight for longer than the exchange may wait brings no answer', {}, async ({connect, clock, time}) => {
+	doTest('an exchange gets no answer if its key is in flight for longer than its timeout', {}, async ({connect, clock, time}) => {
 		const [first, second] = [await connect(), await connect()];
 		await clock.runUntil(first.begin({requestId: 'a', digest: 'd', term: 1}, 1000));
 		return [await time(insert(second, 'a', 40)), `usable ${second.usable}`];
 	}, ['40 ms: no answer, sent true', 'usable false']);
 
-	// A packet sent into a cut arrives when the cut heals, as TCP delivers it, long after its sender gave up.
-	doTest('a write sent into a cut link takes effect when the link heals', {}, async ({connect, clock, endpoints, time}) => {
+	// TCP delivers a packet that was sent during a cut once the cut ends, long after its sender has timed out.
+	doTest('a write sent over a cut link takes effect when the cut ends', {}, async ({connect, clock, endpoints, time}) => {
 		const connection = await connect();
 		const link = endpoints.getLink(SERVERS[0]!);
 		link.cut();
@@ -163,13 +163,13 @@
 		return lines;
 	}, ['50 ms: no answer, sent true', '30 ms: no answer, sent false', '2 ms: primary 1/2 of 1']);
 
-	doTest('a silent link loses its connections only', {}, async ({connect, endpoints, time}) => {
+	doTest('silencing a link affects only its open connections', {}, async ({connect, endpoints, time}) => {
 		const connection = await connect();
 		endpoints.getLink(SERVERS[0]!).silence();
 		return [await time(status(connection, 50)), await time(status(await connect()))];
 	}, ['50 ms: no answer, sent true', '2 ms: primary 1/1 of 1']);
 
-	doTest('a link delays packets and drops answers after the effect', {}, async ({connect, endpoints, time}) => {
+	doTest('a link delays packets, and drops answers of exchanges that took effect', {}, async ({connect, endpoints, time}) => {
 		const [first, second] = [await connect(), await connect()];
 		const link = endpoints.getLink(SERVERS[0]!);
 		link.setDelay(20);
@@ -177,21 +177,21 @@
 		return [await time(status(first)), await time(insert(first, 'a', 100)), await time(insert(second, 'a'))];
 	}, ['42 ms: primary 1/1 of 1', '100 ms: no answer, sent true', '42 ms: found [{"member":"ana","score":7}] primary 1/2 of 1']);
 
-	doTest('a server cut from one host answers the other', {}, async ({connect, clock, group, time}) => {
+	doTest('a server that is cut off from one host answers another', {}, async ({connect, clock, group, time}) => {
 		const [here, there] = [await connect(), createInMemoryEndpoints(group.servers, {clock, latencyMs: 1, host: 'hall-b-1'})];
 		group.servers[0]!.faults.cut(['hall-a-1']);
 		const other = await clock.runUntil(there.getEndpoint(SERVERS[0]!).connect(100));
 		return [await time(status(here, 50)), await time(status(other, 50))];
 	}, ['50 ms: no answer, sent true', '2 ms: primary 1/1 of 1']);
 
-	doTest('held answers come late or not at all', {}, async ({connect, group, time}) => {
+	doTest('delayed answers arrive late or after the timeout', {}, async ({connect, group, time}) => {
 		const [first, second] = [await connect(), await connect()];
 		group.servers[0]!.faults.delayAnswers(60);
 		return [await time(status(first)), await time(insert(second, 'a', 50)), await time(status(first))];
 	}, ['62 ms: primary 1/1 of 1', '50 ms: no answer, sent true', '62 ms: primary 1/2 of 1']);
 
-	// A connection that went silent still counts at the server, which cannot know that nobody is left to use it.
-	doTest('a silent connection keeps its place until the server\'s keep-alive ends it', {connections: 1, keepAliveMs: 200}, async ({connect, clock, endpoints, group, time}) => {
+	// A silent connection still counts towards the server's limit, since the server cannot know that it is no longer used.
+	doTest('a silent connection counts towards the limit until the server\'s keep-alive ends it', {connections: 1, keepAliveMs: 200}, async ({connect, clock, endpoints, group, time}) => {
 		const connection = await connect();
 		group.servers[0]!.silenceConnections();
 		connection.destroy();
--- a/tests/stand-ins/database/endpoint-contract.ts
+++ b/tests/stand-ins/database/endpoint-contract.ts
@@ -3,7 +3,7 @@
 	ContractSteps, formatKeyed, formatStatus, INSERT, SELECT, TIMEOUT_MS, type ContractHarness,
 } from './contract-steps.js';
 
-/** Declares the tests that every way to a stand-in group passes alike. */
+/** Declares the tests that every implementation of endpoints must pass. */
 export function describeEndpointContract(name: string, createHarness: () => Promise<ContractHarness>) {
 	describe(`endpoint contract: ${name}`, () => {
 		const doTest = (title: string, run: (steps: ContractSteps) => Promise<readonly string[]>, expected: readonly string[]) => {
@@ -23,7 +23,7 @@
 			});
 		};
 
-		doTest('a keyed write runs once and is found by a second try', async steps => [
+		doTest('a keyed write runs once and is found by a retry', async steps => [
 			await steps.insert(0, 'a', ['ana', 7]),
 			await steps.insert(3, 'a', ['ana', 7]),
 			await steps.insert(0, 'a', ['ana', 8]),
@@ -51,7 +51,7 @@
 			'held [] primary 1/3 of 1',
 		]);
 
-		doTest('a failed statement takes its key back', async steps => [
+		doTest('a failed statement does not keep its key', async steps => [
 			await steps.write(0, 'a', 'UPDATE nights SET score = $1', [1]),
 			await steps.insert(0, 'a', ['ana', 7]),
 		], [
@@ -77,7 +77,7 @@
 			'not-primary replica 1/1 of 2',
 		]);
 
-		doTest('a term is granted once and promoted only where it was promised', async steps => {
+		doTest('a server grants a term once and is promoted only at the term that it promised', async steps => {
 			const {servers} = steps.harness.group;
 			servers[2]!.setReplicationStalled(true);
 			const lines = [
@@ -109,7 +109,7 @@
 			'replica 3/2 of 3',
 		]);
 
-		doTest('a replica serves a read only where it holds the floor', async steps => {
+		doTest('a replica serves a read only if its log holds the floor', async steps => {
 			const {servers} = steps.harness.group;
 			const lines = [await steps.insert(0, 'a', ['ana', 7]), await steps.waitFor(1, {term: 1, position: 2})];
 			servers[1]!.setReplicationStalled(true);
@@ -144,7 +144,7 @@
 			'held [] "relation "nights" does not exist" primary 1/1 of 1',
 		]);
 
-		doTest('a transaction shows its effects to itself until it commits', async steps => [
+		doTest('a transaction\'s changes are visible only to itself until it commits', async steps => [
 			await steps.insert(0, 'a', ['ana', 7]),
 			await steps.begin(0, 'b'),
 			await steps.run(0, 'UPDATE nights SET score = score + $1 WHERE member = $2 RETURNING *', [1, 'ana']),
@@ -170,7 +170,7 @@
 			'ran [] primary 1/4 of 1',
 		]);
 
-		doTest('two transactions that both create a table share it', async steps => [
+		doTest('two transactions that create the same table share it', async steps => [
 			await steps.begin(0, 'a'),
 			await steps.run(0, INSERT, ['ana', 7]),
 			await steps.insert(3, 'b', ['ana', 8]),
@@ -184,7 +184,7 @@
 			'held [{"member":"ana","score":7},{"member":"ana","score":8}] primary 1/3 of 1',
 		]);
 
-		doTest('a failed transaction can only be rolled back, and takes its key back', async steps => [
+		doTest('a failed transaction can only be rolled back, and does not keep its key', async steps => [
 			await steps.begin(0, 'a'),
 			await steps.run(0, INSERT, ['ana', 7]),
 			await steps.run(0, 'DELETE FROM rosters', []),
@@ -208,18 +208,18 @@
 			'held [{"member":"ana","score":10}] primary 1/2 of 1',
 		]);
 
-		// A filing is tried again while its first try still runs. Both tries reach the primary; the second must wait for
-		// the first one's key, get its answer, and not file twice.
-		doTest('a second try waits for the first that is in flight', async steps => {
+		// A request is retried while its first attempt still runs, and both reach the primary. The second attempt must wait
+		// for the key of the first, get its answer, and not run again.
+		doTest('a retry waits for the first attempt that is in flight', async steps => {
 			await steps.begin(0, 'a');
 			await steps.run(0, INSERT, ['ana', 7]);
 			const second = steps.at(3).begin({requestId: 'a', digest: 'transaction', term: 1}, TIMEOUT_MS);
 			return [await steps.commit(0), formatKeyed(await steps.harness.settle(second))];
 		}, ['ran [] primary 1/2 of 1', 'found [] primary 1/2 of 1']);
 
-		// A primary is cut off while writes go on, so its tail never reaches a replica. Another is promoted. When the old
-		// primary comes back and follows, its tail, its rows and its request keys must be gone, or it would answer a
-		// retried request with a row that the group does not have.
+		// A primary is cut off while it accepts writes, which never reach a replica, and another server is promoted. When the
+		// old primary follows the new one, its divergent entries, their rows and their request keys must be removed.
+		// Otherwise it would answer a retried request with a row that the group does not have.
 		doTest('the divergent tail of a superseded primary is truncated with its rows and keys', async steps => {
 			const {servers} = steps.harness.group;
 			const lines = [await steps.insert(0, 'a', ['ana', 7]), await steps.waitFor(1, {term: 1, position: 2})];
@@ -261,18 +261,18 @@
 			'tombstone primary 2/5 of 2',
 		]);
 
-		// The primary is frozen while a write is under way; the proxy gives up on it. When the primary thaws the write
-		// takes effect, but its late answer must reach nobody: neither the waiting proxy nor the connection's next user.
+		// The primary is frozen during a write, and the proxy's exchange times out. When the primary is thawed, the write
+		// takes effect, but its late answer must not be delivered, neither to the proxy nor to the connection's next user.
 		doTest('a late answer is never delivered, though its write took effect', async steps => {
 			const {servers} = steps.harness.group;
 			servers[0]!.faults.freeze();
 			const write = steps.at(0).write({
 				requestId: 'a', digest: 'd', statement: INSERT, values: ['ana', 7], term: 1,
 			}, 50);
-			const lines = [await steps.fail(write), `usable ${steps.at(0).usable}`];
+			const lines = [await steps.describeFailure(write), `usable ${steps.at(0).usable}`];
 			servers[0]!.faults.thaw();
 			lines.push(
-				await steps.fail(steps.at(0).status(50)),
+				await steps.describeFailure(steps.at(0).status(50)),
 				await steps.waitFor(3, {term: 1, position: 2}),
 				await steps.read(3, 'ana'),
 			);
@@ -285,26 +285,26 @@
 			'held [{"member":"ana","score":7}] primary 1/2 of 1',
 		]);
 
-		// Something between proxy and server loses track of open connections: they stay open and say nothing.
-		doTest('a silent connection times out, a new one works', async steps => {
+		// A network device between proxy and server loses the state of open connections: they stay open, but no packet passes.
+		doTest('exchanges on a silent connection time out, and a new connection works', async steps => {
 			const {group, endpoints} = steps.harness;
 			group.servers[0]!.silenceConnections();
-			const lines = [await steps.fail(steps.at(0).status(50)), `usable ${steps.at(0).usable}`];
+			const lines = [await steps.describeFailure(steps.at(0).status(50)), `usable ${steps.at(0).usable}`];
 			const fresh = await steps.harness.settle(endpoints.getEndpoint(group.servers[0]!.address).connect(TIMEOUT_MS));
 			lines.push(formatStatus(await steps.harness.settle(fresh.status(TIMEOUT_MS))));
 			return lines;
 		}, ['no answer, sent true', 'usable false', 'primary 1/1 of 1']);
 
-		// The answer to a filing is lost after it took effect; the proxy must be able to learn what became of it.
+		// The answer to a write is lost after it took effect; the proxy must be able to find out its result.
 		doTest('a write whose answer is dropped has taken effect', async steps => {
 			steps.harness.group.servers[0]!.faults.dropAnswers(1, 'write');
 			const write = steps.at(0).write({
 				requestId: 'a', digest: 'd', statement: INSERT, values: ['ana', 7], term: 1,
 			}, 50);
-			return [await steps.fail(write), await steps.resolve(3, 'a')];
+			return [await steps.describeFailure(write), await steps.resolve(3, 'a')];
 		}, ['no answer, sent true', 'found [{"member":"ana","score":7}] primary 1/2 of 1']);
 
-		doTest('a killed server refuses connections and keeps its log over a restart', async steps => {
+		doTest('a killed server refuses connections and has kept its log after a restart', async steps => {
 			const {group, endpoints} = steps.harness;
 			const server = group.servers[0]!;
 			const lines = [await steps.insert(0, 'a', ['ana', 7])];
@@ -312,9 +312,9 @@
 			await steps.status(0);
 			server.kill();
 			lines.push(
-				await steps.fail(pending),
-				await steps.fail(steps.at(3).status(TIMEOUT_MS)),
-				await steps.fail(endpoints.getEndpoint(server.address).connect(TIMEOUT_MS)),
+				await steps.describeFailure(pending),
+				await steps.describeFailure(steps.at(3).status(TIMEOUT_MS)),
+				await steps.describeFailure(endpoints.getEndpoint(server.address).connect(TIMEOUT_MS)),
 			);
 			server.restart();
 			const fresh = await steps.harness.settle(endpoints.getEndpoint(server.address).connect(TIMEOUT_MS));
@@ -328,13 +328,13 @@
 			'primary 1/2 of 1',
 		]);
 
-		doTest('a server cut from everyone cannot be reached until it heals', async steps => {
+		doTest('a server that is cut off from all hosts is unreachable until the cut ends', async steps => {
 			const {group, endpoints} = steps.harness;
 			const server = group.servers[0]!;
 			server.faults.cut();
 			const lines = [
-				await steps.fail(steps.at(0).status(50)),
-				await steps.fail(endpoints.getEndpoint(server.address).connect(50)),
+				await steps.describeFailure(steps.at(0).status(50)),
+				await steps.describeFailure(endpoints.getEndpoint(server.address).connect(50)),
 			];
 			server.faults.heal();
 			const fresh = await steps.harness.settle(endpoints.getEndpoint(server.address).connect(TIMEOUT_MS));
@@ -342,17 +342,17 @@
 			return lines;
 		}, ['no answer, sent true', 'no answer, sent false', 'primary 1/1 of 1']);
 
-		doTest('a server grants no more connections than its cap', async steps => {
+		doTest('a server accepts no more connections than its limit', async steps => {
 			const {group, endpoints} = steps.harness;
 			const endpoint = endpoints.getEndpoint(group.servers[0]!.address);
 			const first = await steps.harness.settle(endpoint.connect(TIMEOUT_MS));
-			const lines = [await steps.fail(endpoint.connect(TIMEOUT_MS))];
+			const lines = [await steps.describeFailure(endpoint.connect(TIMEOUT_MS))];
 			await steps.harness.settle(first.close());
 			while (group.servers[0]!.connections > 2) {
 				await steps.status(0);
 			}
 
-			lines.push(await steps.fail(endpoint.connect(TIMEOUT_MS)));
+			lines.push(await steps.describeFailure(endpoint.connect(TIMEOUT_MS)));
 			return lines;
 		}, ['no answer, sent false', 'answered']);
 	});
--- a/tests/stand-ins/database/fault-control-tests.ts
+++ b/tests/stand-ins/database/fault-control-tests.ts
@@ -12,12 +12,12 @@
 	const describeServer = ({killed, frozen, answerDelayMs, status}: Server) =>
 		[status.role, killed && 'killed', frozen && 'frozen', answerDelayMs > 0 && `late ${answerDelayMs}`, status.leaving && 'leaving'].filter(Boolean).join(' ');
 
-	const doTest = (orders: ReadonlyArray<Record<string, unknown>>, expected: string) => {
-		it(`${JSON.stringify(orders)} -> ${expected}`, async () => {
+	const doTest = (commands: ReadonlyArray<Record<string, unknown>>, expected: string) => {
+		it(`${JSON.stringify(commands)} -> ${expected}`, async () => {
 			const group = createDatabaseGroup({addresses: ['a:1', 'b:1'], clock: createVirtualClock(), random: createSeededRandom(1)});
 			const control = createFaultControl(group);
 			const codes = [];
-			for (const payload of orders) {
+			for (const payload of commands) {
 				const res = await control.inject({method: 'POST', url: '/faults', payload});
 				codes.push(res.statusCode);
 			}
--- a/tests/stand-ins/database/replay-tests.ts
+++ b/tests/stand-ins/database/replay-tests.ts
@@ -20,10 +20,10 @@
 
 const MEMBERS = ['ana', 'ben', 'cleo'];
 
-/** Replicas follow, lag and are promoted at random, so that logs part and tails are taken back over and over. */
+/** Servers follow, lag and are promoted at random, so that logs diverge and are truncated many times. */
 describe('replay of the stand-in log', () => {
 	const doTest = (seed: number) => {
-		it(`leaves every server with what its log amounts to, seed ${seed}`, async () => {
+		it(`leaves every server in the state that results from its log, seed ${seed}`, async () => {
 			const clock = createVirtualClock(0);
 			const random = createSeededRandom(seed);
 			const group = createDatabaseGroup({addresses: ['a:1', 'b:1', 'c:1'], clock, random});
--- a/tests/stand-ins/database/statement-tests.ts
+++ b/tests/stand-ins/database/statement-tests.ts
@@ -49,7 +49,7 @@
 	doTest('DROP TABLE nights', [], 'syntax error: the stand-in server does not understand the statement');
 	doTest('SELECT * FROM nights WHERE member < $1', ['x'], 'syntax error at "member < $1"');
 
-	it('takes back what it applied, indexes included', () => {
+	it('reverts applied changes, including those of indexes', () => {
 		const state = createDatabaseState();
 		for (const line of SETUP) {
 			run(state, line, []);
