--- a/src/stand-ins/database/database-group.ts
+++ b/src/stand-ins/database/database-group.ts
@@ -19,16 +19,16 @@
 	readonly addresses: readonly string[];
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Capacities and durations of all servers; absent ones take their defaults. */
+	/** Parameters of all servers; absent ones take their defaults. */
 	readonly sizes?: Partial<DatabaseServerSizes>;
 };
 
 /** Creates a group of running servers. */
-export function createDatabaseGroup({addresses, clock, random, sizes}: DatabaseGroupOptions): DatabaseGroup {
+export function createDatabaseGroup({addresses, clock, random, sizes: parameters}: DatabaseGroupOptions): DatabaseGroup {
 	const servers = new Map<string, DatabaseServer>();
 	for (const address of addresses) {
 		servers.set(address, createDatabaseServer({
-			address, clock, random, servers, sizes: {...DEFAULT_SERVER_SIZES, ...sizes},
+			address, clock, random, servers, sizes: {...DEFAULT_SERVER_SIZES, ...parameters},
 		}));
 	}
 
--- a/src/stand-ins/database/database-server.ts
+++ b/src/stand-ins/database/database-server.ts
@@ -41,7 +41,7 @@
 /** Is called for each exchange that arrives at a server. */
 export type ExchangeListener = (kind: ExchangeKind, from: string) => void;
 
-/** Capacities and durations of a stand-in server. */
+/** Capacities of a stand-in server, and how long its operations take. */
 export type DatabaseServerSizes = {
 	/** Time to open a connection, in milliseconds. */
 	readonly connectMs: number;
@@ -59,7 +59,7 @@
 	readonly keepAliveMs: number;
 };
 
-/** Capacities and durations of the users' servers. */
+/** The parameters of the users' servers. */
 export const DEFAULT_SERVER_SIZES: DatabaseServerSizes = {
 	connectMs: 10,
 	connections: 20,
@@ -81,10 +81,10 @@
 };
 
 /** Creates a running server with an empty log. */
-export function createDatabaseServer({address, clock, random, servers, sizes}: DatabaseServerOptions): DatabaseServer {
+export function createDatabaseServer({address, clock, random, servers, sizes: parameters}: DatabaseServerOptions): DatabaseServer {
 	const sessions = new Set<DatabaseSession>();
 	const listeners: ExchangeListener[] = [];
-	let memory = createServerMemory(sizes.slots);
+	let memory = createServerMemory(parameters.slots);
 
 	const wakeGroup = () => {
 		for (const server of servers.values()) {
@@ -98,7 +98,7 @@
 	const replication = createReplication({
 		member,
 		clock,
-		lagMs: sizes.replicationLagMs,
+		lagMs: parameters.replicationLagMs,
 		getPrimary(primaryAddress, term) {
 			const primary = servers.get(primaryAddress);
 			const reachable = primary && isUp(faults) && isUp(primary.faults) && !faults.isCutFrom(primaryAddress) && !primary.faults.isCutFrom(address);
@@ -106,7 +106,7 @@
 		},
 	});
 
-	const getServiceMs = () => sizes.serviceMs * (0.5 + random.fraction());
+	const getServiceMs = () => parameters.serviceMs * (0.5 + random.fraction());
 
 	const waitUntilThawed = async () => {
 		while (faults.frozen) {
@@ -120,14 +120,14 @@
 			from,
 			clock,
 			faults,
-			idleInTransactionMs: sizes.idleInTransactionMs,
-			keepAliveMs: sizes.keepAliveMs,
+			idleInTransactionMs: parameters.idleInTransactionMs,
+			keepAliveMs: parameters.keepAliveMs,
 			createBackend: checkAlive => createBackend({
 				member,
 				memory,
 				clock,
 				async serve() {
-					if (sizes.serviceMs > 0) {
+					if (parameters.serviceMs > 0) {
 						await clock.sleep(getServiceMs());
 					}
 
@@ -163,8 +163,8 @@
 			return sessions.size;
 		},
 		async connect(from) {
-			if (!faults.killed && sizes.connectMs > 0) {
-				await clock.sleep(sizes.connectMs);
+			if (!faults.killed && parameters.connectMs > 0) {
+				await clock.sleep(parameters.connectMs);
 			}
 
 			while (!faults.killed && (faults.frozen || faults.isCutFrom(from))) {
@@ -175,11 +175,11 @@
 				throwConnectionLost(address);
 			}
 
-			return sessions.size < sizes.connections ? openSession(from) : throwTooManyConnections(address);
+			return sessions.size < parameters.connections ? openSession(from) : throwTooManyConnections(address);
 		},
 		kill() {
 			dropSessions();
-			memory = createServerMemory(sizes.slots);
+			memory = createServerMemory(parameters.slots);
 			faults.setKilled(true);
 		},
 		restart() {
--- a/tests/stand-ins/database/database-faults-tests.ts
+++ b/tests/stand-ins/database/database-faults-tests.ts
@@ -27,12 +27,12 @@
 
 const status = async (connection: EndpointConnection, timeoutMs = 1000) => formatStatus(await connection.status(timeoutMs));
 
-describe('faults and sizes of the stand-in group', () => {
-	const doTest = (title: string, sizes: Partial<DatabaseServerSizes>, run: (bench: Bench) => Promise<readonly string[]>, expected: readonly string[]) => {
+describe('faults and parameters of the stand-in group', () => {
+	const doTest = (title: string, parameters: Partial<DatabaseServerSizes>, run: (bench: Bench) => Promise<readonly string[]>, expected: readonly string[]) => {
 		it(title, async () => {
 			const clock = createVirtualClock(0);
 			const group = createDatabaseGroup({
-				addresses: SERVERS, clock, random: createSeededRandom(1), sizes: {serviceMs: 0, connectMs: 0, ...sizes},
+				addresses: SERVERS, clock, random: createSeededRandom(1), sizes: {serviceMs: 0, connectMs: 0, ...parameters},
 			});
 			const endpoints = createInMemoryEndpoints(group.servers, {clock, latencyMs: 1, host: 'hall-a-1'});
 			const bench: Bench = {
