--- a/src/stand-ins/metadata-store/http-store-front.ts
+++ b/src/stand-ins/metadata-store/http-store-front.ts
@@ -4,44 +4,44 @@
 } from 'node:http';
 import {text} from 'node:stream/consumers';
 
-/** An object as the platform's API spells it. */
+/** An object in the representation of the platform's API. */
 export type ApiObject = {
 	readonly meta: {readonly name: string; readonly modRevision: number; readonly created: number; readonly finalizers: readonly string[]; readonly deleting: boolean};
 	readonly spec: unknown;
 	readonly status: unknown;
 };
 
-/** What the store held at one moment. */
-export type ApiStoreCopy = {
+/** A backup: the contents of the store at one moment. */
+export type ApiStoreBackup = {
 	readonly revision: number;
 	readonly kinds: ReadonlyMap<string, ReadonlyMap<string, ApiObject>>;
 };
 
-/** The platform's store over HTTP, for programs that run as processes; it holds everything in memory. */
+/** The platform's store over HTTP, for proxies that run as processes; it keeps everything in memory. */
 export type HttpStoreFront = {
 	readonly server: Server;
-	/** Writes as the operator or a server of a group does. */
+	/** Writes an object unconditionally, as the operator or a server of a group does. */
 	put(kind: string, name: string, spec: unknown): void;
 	remove(kind: string, name: string): void;
-	/** Copies what the store holds at this moment. */
-	takeCopy(): ApiStoreCopy;
-	/** Has the store come back from an earlier copy, in the next era; what others wrote since is gone. */
-	restore(copy: ApiStoreCopy): void;
-	/** While set, every call is refused with this status. */
+	/** Returns a copy of the store's current contents. */
+	takeCopy(): ApiStoreBackup;
+	/** Restores the store from an earlier backup and starts the next store generation; what was written since is lost. */
+	restore(copy: ApiStoreBackup): void;
+	/** HTTP status with which every call is refused while it is set. */
 	refuseWith: number | undefined;
-	/** Calls so far, by method. */
+	/** Number of calls so far, by HTTP method. */
 	readonly calls: Map<string, number>;
 };
 
-/** Objects to a page of a list. */
+/** Number of objects on a page of a list. */
 const PAGE_SIZE = 500;
 
-/** Opens an empty store. */
+/** Starts a server with an empty store. Resolves once it listens. */
 export async function openHttpStoreFront(host: string, port: number): Promise<HttpStoreFront> {
 	const kinds = new Map<string, Map<string, ApiObject>>();
 	const calls = new Map<string, number>();
 	let revision = 1;
-	let era = 1;
+	let generation = 1;
 
 	const getKind = (kind: string) => {
 		const objects = kinds.get(kind) ?? new Map<string, ApiObject>();
@@ -50,15 +50,15 @@
 	};
 
 	const write = (kind: string, name: string, spec: unknown) => {
-		const before = getKind(kind).get(name);
-		if (before && JSON.stringify(before.spec) === JSON.stringify(spec)) {
-			return before;
+		const previous = getKind(kind).get(name);
+		if (previous && JSON.stringify(previous.spec) === JSON.stringify(spec)) {
+			return previous;
 		}
 
 		revision++;
 		const object: ApiObject = {
 			meta: {
-				name, modRevision: revision, created: before?.meta.created ?? revision, finalizers: [], deleting: false,
+				name, modRevision: revision, created: previous?.meta.created ?? revision, finalizers: [], deleting: false,
 			},
 			spec,
 			status: null,
@@ -74,28 +74,28 @@
 	};
 
 	const create = (kind: string, {meta, spec}: {meta: {name: string}; spec: unknown}): [number, unknown] => {
-		const known = getKind(kind).get(meta.name);
-		return known ? [409, known] : [200, write(kind, meta.name, spec)];
+		const stored = getKind(kind).get(meta.name);
+		return stored ? [409, stored] : [200, write(kind, meta.name, spec)];
 	};
 
 	const replace = (kind: string, name: string, {meta, spec}: {meta: {modRevision?: number}; spec: unknown}): [number, unknown] => {
-		const known = getKind(kind).get(name);
-		if (!known) {
+		const stored = getKind(kind).get(name);
+		if (!stored) {
 			return [404, {storeRevision: revision}];
 		}
 
-		const isChanged = meta.modRevision !== undefined && meta.modRevision !== known.meta.modRevision;
-		return isChanged ? [409, known] : [200, write(kind, name, spec)];
+		const isChanged = meta.modRevision !== undefined && meta.modRevision !== stored.meta.modRevision;
+		return isChanged ? [409, stored] : [200, write(kind, name, spec)];
 	};
 
 	const remove = (kind: string, name: string, expected: string | undefined): [number, unknown] => {
-		const known = getKind(kind).get(name);
-		if (!known) {
+		const stored = getKind(kind).get(name);
+		if (!stored) {
 			return [404, {storeRevision: revision}];
 		}
 
-		if (expected !== undefined && Number(expected) !== known.meta.modRevision) {
-			return [409, known];
+		if (expected !== undefined && Number(expected) !== stored.meta.modRevision) {
+			return [409, stored];
 		}
 
 		getKind(kind).delete(name);
@@ -103,7 +103,7 @@
 		return [200, {storeRevision: revision}];
 	};
 
-	const answer = async (req: IncomingMessage): Promise<[number, unknown]> => {
+	const handle = async (req: IncomingMessage): Promise<[number, unknown]> => {
 		const url = new URL(req.url ?? '/', 'http://store');
 		const [, root, kind, encodedName] = url.pathname.split('/');
 		if (root !== 'objects' || !kind) {
@@ -139,8 +139,8 @@
 
 	const serve = async (req: IncomingMessage, res: ServerResponse) => {
 		calls.set(req.method ?? '', (calls.get(req.method ?? '') ?? 0) + 1);
-		const [status, body] = front.refuseWith === undefined ? await answer(req) : [front.refuseWith, {}];
-		res.writeHead(status, {'content-type': 'application/json', 'store-era': String(era)}).end(JSON.stringify(body));
+		const [status, body] = front.refuseWith === undefined ? await handle(req) : [front.refuseWith, {}];
+		res.writeHead(status, {'content-type': 'application/json', 'store-era': String(generation)}).end(JSON.stringify(body));
 	};
 
 	const server = createServer((req, res) => {
@@ -162,7 +162,7 @@
 		},
 		takeCopy: () => ({revision, kinds: new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)]))}),
 		restore(copy) {
-			era++;
+			generation++;
 			revision = copy.revision;
 			kinds.clear();
 			for (const [kind, objects] of copy.kinds) {
--- a/src/stand-ins/metadata-store/in-memory-metadata-store.ts
+++ b/src/stand-ins/metadata-store/in-memory-metadata-store.ts
@@ -5,21 +5,21 @@
 import type {RegisteredEndpoint, Routing} from '../../routes/routing.js';
 import type {Clock} from '../../time/clock.js';
 
-/** How the store treats one host, or all. */
-export type StoreTrouble = {
-	/** Calls are refused at once and not done. */
+/** Faults of the store's calls for one host, or for all hosts. */
+export type StoreFaults = {
+	/** Calls are refused without being executed. */
 	readonly refused: boolean;
-	/** Calls are not done and never answered. */
+	/** Calls are neither executed nor answered. */
 	readonly silent: boolean;
-	/** Share of changes that are done and not answered. */
+	/** Share of changes that are executed and not answered. */
 	readonly loseShare: number;
-	/** Changes that are not answered are done up to so much later, in milliseconds, if their condition still holds. */
+	/** Maximum delay before an unanswered change is executed, in milliseconds; it is dropped where its condition no longer holds by then. */
 	readonly lateMs: number;
-	/** Time of an answer, in milliseconds. */
+	/** Time from a call to its response, in milliseconds; a call whose timeout is shorter is not executed. */
 	readonly answerMs: number;
 };
 
-/** What a store held at one moment. */
+/** A backup: the contents of a store at one moment. */
 export type StoreCopy = {
 	readonly revision: number;
 	readonly routing?: Routing;
@@ -27,60 +27,61 @@
 	readonly records: ReadonlyMap<RecordKind, ReadonlyMap<string, StoredRecord>>;
 };
 
-/** A store in memory, with what goes wrong with it. */
+/** A metadata store in memory with fault injection. */
 export type InMemoryMetadataStore = {
-	/** The store as one host sees it. */
+	/** Returns the client of one host, to which that host's faults apply. */
 	getClient(hostName: string): MetadataStore;
-	/** What the operator and the endpoints write; each raises the revision. */
+	/** Writes the routing as the operator does, and raises the revision. */
 	setRouting(routing: Routing): void;
+	/** Writes the registered endpoints, and raises the revision. */
 	setEndpoints(endpoints: readonly RegisteredEndpoint[]): void;
 	getRecord(kind: RecordKind, name: string): StoredRecord | undefined;
-	/** Copies what the store holds at this moment. */
+	/** Returns a copy of the store's current contents. */
 	takeCopy(): StoreCopy;
 	/**
-	 * Has the store come back from an earlier copy: what it acknowledged since is gone, and its revisions are given out again. What the operator and the endpoints
-	 * wrote last is written again `rewriteMs` later, at once by default.
+	 * Restores the store from an earlier backup: changes that it acknowledged since are lost, and their revisions are assigned again to other changes. The last
+	 * routing and endpoints are written again after `rewriteMs` milliseconds, immediately by default.
 	 */
 	restore(copy: StoreCopy, rewriteMs?: number): void;
-	/** Sets how the store treats a host; undefined for all that have no trouble of their own. */
-	setTrouble(hostName: string | undefined, trouble: Partial<StoreTrouble>): void;
-	/** Ends all trouble. */
+	/** Sets the faults for a host; without a name, for all hosts that have none of their own. */
+	setTrouble(hostName: string | undefined, trouble: Partial<StoreFaults>): void;
+	/** Removes all faults. */
 	heal(): void;
-	/** Calls so far. */
+	/** Number of calls so far. */
 	readonly calls: number;
 };
 
-const NO_TROUBLE: StoreTrouble = {
+const NO_FAULTS: StoreFaults = {
 	refused: false, silent: false, loseShare: 0, lateMs: 0, answerMs: 4,
 };
 
 /** Creates an empty store. */
 export function createInMemoryMetadataStore(clock: Clock, random: Random): InMemoryMetadataStore {
 	const records = new Map<RecordKind, Map<string, StoredRecord>>([[RecordKind.Leadership, new Map()], [RecordKind.Hosts, new Map()]]);
-	const troubles = new Map<string | undefined, StoreTrouble>();
+	const faultsByHost = new Map<string | undefined, StoreFaults>();
 	let revision = 1;
 	let generation = 0;
 	let routing: Routing | undefined;
 	let endpoints: readonly RegisteredEndpoint[] = [];
 	let calls = 0;
 
-	const getTrouble = (hostName: string) => troubles.get(hostName) ?? troubles.get(undefined) ?? NO_TROUBLE;
+	const getFaults = (hostName: string) => faultsByHost.get(hostName) ?? faultsByHost.get(undefined) ?? NO_FAULTS;
 
-	const silence = async (what: string, timeoutMs: number): Promise<never> => {
+	const timeOut = async (what: string, timeoutMs: number): Promise<never> => {
 		await clock.sleep(timeoutMs);
 		return throwPlatformSilent(what);
 	};
 
 	const call = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
 		calls++;
-		const {refused, silent, answerMs} = getTrouble(hostName);
+		const {refused, silent, answerMs} = getFaults(hostName);
 		await clock.sleep(Math.min(answerMs, timeoutMs) / 2);
 		if (refused) {
 			throwPlatformSilent(what, new Error('refused'));
 		}
 
 		if (silent || answerMs > timeoutMs) {
-			return silence(what, timeoutMs);
+			return timeOut(what, timeoutMs);
 		}
 
 		const result = perform();
@@ -89,7 +90,7 @@
 	};
 
 	const change = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
-		const {loseShare, lateMs} = getTrouble(hostName);
+		const {loseShare, lateMs} = getFaults(hostName);
 		if (random.fraction() >= loseShare) {
 			return call(hostName, what, timeoutMs, perform);
 		}
@@ -98,13 +99,13 @@
 			try {
 				perform();
 			} catch (err) {
-				// A change whose condition no longer holds is not done, and nobody is there to be told.
+				// The condition no longer holds, so the change is not executed. Its caller no longer waits for a response.
 				if (!(err instanceof PlatformConflictError)) {
 					throw err;
 				}
 			}
 		});
-		return silence(what, timeoutMs);
+		return timeOut(what, timeoutMs);
 	};
 
 	const setRouting = (next: Routing) => {
@@ -117,7 +118,7 @@
 		revision++;
 	};
 
-	const writeAgain = (lastRouting: Routing | undefined, lastEndpoints: readonly RegisteredEndpoint[]) => {
+	const rewriteNewer = (lastRouting: Routing | undefined, lastEndpoints: readonly RegisteredEndpoint[]) => {
 		if (lastRouting && lastRouting.version > (routing?.version ?? 0)) {
 			setRouting(lastRouting);
 		}
@@ -127,36 +128,36 @@
 		}
 	};
 
-	/** Compares versions as the store gave them out, which hold by chance where the expected one is of an earlier generation. */
-	const check = (kind: RecordKind, name: string, expectedVersion: number) => {
+	/** Compares versions within their generations, so an expected version of an earlier generation may match by chance. */
+	const checkVersion = (kind: RecordKind, name: string, expectedVersion: number) => {
 		if ((records.get(kind)!.get(name)?.version ?? 0) !== getWithinGeneration(expectedVersion)) {
 			throwVersionConflict(kind, name, expectedVersion);
 		}
 	};
 
-	const place = (number: number) => qualifyByGeneration(generation, number);
+	const qualify = (number: number) => qualifyByGeneration(generation, number);
 
-	const placeRecord = (record: StoredRecord): StoredRecord => ({...record, version: place(record.version)});
+	const qualifyRecord = (record: StoredRecord): StoredRecord => ({...record, version: qualify(record.version)});
 
 	return {
 		get calls() {
 			return calls;
 		},
 		getClient: hostName => ({
-			getRevision: async timeoutMs => call(hostName, 'get revision', timeoutMs, () => place(revision)),
-			readRouting: async timeoutMs => call(hostName, 'read routing', timeoutMs, () => ({revision: place(revision), content: routing})),
-			listEndpoints: async timeoutMs => call(hostName, 'list endpoints', timeoutMs, () => ({revision: place(revision), content: endpoints})),
+			getRevision: async timeoutMs => call(hostName, 'get revision', timeoutMs, () => qualify(revision)),
+			readRouting: async timeoutMs => call(hostName, 'read routing', timeoutMs, () => ({revision: qualify(revision), content: routing})),
+			listEndpoints: async timeoutMs => call(hostName, 'list endpoints', timeoutMs, () => ({revision: qualify(revision), content: endpoints})),
 			listRecords: async (kind, timeoutMs) => call(hostName, `list ${kind}`, timeoutMs, () => ({
-				revision: place(revision), content: [...records.get(kind)!.values()].map(record => placeRecord(record)),
+				revision: qualify(revision), content: [...records.get(kind)!.values()].map(record => qualifyRecord(record)),
 			})),
 			putRecord: async (kind, {name, version, value}, timeoutMs) => change(hostName, `put ${name}`, timeoutMs, () => {
-				check(kind, name, version);
+				checkVersion(kind, name, version);
 				const record = {name, version: ++revision, value: structuredClone(value)};
 				records.get(kind)!.set(name, record);
-				return placeRecord(record);
+				return qualifyRecord(record);
 			}),
 			deleteRecord: async (kind, name, expectedVersion, timeoutMs) => change(hostName, `delete ${name}`, timeoutMs, () => {
-				check(kind, name, expectedVersion);
+				checkVersion(kind, name, expectedVersion);
 				records.get(kind)!.delete(name);
 				revision++;
 			}),
@@ -175,23 +176,23 @@
 			}
 
 			if (rewriteMs === 0) {
-				writeAgain(last.routing, last.endpoints);
+				rewriteNewer(last.routing, last.endpoints);
 				return;
 			}
 
 			void clock.sleep(rewriteMs).then(() => {
-				writeAgain(last.routing, last.endpoints);
+				rewriteNewer(last.routing, last.endpoints);
 			});
 		},
 		getRecord(kind, name) {
 			const record = records.get(kind)!.get(name);
-			return record && placeRecord(record);
+			return record && qualifyRecord(record);
 		},
 		setTrouble(hostName, trouble) {
-			troubles.set(hostName, {...NO_TROUBLE, ...trouble});
+			faultsByHost.set(hostName, {...NO_FAULTS, ...trouble});
 		},
 		heal() {
-			troubles.clear();
+			faultsByHost.clear();
 		},
 	};
 }
--- a/src/stand-ins/plain-group/line-front.ts
+++ b/src/stand-ins/plain-group/line-server.ts
@@ -10,14 +10,14 @@
 import type {PlainGroup} from './plain-group.js';
 import type {PlainServer} from './plain-server.js';
 
-/** Serves one server of a group over TCP, as proxies reach it; `address` is where it listens. */
-export async function openLineFront(group: PlainGroup, server: PlainServer, host: string, port: number): Promise<Server> {
-	const front = createServer(socket => {
+/** Serves one server of a group over TCP, in the line protocol of the platform; listens at `host` and `port`. Resolves once it listens. */
+export async function startLineServer(group: PlainGroup, server: PlainServer, host: string, port: number): Promise<Server> {
+	const listener = createServer(socket => {
 		void serve(group, server, socket);
 	});
-	front.listen(port, host);
-	await once(front, 'listening');
-	return front;
+	listener.listen(port, host);
+	await once(listener, 'listening');
+	return listener;
 }
 
 async function serve(group: PlainGroup, server: PlainServer, socket: Socket) {
@@ -41,8 +41,8 @@
 				continue;
 			}
 
-			const taken = opening;
-			answers = answers.then(async () => answer(await taken, socket, line));
+			const opened = opening;
+			answers = answers.then(async () => answer(await opened, socket, line));
 		}
 	});
 }
@@ -82,7 +82,7 @@
 		const {rows, end, state, position} = await link.exchange(req);
 		socket.write(formatCallerAnswer(rows, end, state, position), 'latin1');
 	} catch {
-		// The server's process has ended; its connections end with it.
+		// The simulated server's process has ended, and its connections end with it.
 		socket.destroy();
 	}
 }
--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -7,50 +7,54 @@
 import {AnswerCode, isOverloaded, type EndpointAnswer} from '../../statements/statement-answer.js';
 import type {Clock} from '../../time/clock.js';
 import {createServiceSlots} from '../database/service-slots.js';
-import {follow, getVisibleEnd} from './plain-log.js';
+import {alignLog, getVisibleEnd} from './plain-log.js';
 import {
 	createPlainExecutor, type PlainObserver, type PlainServer, type PlainSession,
 } from './plain-server.js';
 
-/** A database group in memory: asynchronous replication, and nothing that binds a superseded primary but an order or its meeting the successor. */
+/**
+ * A database group in memory with asynchronous replication. A superseded primary stays primary until it is ordered to step down, or has been
+ * connected to its successor for a second.
+ */
 export type PlainGroup = {
 	readonly name: string;
-	/** Slots of each server, as registered. */
+	/** Number of slots with which each server is registered. */
 	readonly slots: number;
 	readonly servers: readonly PlainServer[];
-	/** The server that was promoted last. */
+	/** The server that was promoted last, or the first server; it may have ended or stepped down since. */
 	readonly leader: PlainServer;
-	/** Opens a connection; `isCut` tells whether the caller's host cannot reach the server at this moment. */
+	/** Opens a connection; `isCut` returns whether the opening host cannot reach the server at this moment. */
 	open(target: LinkTarget, listener: LinkListener, isCut: () => boolean, hostZone?: string): Promise<EndpointLink>;
-	/** Has a server lead, after the group's time for that. */
+	/** Orders a server to become primary, which takes effect after the group's promotion time. */
 	promote(endpointId: string): OrderOutcome;
-	/** Ends a server's process with its sessions; its log stays. */
+	/** Ends a server's process and its sessions; its log is kept. */
 	crash(server: PlainServer): void;
+	/** Restarts a server with its log; its fence is lost. */
 	restart(server: PlainServer): void;
-	/** Has a server start again at once under its id, with nothing of what it held; who leads is open until one is promoted, if it did. */
+	/** Restarts a server immediately under its id, as a replica with an empty log. If it was the primary, the group has none until one is promoted. */
 	startOver(server: PlainServer): void;
-	/** Replicates until stopped. */
+	/** Starts replication, which runs until the group is stopped. */
 	start(): void;
 	stop(): void;
 };
 
-/** What a group is made of. */
+/** Options of a group. */
 export type PlainGroupOptions = {
 	readonly clock: Clock;
 	readonly name: string;
-	/** Availability zones, one a server; the first begins as primary. */
+	/** Availability zones, one for each server; the first server begins as primary. */
 	readonly zones: readonly string[];
 	readonly observer: PlainObserver;
 	readonly serviceMs?: number;
-	/** Time of each statement, in milliseconds, in place of `serviceMs`. */
+	/** Returns the time that a statement takes, in milliseconds; replaces `serviceMs`. */
 	getServiceMs?(text: string): number;
-	/** Statements that a server runs at once; any number without it. */
+	/** Number of statements that a server runs concurrently; unlimited without it. */
 	readonly slots?: number;
 	readonly lagMs?: number;
 	readonly promoteMs?: number;
 	readonly replicateMs?: number;
 	readonly maxConnections?: number;
-	/** Time for a message one way between a host and a server in their availability zones, in milliseconds. */
+	/** Returns the one-way latency between a host and a server in the given availability zones, in milliseconds. */
 	getWayMs?(hostZone: string | undefined, serverZone: string): number;
 };
 
@@ -60,29 +64,29 @@
 const DEFAULT_PROMOTE_MS = 1000;
 const DEFAULT_MAX_CONNECTIONS = 22;
 
-/** Time for a message one way, in milliseconds. */
-const WAY_MS = 1;
+/** One-way latency of a message, in milliseconds. */
+const DEFAULT_LATENCY_MS = 1;
 
-/** Time of opening a connection, in milliseconds. */
+/** Time that opening a connection takes, in milliseconds. */
 const OPEN_MS = 12;
 
-/** How often replicas receive, in milliseconds; less than any lag that is played. */
-const DEFAULT_REPLICATE_MS = 5;
+/** Interval at which replicas receive commits, in milliseconds; shorter than any lag that is simulated. */
+const DEFAULT_REPLICATION_INTERVAL_MS = 5;
 
-/** A superseded primary that reaches its successor steps down after so long, in milliseconds. */
-const STEPS_DOWN_AFTER_MS = 1000;
+/** Time for which a superseded primary must be connected to its successor before it steps down, in milliseconds. */
+const STEP_DOWN_DELAY_MS = 1000;
 
-/** An opening that nobody answers. */
+/** Never settles: a connection request to an unreachable server gets no response. */
 const NEVER = new Promise<never>(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 
-/** Creates a group whose first server leads term 1. */
+/** Creates a group whose first server is primary in term 1. */
 export function createPlainGroup(options: PlainGroupOptions): PlainGroup {
 	const {clock, name, observer} = options;
 	const maxConnections = options.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
 	const executor = createPlainExecutor({clock, observer, getServiceMs: options.getServiceMs ?? (() => options.serviceMs ?? DEFAULT_SERVICE_MS)});
 	const servers = options.zones.map((availabilityZone, i): PlainServer => ({
 		id: `${name}-${i + 1}`,
-		life: 0,
+		incarnation: 0,
 		address: `${name}-${i + 1}:5432`,
 		availabilityZone,
 		role: i === 0 ? EndpointRole.Primary : EndpointRole.Replica,
@@ -105,16 +109,16 @@
 	let stopped = false;
 
 	const replicateTo = (server: PlainServer) => {
-		const isAwake = ({running, frozenUntil}: PlainServer) => running && frozenUntil <= clock.now();
-		const reaches = leader.role === EndpointRole.Primary && isAwake(server) && isAwake(leader) && !server.cutFromGroup && !leader.cutFromGroup;
-		if (server === leader || !reaches) {
-			server.metSuccessorAt = undefined;
+		const isResponsive = ({running, frozenUntil}: PlainServer) => running && frozenUntil <= clock.now();
+		const isConnected = leader.role === EndpointRole.Primary && isResponsive(server) && isResponsive(leader) && !server.cutFromGroup && !leader.cutFromGroup;
+		if (server === leader || !isConnected) {
+			server.connectedToSuccessorSince = undefined;
 			return;
 		}
 
 		if (server.role === EndpointRole.Primary) {
-			server.metSuccessorAt ??= clock.now();
-			if (clock.now() - server.metSuccessorAt < STEPS_DOWN_AFTER_MS) {
+			server.connectedToSuccessorSince ??= clock.now();
+			if (clock.now() - server.connectedToSuccessorSince < STEP_DOWN_DELAY_MS) {
 				return;
 			}
 
@@ -126,26 +130,26 @@
 		}
 
 		server.term = leader.term;
-		follow(server.log, leader.log, clock.now() + server.lagMs);
+		alignLog(server.log, leader.log, clock.now() + server.lagMs);
 	};
 
-	const run = async () => {
+	const replicate = async () => {
 		while (!stopped) {
 			for (const server of servers) {
 				replicateTo(server);
 			}
 
-			await clock.sleep(options.replicateMs ?? DEFAULT_REPLICATE_MS);
+			await clock.sleep(options.replicateMs ?? DEFAULT_REPLICATION_INTERVAL_MS);
 		}
 	};
 
-	const takeLead = async (server: PlainServer) => {
+	const completePromotion = async (server: PlainServer) => {
 		await clock.sleep(options.promoteMs ?? DEFAULT_PROMOTE_MS);
 		if (!server.running || (server === leader && server.role === EndpointRole.Primary)) {
 			return;
 		}
 
-		// A server that stands still leads all the same, and answers nobody: it was designated.
+		// A frozen server is promoted as well, although it does not answer until it continues: the order designated it.
 
 		term++;
 		leader = server;
@@ -153,13 +157,13 @@
 		server.term = term;
 		server.fencedTerm = 0;
 		observer.onLead?.(server);
-		// What was received is applied at once.
+		// A promoted server applies every commit that it has received immediately.
 		for (const [i, held] of server.log.entries()) {
 			server.log[i] = {...held, visibleAt: Math.min(held.visibleAt, clock.now())};
 		}
 	};
 
-	const connect = (server: PlainServer, workspace: string | undefined, listener: LinkListener, isCut: () => boolean, wayMs: number): EndpointLink => {
+	const connect = (server: PlainServer, workspace: string | undefined, listener: LinkListener, isCut: () => boolean, latencyMs: number): EndpointLink => {
 		const session: PlainSession = {
 			server, workspace, closed: false, values: new Map(), prepared: new Map(), queue: Promise.resolve(),
 		};
@@ -168,7 +172,7 @@
 		const rejects = new Set<(err: unknown) => void>();
 		let pending = 0;
 
-		const close = (why: string) => {
+		const close = (reason: string) => {
 			if (session.closed) {
 				return;
 			}
@@ -177,7 +181,7 @@
 			session.transaction = undefined;
 			server.sessions.delete(session);
 			for (const reject of rejects) {
-				reject(createLinkLost(server.address, why));
+				reject(createLinkLost(server.address, reason));
 			}
 
 			for (const closeListener of closeListeners) {
@@ -186,7 +190,7 @@
 		};
 
 		session.queue = Promise.resolve();
-		closeSession.set(session, close);
+		sessionClosers.set(session, close);
 
 		const deliver = async (answer: EndpointAnswer, resolve: (answer: EndpointAnswer) => void) => {
 			if (server.loseAnswers > 0) {
@@ -194,7 +198,7 @@
 				return;
 			}
 
-			await clock.sleep(wayMs);
+			await clock.sleep(latencyMs);
 			if (session.closed || isCut()) {
 				return;
 			}
@@ -223,7 +227,7 @@
 				return new Promise((resolve, reject) => {
 					rejects.add(reject);
 					session.queue = session.queue.then(async () => {
-						await clock.sleep(wayMs);
+						await clock.sleep(latencyMs);
 						if (session.closed || isCut() || !server.running) {
 							return;
 						}
@@ -250,7 +254,7 @@
 		return link;
 	};
 
-	const closeSession = new Map<PlainSession, (why: string) => void>();
+	const sessionClosers = new Map<PlainSession, (reason: string) => void>();
 
 	return {
 		name,
@@ -279,7 +283,7 @@
 			}
 
 			listener.onReceived();
-			return connect(server, target.workspace, listener, isCut, options.getWayMs?.(hostZone, server.availabilityZone) ?? WAY_MS);
+			return connect(server, target.workspace, listener, isCut, options.getWayMs?.(hostZone, server.availabilityZone) ?? DEFAULT_LATENCY_MS);
 		},
 		promote(endpointId) {
 			const server = servers.find(({id}) => id === getServerId(endpointId));
@@ -288,7 +292,7 @@
 			}
 
 			if (server !== leader || server.role === EndpointRole.Replica) {
-				void takeLead(server);
+				void completePromotion(server);
 			}
 
 			return OrderOutcome.Accepted;
@@ -296,7 +300,7 @@
 		crash(server) {
 			server.running = false;
 			for (const session of server.sessions) {
-				closeSession.get(session)?.('the endpoint closed it');
+				sessionClosers.get(session)?.('the endpoint closed it');
 			}
 		},
 		restart(server) {
@@ -306,7 +310,7 @@
 		},
 		startOver(server) {
 			this.crash(server);
-			server.life++;
+			server.incarnation++;
 			server.log.length = 0;
 			server.term = 0;
 			server.fencedTerm = 0;
@@ -314,7 +318,7 @@
 			server.running = true;
 		},
 		start() {
-			void run();
+			void replicate();
 		},
 		stop() {
 			stopped = true;
--- a/src/stand-ins/plain-group/plain-server.ts
+++ b/src/stand-ins/plain-group/plain-server.ts
@@ -6,28 +6,28 @@
 import type {Clock} from '../../time/clock.js';
 import type {ServiceSlots} from '../database/service-slots.js';
 import {
-	getVisibleEnd, readItem, type HeldCommit, type PlainCommit,
+	getVisibleEnd, readItem, type ReplicatedCommit, type PlainCommit,
 } from './plain-log.js';
 
-/** A session on a server: one connection. */
+/** A session on a server, which is one connection. */
 export type PlainSession = {
 	readonly server: PlainServer;
-	/** Workspace that the connection was opened for. */
+	/** Workspace for which the connection was opened. */
 	readonly workspace?: string;
 	closed: boolean;
 	values: Map<string, string>;
 	prepared: Map<string, PreparedShape>;
 	transaction?: {readonly readOnly: boolean; readonly writes: Array<PlainCommit['writes'][number]>};
-	/** Requests are served one after the other. */
+	/** Settles once the last request has been served: requests are served one after the other. */
 	queue: Promise<unknown>;
 };
 
-/** A database server that takes no request keys and whose fence lasts only until it restarts. */
+/** A database server that accepts no request keys and whose fence lasts only until it restarts. */
 export type PlainServer = {
-	/** The server's own, the same after each restart. */
+	/** Id of the server, the same after each restart. */
 	readonly id: string;
-	/** Grows each time that it starts without what it held. */
-	life: number;
+	/** Number of restarts with an empty log. */
+	incarnation: number;
 	readonly address: string;
 	readonly availabilityZone: string;
 	role: EndpointRole;
@@ -36,55 +36,55 @@
 	fencedTerm: number;
 	running: boolean;
 	leaving: boolean;
-	/** Receives nothing from its primary. */
+	/** Whether replication from and to the server is cut. */
 	cutFromGroup: boolean;
-	/** Time from a commit until reads here see it, in milliseconds. */
+	/** Time from the receipt of a commit until reads on this server see it, in milliseconds. */
 	lagMs: number;
 	/** Time added to each statement, in milliseconds. */
 	slowMs: number;
-	/** Undefined where any number of statements runs at once. */
+	/** Limits the statements that run concurrently; undefined where there is no limit. */
 	readonly slots?: ServiceSlots;
-	/** Stands still until then, as a suspended process does: what came meanwhile runs afterwards. */
+	/** Time until which the server is frozen like a suspended process: requests that arrive before run afterwards. */
 	frozenUntil: number;
-	/** Answers to be lost after their statement ran; each counts down. */
+	/** Number of coming answers that are lost after their statement ran. */
 	loseAnswers: number;
-	/** Commits to be turned away for want of a slot, with their transactions left open; each counts down. */
+	/** Number of coming commits that are rejected for lack of a slot, which leaves their transactions open. */
 	turnAwayCommits: number;
-	readonly log: HeldCommit[];
+	readonly log: ReplicatedCommit[];
 	readonly sessions: Set<PlainSession>;
-	/** Since when it has been able to reach a primary of a later term. */
-	metSuccessorAt?: number;
+	/** Time since which this superseded primary has been connected to its successor without interruption. */
+	connectedToSuccessorSince?: number;
 };
 
-/** What is told of each statement that ran, for the judgement of a whole run. */
+/** Observes the statements that ran, so that a whole run can be verified. */
 export type PlainObserver = {
 	onRead(read: {readonly id: string; readonly server: PlainServer; readonly end: LogPosition; readonly workspace?: string}): void;
 	onCommit(commit: PlainCommit, server: PlainServer, id: string, workspace?: string): void;
-	/** The server leads from now on; what its log lacks of the former leader's is rolled back for good. */
+	/** Called when a server has become primary; commits of the former primary that its log lacks are lost. */
 	onLead?(server: PlainServer): void;
 };
 
-/** Runs requests of sessions. */
+/** Executes the requests of sessions. */
 export type PlainExecutor = {
 	execute(session: PlainSession, req: EndpointRequest): Promise<EndpointAnswer>;
 };
 
-/** What the executor needs. */
+/** Options of an executor. */
 export type PlainExecutorOptions = {
 	readonly clock: Clock;
-	/** Time that a statement takes, in milliseconds. */
+	/** Returns the time that a statement takes, in milliseconds. */
 	getServiceMs(text: string): number;
 	readonly observer: PlainObserver;
 };
 
-/** Waits for a server that stands still. */
+/** Resolves once a server is not frozen. */
 async function whenThawed(clock: Clock, server: PlainServer): Promise<void> {
 	while (clock.now() < server.frozenUntil) {
 		await clock.sleep(server.frozenUntil - clock.now());
 	}
 }
 
-/** Creates what runs requests. */
+/** Creates an executor. */
 export function createPlainExecutor({clock, getServiceMs, observer}: PlainExecutorOptions): PlainExecutor {
 	const getState = (session: PlainSession) => session.transaction ? SessionState.Open : SessionState.Idle;
 
@@ -92,7 +92,7 @@
 		rows, end, state: getState(session), position: getVisibleEnd(session.server.log, clock.now()),
 	});
 
-	const done = (session: PlainSession, signature?: string, rows?: readonly string[]) => answer(session, {kind: 'complete', signature}, rows);
+	const complete = (session: PlainSession, signature?: string, rows?: readonly string[]) => answer(session, {kind: 'complete', signature}, rows);
 
 	const refuse = (session: PlainSession, code: AnswerCode) => answer(session, {kind: 'error', code, text: session.server.id});
 
@@ -111,13 +111,13 @@
 
 	const commit = (session: PlainSession, id: string, writes: PlainCommit['writes']) => {
 		const {server} = session;
-		const made: PlainCommit = {term: server.term, position: server.log.length + 1, writes};
-		server.log.push({commit: made, visibleAt: clock.now()});
-		observer.onCommit(made, server, id, session.workspace);
-		return done(session, `sign-${id}`);
+		const newCommit: PlainCommit = {term: server.term, position: server.log.length + 1, writes};
+		server.log.push({commit: newCommit, visibleAt: clock.now()});
+		observer.onCommit(newCommit, server, id, session.workspace);
+		return complete(session, `sign-${id}`);
 	};
 
-	const lostLead = ({server, transaction}: PlainSession) => transaction !== undefined && !transaction.readOnly && server.role !== EndpointRole.Primary;
+	const lostPrimaryRole = ({server, transaction}: PlainSession) => transaction !== undefined && !transaction.readOnly && server.role !== EndpointRole.Primary;
 
 	const read = (session: PlainSession, id: string, item: string) => {
 		const {server} = session;
@@ -125,7 +125,7 @@
 		observer.onRead({
 			id, server, end: getVisibleEnd(server.log, now), workspace: session.workspace,
 		});
-		return done(session, `sign-${id}`, [readItem(server.log, now, item) ?? '-']);
+		return complete(session, `sign-${id}`, [readItem(server.log, now, item) ?? '-']);
 	};
 
 	const write = (session: PlainSession, id: string, item: string, data: string) => {
@@ -136,7 +136,7 @@
 		const made = {item, data, statementId: id};
 		if (session.transaction) {
 			session.transaction.writes.push(made);
-			return done(session, `sign-${id}`);
+			return complete(session, `sign-${id}`);
 		}
 
 		return commit(session, id, [made]);
@@ -153,18 +153,18 @@
 		}
 
 		session.transaction = {readOnly, writes: []};
-		return done(session);
+		return complete(session);
 	};
 
-	const end = (session: PlainSession, id: string) => {
+	const endTransaction = (session: PlainSession, id: string) => {
 		const {transaction} = session;
-		if (lostLead(session) && transaction!.writes.length > 0) {
+		if (lostPrimaryRole(session) && transaction!.writes.length > 0) {
 			session.transaction = undefined;
 			return refuse(session, AnswerCode.ReadOnly);
 		}
 
 		session.transaction = undefined;
-		return transaction && transaction.writes.length > 0 ? commit(session, id, transaction.writes) : done(session, `sign-${id}`);
+		return transaction && transaction.writes.length > 0 ? commit(session, id, transaction.writes) : complete(session, `sign-${id}`);
 	};
 
 	const stepDown = (session: PlainSession, term: number) => {
@@ -177,14 +177,14 @@
 
 	const status = (session: PlainSession) => {
 		const {role, term, received, fencedTerm, lagMs, busy, connections} = getStatus(session);
-		return done(session, undefined, [`${role} ${term} ${received.term}.${received.position} ${fencedTerm} ${lagMs} ${busy} ${connections}`]);
+		return complete(session, undefined, [`${role} ${term} ${received.term}.${received.position} ${fencedTerm} ${lagMs} ${busy} ${connections}`]);
 	};
 
 	const perform = (session: PlainSession, {id = '-', command}: EndpointRequest): EndpointAnswer => {
 		const {server} = session;
 		switch (command.kind) {
 			case 'run': {
-				return lostLead(session) ? refuse(session, AnswerCode.ReadOnly) : run(session, id, command.text);
+				return lostPrimaryRole(session) ? refuse(session, AnswerCode.ReadOnly) : run(session, id, command.text);
 			}
 
 			case 'execute': {
@@ -202,28 +202,28 @@
 					return refuse(session, AnswerCode.Overloaded);
 				}
 
-				return end(session, id);
+				return endTransaction(session, id);
 			}
 
 			case 'rollback': {
 				session.transaction = undefined;
-				return done(session);
+				return complete(session);
 			}
 
 			case 'set': {
 				session.values.set(command.name, command.value);
-				return done(session);
+				return complete(session);
 			}
 
 			case 'prepare': {
 				session.prepared.set(command.name, command.shape);
-				return done(session);
+				return complete(session);
 			}
 
 			case 'reset': {
 				session.values.clear();
 				session.prepared.clear();
-				return done(session);
+				return complete(session);
 			}
 
 			case 'fence': {
@@ -264,7 +264,7 @@
 
 			await whenThawed(clock, server);
 			if (transaction && session.closed) {
-				// Guards against a write that is kept by itself, though its transaction was rolled back with the connection while it ran.
+				// Without this check, a write whose connection ended while it ran would be committed alone although its transaction was rolled back.
 				return refuse(session, AnswerCode.Aborted);
 			}
 
--- a/src/stand-ins/plain-platform/local-platform.ts
+++ b/src/stand-ins/plain-platform/local-platform.ts
@@ -9,7 +9,7 @@
 import {OrderOutcome} from '../../leadership/promotion-orders.js';
 import {createSystemClock} from '../../time/system-clock.js';
 import {openHttpStoreFront, type HttpStoreFront} from '../metadata-store/http-store-front.js';
-import {openLineFront} from '../plain-group/line-front.js';
+import {startLineServer} from '../plain-group/line-server.js';
 import {createPlainGroup, type PlainGroup} from '../plain-group/plain-group.js';
 import type {PlainObserver} from '../plain-group/plain-server.js';
 import {findFreePorts} from '../processes/free-ports.js';
@@ -55,7 +55,7 @@
 	const group = createPlainGroup({
 		clock, name: GROUP, zones: ['zone-a', 'zone-b', 'zone-c'], observer,
 	});
-	const fronts = await Promise.all(group.servers.map(async (server, i) => openLineFront(group, server, HOST, serverPorts[i]!)));
+	const lineServers = await Promise.all(group.servers.map(async (server, i) => startLineServer(group, server, HOST, serverPorts[i]!)));
 	const orders = await openOrders(group, ordersPort);
 	const folder = mkdtempSync(path.join(tmpdir(), 'aldercroft-local-'));
 	const children: ChildProcess[] = [];
@@ -147,8 +147,8 @@
 				server.close();
 			}
 
-			for (const front of fronts) {
-				front.close();
+			for (const lineServer of lineServers) {
+				lineServer.close();
 			}
 
 			rmSync(folder, {recursive: true});
--- a/src/stand-ins/proxies/host-clock.ts
+++ b/src/stand-ins/proxies/host-clock.ts
@@ -1,36 +1,36 @@
 import type {Clock} from '../../time/clock.js';
 import type {ElapsedClock} from '../../time/elapsed-clock.js';
 
-/** The clocks of one simulated host, which may be suspended: its steady clock stands still then, its elapsed clock does not. */
+/** The clocks of one simulated host, which may be suspended: its steady clock stops during a suspension, its elapsed clock does not. */
 export type HostClock = Clock & ElapsedClock & {
-	/** Stands still from now on. */
+	/** Stops the steady clock; sleeps do not end before the host is resumed. */
 	suspend(): void;
-	/** Goes on. */
+	/** Continues the steady clock from where it stopped. */
 	resume(): void;
-	/** Resolves at once while the host runs, else once it goes on. */
+	/** Resolves immediately while the host runs, otherwise once it is resumed. */
 	whenRunning(): Promise<void>;
 };
 
-/** Creates a host's clocks on the time of the whole system. */
-export function createHostClock(world: Clock): HostClock {
+/** Creates the clocks of a host from the clock that all simulated hosts share. */
+export function createHostClock(sharedClock: Clock): HostClock {
 	let suspendedMs = 0;
 	let suspendedAt: number | undefined;
 	let resumed = Promise.resolve();
 	let endSuspension: (() => void) | undefined;
 
-	const now = () => (suspendedAt ?? world.now()) - suspendedMs;
+	const now = () => (suspendedAt ?? sharedClock.now()) - suspendedMs;
 
 	return {
 		now,
-		wall: () => world.wall(),
-		elapsed: () => world.now(),
+		wall: () => sharedClock.wall(),
+		elapsed: () => sharedClock.now(),
 		async sleep(ms, signal) {
 			const until = now() + ms;
-			await world.sleep(ms, signal);
+			await sharedClock.sleep(ms, signal);
 			await resumed;
-			// What the suspension took is made up for, as by timers of the steady clock.
+			// Sleeps for the time lost to suspensions as well: timers of a steady clock do not count suspended time.
 			while (now() < until && !signal?.aborted) {
-				await world.sleep(until - now(), signal);
+				await sharedClock.sleep(until - now(), signal);
 				await resumed;
 			}
 		},
@@ -39,14 +39,14 @@
 				return;
 			}
 
-			suspendedAt = world.now();
+			suspendedAt = sharedClock.now();
 			resumed = new Promise(resolve => {
 				endSuspension = resolve;
 			});
 		},
 		resume() {
 			if (suspendedAt !== undefined) {
-				suspendedMs += world.now() - suspendedAt;
+				suspendedMs += sharedClock.now() - suspendedAt;
 				suspendedAt = undefined;
 				endSuspension?.();
 			}
--- a/src/stand-ins/proxies/scripted-caller.ts
+++ b/src/stand-ins/proxies/scripted-caller.ts
@@ -4,47 +4,47 @@
 import type {Clock} from '../../time/clock.js';
 import type {AnswerCode} from '../../statements/statement-answer.js';
 
-/** An answer with the session's state behind it. */
+/** An answer with the session's state after it. */
 export type ScriptedAnswer = StatementResult & {readonly state: SessionState};
 
-/** A caller whose requests a test or a schedule makes. */
+/** A simulated caller whose requests a test or a schedule makes. */
 export type ScriptedCaller = {
 	readonly channel: CallerChannel;
-	/** Opens the session, showing a key where it has one; false where it was refused. */
+	/** Opens the session with a key, the caller's name by default. Resolves with false where the session was refused. */
 	open(database: string, key?: string): Promise<boolean>;
-	/** Sends a statement and resolves with its answer, undefined where the session ended before. */
+	/** Sends a statement and resolves with its answer; undefined where the session ended first. */
 	ask(id: string, statement: Statement): Promise<ScriptedAnswer | undefined>;
-	/** Leaves at once. */
+	/** Ends the connection immediately. */
 	leave(): void;
-	/** Why the session was refused or ended, as it was told. */
+	/** The code with which the host refused or ended the session. */
 	readonly refusal: AnswerCode | undefined;
 	readonly closed: boolean;
 };
 
-/** How far a caller is from its host. */
-export type CallerDistance = {
+/** The delay of a caller's requests on their way to its host. */
+export type CallerLatency = {
 	readonly clock: Clock;
-	/** Time that a request is on its way, or waits unread at a host that is late, in milliseconds. */
+	/** Time before the host reads a request, in milliseconds: network latency, or the delay of a host that reads late. */
 	readonly requestMs: number;
 };
 
 /**
  * Creates a caller.
- * @param distance Without it, a request is read at once.
+ * @param latency Without it, the host can read a request immediately.
  */
-export function createScriptedCaller(name = 'caller', distance?: CallerDistance): ScriptedCaller {
+export function createScriptedCaller(name = 'caller', latency?: CallerLatency): ScriptedCaller {
 	const requests: CallerRequest[] = [];
 	let left = false;
 	let closed = false;
 	let refusal: AnswerCode | undefined;
 	let wake: (() => void) | undefined;
-	let takeGreeting: ((greeted: boolean) => void) | undefined;
-	let takeAnswer: ((answer: ScriptedAnswer | undefined) => void) | undefined;
-	/** An error that waits for the session's state behind it. */
-	let refused: StatementResult | undefined;
+	let resolveGreeting: ((greeted: boolean) => void) | undefined;
+	let resolveAnswer: ((answer: ScriptedAnswer | undefined) => void) | undefined;
+	/** A refusal whose session state has not arrived yet. */
+	let pendingRefusal: StatementResult | undefined;
 
-	const arrive = (req: CallerRequest) => {
-		// What comes after the end of the session reaches nobody.
+	const receive = (req: CallerRequest) => {
+		// Requests that arrive after the session has ended are dropped.
 		if (!closed) {
 			requests.push(req);
 			wake?.();
@@ -52,25 +52,25 @@
 	};
 
 	const send = (req: CallerRequest) => {
-		if (!distance) {
-			arrive(req);
+		if (!latency) {
+			receive(req);
 			return;
 		}
 
-		void distance.clock.sleep(distance.requestMs).then(() => {
-			arrive(req);
+		void latency.clock.sleep(latency.requestMs).then(() => {
+			receive(req);
 		});
 	};
 
-	const settle = (answer: ScriptedAnswer | undefined) => {
-		takeAnswer?.(answer);
-		takeAnswer = undefined;
-		refused = undefined;
+	const resolveRequest = (answer: ScriptedAnswer | undefined) => {
+		resolveAnswer?.(answer);
+		resolveAnswer = undefined;
+		pendingRefusal = undefined;
 	};
 
 	const end = () => {
-		takeGreeting?.(false);
-		settle(undefined);
+		resolveGreeting?.(false);
+		resolveRequest(undefined);
 		wake?.();
 	};
 
@@ -98,22 +98,22 @@
 			return requests.shift();
 		},
 		greet() {
-			takeGreeting?.(true);
-			takeGreeting = undefined;
+			resolveGreeting?.(true);
+			resolveGreeting = undefined;
 		},
 		async answer(result, state) {
-			settle({...result, state});
+			resolveRequest({...result, state});
 		},
 		refuse(code, text) {
 			refusal = code;
-			if (takeAnswer) {
-				refused = {rows: [], end: {kind: 'error', code, text}};
-			} else if (!takeGreeting) {
+			if (resolveAnswer) {
+				pendingRefusal = {rows: [], end: {kind: 'error', code, text}};
+			} else if (!resolveGreeting) {
 				leave();
 			}
 		},
 		endRefusal(state) {
-			settle(refused && {...refused, state});
+			resolveRequest(pendingRefusal && {...pendingRefusal, state});
 		},
 		close() {
 			closed = true;
@@ -132,7 +132,7 @@
 		},
 		async open(database, key = name) {
 			const greeted = new Promise<boolean>(resolve => {
-				takeGreeting = resolve;
+				resolveGreeting = resolve;
 			});
 			send({kind: 'open', database, key});
 			return greeted;
@@ -143,7 +143,7 @@
 			}
 
 			const answered = new Promise<ScriptedAnswer | undefined>(resolve => {
-				takeAnswer = resolve;
+				resolveAnswer = resolve;
 			});
 			send({kind: 'statement', id, statement});
 			return answered;
--- a/src/stand-ins/proxies/simulated-proxies.ts
+++ b/src/stand-ins/proxies/simulated-proxies.ts
@@ -27,46 +27,46 @@
 	readonly availabilityZone: string;
 	readonly kernel: Kernel;
 	readonly clock: HostClock;
-	/** Ids of servers that it cannot reach. */
+	/** Ids of the servers that it cannot reach. */
 	readonly cutFrom: Set<string>;
 	killed: boolean;
 	/** Resolves once it is killed. */
 	readonly death: Promise<void>;
 };
 
-/** Proxies, database groups and the platform, all on one virtual clock. */
+/** A simulated system of proxies, database groups and the platform on one virtual clock. */
 export type SimulatedProxies = {
 	readonly clock: VirtualClock;
 	readonly store: InMemoryMetadataStore;
 	readonly network: PeerNetwork;
 	readonly groups: readonly PlainGroup[];
 	readonly proxies: readonly SimulatedProxy[];
-	/** Orders in the order of their arrival. */
+	/** Promotion orders that arrived at the platform, oldest first. */
 	readonly orders: readonly PromotionOrder[];
-	/** Starts a proxy, or starts it anew after it was killed. */
+	/** Starts a proxy, or restarts it after it was killed. */
 	startProxy(name: string): Promise<SimulatedProxy>;
-	/** Ends a proxy's process at once: nothing of it reaches anything any more. */
+	/** Ends a proxy's process immediately: nothing that it sends arrives afterwards. */
 	kill(proxy: SimulatedProxy): void;
-	/** Takes a proxy's host its power: it is gone like a killed one, but servers keep its connections for 3 s, since nobody told them. */
+	/** Cuts the power of a proxy's host: it ends as when killed, but servers keep its connections for 3 s, because none of them was closed. */
 	powerOff(proxy: SimulatedProxy): void;
 	suspend(proxy: SimulatedProxy): void;
 	resume(proxy: SimulatedProxy): void;
-	/** Registers the groups' servers as they are. */
+	/** Registers the groups' running servers with their current state. */
 	registerEndpoints(): void;
-	/** Sets what goes wrong with orders to promote from now on; nothing without it. */
-	setOrderTrouble(trouble?: OrderTrouble): void;
+	/** Sets the faults of promotion orders from now on; none where left out. */
+	setOrderTrouble(trouble?: OrderFaults): void;
 	stop(): void;
 };
 
-/** What goes wrong with orders to promote. */
-export type OrderTrouble = {
-	/** Longest way to the platform, in milliseconds. */
+/** Faults of promotion orders. */
+export type OrderFaults = {
+	/** Maximum delay before an order arrives at the platform, in milliseconds. */
 	readonly delayMs: number;
-	/** Share of orders that are taken without an answer. */
+	/** Share of orders that are processed without a response. */
 	readonly loseShare: number;
 };
 
-/** What a simulated system is made of. */
+/** Options of a simulated system. */
 export type SimulatedProxiesOptions = {
 	readonly clock: VirtualClock;
 	readonly seed: number;
@@ -76,31 +76,31 @@
 	/** Time after which hosts may not honour a revoked key, in milliseconds. */
 	readonly revokeWithinMs?: number;
 	readonly log?: Log;
-	/** Longest way of an order to the platform, in milliseconds. */
+	/** Maximum delay before an order arrives at the platform, in milliseconds; default 10. */
 	readonly orderMs?: number;
-	/** Availability zones that hosts are spread over, `zone-0` and on; default 3. */
+	/** Number of availability zones, named from `zone-0`, to which hosts are assigned in turn; default 3. */
 	readonly zoneCount?: number;
-	/** How hosts choose where reads run, in place of the product's way. */
+	/** Creates the read placement of a host, in place of the product's own. */
 	createPlacement?(proxy: SimulatedProxy): ReadPlacement;
-	/** What stands between a proxy and the store; for trials of other ways. */
+	/** Wraps a proxy's client of the store, for experiments with other designs. */
 	wrapStore?(store: MetadataStore, proxy: SimulatedProxy): MetadataStore;
-	/** What stands between a proxy and its peers. */
+	/** Wraps a proxy's calls to its peers. */
 	wrapPeers?(peers: LivePeers): LivePeers;
 };
 
-const DEFAULT_ORDER_MS = 10;
+const DEFAULT_MAX_ORDER_DELAY_MS = 10;
 
-/** A server drops a connection whose remote end is gone after so long, in milliseconds. */
-const KEEP_DEAD_MS = 3000;
+/** Time after which a server drops a connection whose remote host has lost power, in milliseconds. */
+const DEAD_CONNECTION_TIMEOUT_MS = 3000;
 
-const DEFAULT_ZONES = 3;
+const DEFAULT_ZONE_COUNT = 3;
 
-/** What a killed host awaits. */
+/** Never settles: a killed host receives no results. */
 const NEVER = new Promise<never>(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 
-/** Creates a system without proxies. */
+/** Creates a system without proxies and starts the replication of its groups. */
 export function createSimulatedProxies(options: SimulatedProxiesOptions): SimulatedProxies {
-	const {clock, zoneCount = DEFAULT_ZONES} = options;
+	const {clock, zoneCount = DEFAULT_ZONE_COUNT} = options;
 	const random = createSeededRandom(options.seed);
 	const store = createInMemoryMetadataStore(clock, random);
 	const network = createPeerNetwork(clock);
@@ -108,9 +108,9 @@
 	const proxies: SimulatedProxy[] = [];
 	const orders: PromotionOrder[] = [];
 
-	const deaths = new Map<SimulatedProxy, () => void>();
+	const killResolvers = new Map<SimulatedProxy, () => void>();
 
-	/** What the end of a host closes. */
+	/** The links of each proxy, which are cut when its host ends. */
 	const links = new Map<SimulatedProxy, Set<EndpointLink>>();
 
 	const routing: Routing = {
@@ -123,7 +123,7 @@
 
 	const registerEndpoints = () => {
 		store.setEndpoints(groups.flatMap(group => group.servers.filter(({running}) => running).map((server): RegisteredEndpoint => ({
-			id: formatEndpointId(server.id, server.life === 0 ? undefined : server.life),
+			id: formatEndpointId(server.id, server.incarnation === 0 ? undefined : server.incarnation),
 			server: server.id,
 			group: group.name,
 			address: server.address,
@@ -140,7 +140,7 @@
 		group.start();
 	}
 
-	/** What reaches a host while it is suspended waits; what a killed host awaits never comes. */
+	/** Delays a result while the host is suspended, and withholds it for good once the host is killed. */
 	const deliver = async <T>(proxy: SimulatedProxy, promise: Promise<T>): Promise<T> => {
 		try {
 			return await promise;
@@ -177,7 +177,7 @@
 		},
 	});
 
-	const createClient = (proxy: SimulatedProxy): MetadataStore => {
+	const createStoreClient = (proxy: SimulatedProxy): MetadataStore => {
 		const client = store.getClient(proxy.name);
 		return {
 			getRevision: async timeoutMs => deliver(proxy, client.getRevision(timeoutMs)),
@@ -189,34 +189,34 @@
 		};
 	};
 
-	let orderTrouble: OrderTrouble | undefined;
+	let orderFaults: OrderFaults | undefined;
 
-	/** An order that is not there when its sender gives it up comes no more: the sender ends the connection. */
-	const takeOrder = async (proxy: SimulatedProxy, order: PromotionOrder, timeoutMs: number) => {
-		const wayMs = random.fraction() * (orderTrouble?.delayMs ?? options.orderMs ?? DEFAULT_ORDER_MS);
-		const isLost = orderTrouble !== undefined && random.fraction() < orderTrouble.loseShare;
-		await clock.sleep(Math.min(wayMs, timeoutMs));
+	/** Promotes as ordered. An order that has not arrived by its sender's timeout never arrives, because the sender closes the connection. */
+	const processOrder = async (proxy: SimulatedProxy, order: PromotionOrder, timeoutMs: number) => {
+		const transitMs = random.fraction() * (orderFaults?.delayMs ?? options.orderMs ?? DEFAULT_MAX_ORDER_DELAY_MS);
+		const isLost = orderFaults !== undefined && random.fraction() < orderFaults.loseShare;
+		await clock.sleep(Math.min(transitMs, timeoutMs));
 		if (proxy.killed) {
 			return NEVER;
 		}
 
-		if (wayMs >= timeoutMs) {
+		if (transitMs >= timeoutMs) {
 			return OrderOutcome.Unknown;
 		}
 
 		orders.push(order);
 		const outcome = groups.find(({name}) => name === order.group)?.promote(order.endpointId) ?? OrderOutcome.Refused;
 		if (isLost) {
-			await clock.sleep(timeoutMs - wayMs);
+			await clock.sleep(timeoutMs - transitMs);
 			return OrderOutcome.Unknown;
 		}
 
 		return outcome;
 	};
 
-	const end = (proxy: SimulatedProxy) => {
+	const terminate = (proxy: SimulatedProxy) => {
 		(proxy as {killed: boolean}).killed = true;
-		deaths.get(proxy)!();
+		killResolvers.get(proxy)!();
 		network.kill(proxy.peerAddress);
 		void proxy.kernel.stop();
 	};
@@ -236,24 +236,24 @@
 		orders,
 		registerEndpoints,
 		setOrderTrouble(trouble) {
-			orderTrouble = trouble;
+			orderFaults = trouble;
 		},
 		async startProxy(name) {
 			const peerAddress = `${name}:7000`;
-			const own = network.addHost(peerAddress);
-			const peers = options.wrapPeers?.(own) ?? own;
+			const hostPeers = network.addHost(peerAddress);
+			const peers = options.wrapPeers?.(hostPeers) ?? hostPeers;
 			const hostClock = createHostClock(clock);
-			let die!: () => void;
+			let resolveKilled!: () => void;
 			const death = new Promise<void>(resolve => {
-				die = resolve;
+				resolveKilled = resolve;
 			});
 			const proxy: {-readonly [K in keyof SimulatedProxy]: SimulatedProxy[K]} = {
 				name, peerAddress, availabilityZone: `zone-${proxies.length % zoneCount}`, clock: hostClock, cutFrom: new Set(), killed: false, death, kernel: undefined!,
 			};
 			links.set(proxy, new Set());
-			deaths.set(proxy, die);
-			const life = proxies.filter(other => other.name === name).length;
-			const client = createClient(proxy);
+			killResolvers.set(proxy, resolveKilled);
+			const earlierStarts = proxies.filter(other => other.name === name).length;
+			const client = createStoreClient(proxy);
 			proxy.kernel = createProxy({
 				clock: hostClock,
 				elapsedClock: hostClock,
@@ -261,14 +261,14 @@
 				log: options.log?.withPrefix(`${name} `) ?? createSilentLog(),
 				metrics: createPromGatewayMetrics(),
 				store: options.wrapStore?.(client, proxy) ?? client,
-				orders: {promote: async (order, timeoutMs) => deliver(proxy, takeOrder(proxy, order, timeoutMs))},
+				orders: {promote: async (order, timeoutMs) => deliver(proxy, processOrder(proxy, order, timeoutMs))},
 				opener: createOpener(proxy),
 				peers,
 				hostName: name,
 				availabilityZone: proxy.availabilityZone,
 				peerAddress,
 				seeds: [],
-				incarnation: `${name}/${life}`,
+				incarnation: `${name}/${earlierStarts}`,
 				revokeWithinMs: options.revokeWithinMs,
 				placement: options.createPlacement?.(proxy),
 			});
@@ -278,11 +278,11 @@
 		},
 		kill(proxy) {
 			cutLinks(proxy);
-			end(proxy);
+			terminate(proxy);
 		},
 		powerOff(proxy) {
-			end(proxy);
-			void clock.sleep(KEEP_DEAD_MS).then(() => {
+			terminate(proxy);
+			void clock.sleep(DEAD_CONNECTION_TIMEOUT_MS).then(() => {
 				cutLinks(proxy);
 			});
 		},
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -23,7 +23,7 @@
 	{
 		name: 'elapsed-clock',
 		without: 'a clock that counts suspensions',
-		changes: [{file: 'src/stand-ins/proxies/host-clock.ts', from: 'elapsed: () => world.now(),', to: 'elapsed: now,'}],
+		changes: [{file: 'src/stand-ins/proxies/host-clock.ts', from: 'elapsed: () => sharedClock.now(),', to: 'elapsed: now,'}],
 	},
 	{
 		name: 'second-judgement',
--- a/tests/stand-ins/plain-group/plain-server-tests.ts
+++ b/tests/stand-ins/plain-group/plain-server-tests.ts
@@ -6,10 +6,10 @@
 
 describe('a plain server', () => {
 	/**
-	 * A host ends a connection while a write of a transaction runs on it, and tells its caller that the transaction is rolled back. A server that then kept the
-	 * write by itself would make that untrue, and every check of such promises would blame the host.
+	 * A host closes a connection while a write of a transaction runs on it, and reports to the caller that the transaction was rolled back. A server that then
+	 * committed the write alone would make the report false, and every check of such reports would fail because of the stand-in instead of the host.
 	 */
-	it('keeps nothing of a transaction whose connection ends while a write of it runs', async () => {
+	it('commits nothing of a transaction whose connection ends while one of its writes runs', async () => {
 		const clock = createVirtualClock();
 		const committed: string[] = [];
 		const group = createPlainGroup({
