--- a/src/demo/run-demo.ts
+++ b/src/demo/run-demo.ts
@@ -1,5 +1,5 @@
 import {createSystemRandom} from '../random/system-random.js';
-import type {OwnProcess} from '../stand-ins/processes/child-process.js';
+import type {ManagedProcess} from '../stand-ins/processes/child-process.js';
 import {startLocalSystem, type LocalSystem} from '../stand-ins/processes/local-system.js';
 import {createSystemClock} from '../time/system-clock.js';
 import {auditTrail} from './audit-trail.js';
@@ -51,7 +51,7 @@
 	const bootstrap = createOperator(random);
 	const dana = createOperator(random);
 	const iva = createOperator(random);
-	const spawned: OwnProcess[] = [];
+	const spawned: ManagedProcess[] = [];
 	const interrupted = waitForInterrupt(events);
 	const startedAt = clock.now();
 
@@ -85,7 +85,7 @@
 	await bootstrap.runOrThrow(`create operator iva role operate token-hash ${iva.tokenHash}`, balancer.next());
 }
 
-async function startSystem(bootstrap: DemoOperator, onSpawned: (own: OwnProcess) => void): Promise<LocalSystem> {
+async function startSystem(bootstrap: DemoOperator, onSpawned: (own: ManagedProcess) => void): Promise<LocalSystem> {
 	return startLocalSystem({
 		proxies: PROXIES,
 		availabilityZones: [...GRANITE_LOOP_ZONES, ...BUREAU_ZONES],
--- a/src/stand-ins/peers/in-memory-peers.ts
+++ b/src/stand-ins/peers/in-memory-peers.ts
@@ -6,36 +6,36 @@
 import {createNetworkWire, type NetworkWire, type PeerFaults} from './network-wire.js';
 import {createWireTransport} from './wire-transport.js';
 
-/** What a network of simulated hosts may be told. */
+/** Options of a network of simulated hosts. */
 export type PeerNetworkOptions = {
-	/** Time a message takes from host to host, in milliseconds. */
+	/** One-way latency between two hosts, in milliseconds; default 1. */
 	readonly latencyMs?: number;
-	/** Keys of hosts that state none, current first. */
+	/** Peer keys of hosts that are added without any, current key first. */
 	readonly peerKeys?: readonly string[];
 	readonly limits?: Partial<PeerLimits>;
 };
 
-/** Simulated hosts that call each other over the project's own links, with a network that fails on demand. */
+/** Simulated hosts that call each other over the product's peer links, on a network with fault injection. */
 export type PeerNetwork = {
-	/** Starts a host at `ip:port`, or starts it anew after a kill; `start` of its peers does nothing more. */
+	/** Starts a host at `ip:port`, or restarts it after a kill. The returned peers are started; their `start` does nothing. */
 	addHost(address: string, peerKeys?: readonly string[]): LivePeers;
-	/** Sets what goes wrong with messages from one host to the other, in that direction alone; replaces what was set. */
+	/** Replaces the faults of messages from one host to another, in that direction only. */
 	setFaults(from: string, to: string, faults: Partial<PeerFaults>): void;
-	/** Sets faults in both directions. */
+	/** Replaces the faults of messages between two hosts, in both directions. */
 	setFaultsBetween(left: string, right: string, faults: Partial<PeerFaults>): void;
-	/** Ends every fault between hosts. */
+	/** Removes all faults between hosts. */
 	heal(): void;
-	/** Kills a host at once: its links break, nothing it does afterwards reaches anyone. */
+	/** Kills a host immediately: its links break, and nothing that it sends afterwards arrives. */
 	kill(address: string): void;
-	/** Stops a host's traffic as a paused process would: what comes for it and from it waits. Its timers go on. */
+	/** Holds a host's traffic in both directions, as for a paused process; its timers continue. */
 	pause(address: string): void;
-	/** Lets a paused host go on; what waited is delivered. */
+	/** Resumes a paused host and delivers the held traffic. */
 	resume(address: string): void;
 };
 
 const DEFAULT_KEYS = ['a peer key for simulated hosts, 32+'];
 
-/** Creates a network without hosts; messages pass through msgpackr, so hosts never share an object. */
+/** Creates a network without hosts. Messages are encoded with msgpackr, so hosts never share an object. */
 export function createPeerNetwork(clock: Clock, options: PeerNetworkOptions = {}): PeerNetwork {
 	const wire: NetworkWire = createNetworkWire(clock, options.latencyMs ?? 1);
 	let seed = 0;
--- a/src/stand-ins/peers/network-wire.ts
+++ b/src/stand-ins/peers/network-wire.ts
@@ -1,42 +1,42 @@
 import type {PeerChannel} from '../../peers/peer-transport.js';
 import type {Clock} from '../../time/clock.js';
-import {createAnswerFaults} from './answer-faults.js';
+import {createResponseFaults} from './response-faults.js';
 
-/** What goes wrong with messages in one direction between two hosts. */
+/** Faults of messages in one direction between two hosts. */
 export type PeerFaults = {
-	/** Nothing arrives, and nobody is told. */
+	/** Messages are lost without an error at either host. */
 	readonly cut: boolean;
 	/** Time added to each message, in milliseconds. */
 	readonly delayMs: number;
-	/** Calls run, their answers are lost. */
+	/** Calls run, but their responses are lost. */
 	readonly dropAnswers: boolean;
-	/** Each answer arrives twice. */
+	/** Each response arrives twice. */
 	readonly duplicateAnswers: boolean;
-	/** Answers arrive in pairs, the later one first. */
+	/** Responses arrive in pairs, the later one first. */
 	readonly crossAnswers: boolean;
 };
 
-/** A simulated host as the wire knows it; a host that is started anew is another one. */
+/** A simulated host on the wire; a restarted host is a new one. */
 export type WireHost = {
 	readonly address: string;
 	killed: boolean;
 	paused: boolean;
-	/** What waits for the host to go on. */
+	/** Actions that wait until the host is resumed. */
 	readonly held: Array<() => void>;
-	/** Takes the channels that are opened to the host; undefined while it takes none. */
+	/** Accepts the channels that are opened to the host; undefined while it accepts none. */
 	onChannel?: (channel: PeerChannel) => void;
-	/** Called when the host is killed, for each of its channels. */
+	/** Called when the host is killed; one for each of its channels. */
 	readonly onKill: Set<() => void>;
 };
 
 /** Carries bytes between simulated hosts. */
 export type NetworkWire = {
 	addHost(address: string): WireHost;
-	/** The host that runs at the address now, undefined where none ever did. */
+	/** Returns the host that was added last at the address, which may have been killed; undefined where none was added. */
 	getHost(address: string): WireHost | undefined;
-	/** Delivers in order, each after the latency, unless a fault says otherwise. */
+	/** Delivers messages in order, each after the latency, unless a fault changes that. */
 	send(from: WireHost, to: WireHost, message: Uint8Array, deliver: (message: Uint8Array) => void): void;
-	/** Delivers something that is no message: an opening, a ping or a closing; the same cuts, delays and pauses hold. */
+	/** Delivers an event other than a message (opening, ping or closing) under the same cuts, delays and pauses. */
 	signal(from: WireHost, to: WireHost, deliver: () => void): void;
 	setFaults(from: string, to: string, faults: Partial<PeerFaults>): void;
 	heal(): void;
@@ -53,7 +53,7 @@
 export function createNetworkWire(clock: Clock, latencyMs: number): NetworkWire {
 	const hosts = new Map<string, WireHost>();
 	const faultsByDirection = new Map<string, PeerFaults>();
-	const answerFaults = createAnswerFaults();
+	const responseFaults = createResponseFaults();
 
 	const getDirection = (from: string, to: string) => `${from}>${to}`;
 	const getFaults = (from: WireHost, to: WireHost) => faultsByDirection.get(getDirection(from.address, to.address)) ?? NO_FAULTS;
@@ -70,7 +70,7 @@
 		}
 	};
 
-	const travel = async (from: WireHost, to: WireHost, deliver: () => void) => {
+	const deliverAfterLatency = async (from: WireHost, to: WireHost, deliver: () => void) => {
 		const {cut, delayMs} = getFaults(from, to);
 		if (cut) {
 			return;
@@ -84,7 +84,7 @@
 
 	const signal = (from: WireHost, to: WireHost, deliver: () => void) => {
 		whenRunning(from, () => {
-			void travel(from, to, deliver);
+			void deliverAfterLatency(from, to, deliver);
 		});
 	};
 
@@ -109,7 +109,7 @@
 		signal,
 		send(from, to, message, deliver) {
 			const direction = getDirection(from.address, to.address);
-			for (const part of answerFaults.apply(direction, getFaults(from, to), message)) {
+			for (const part of responseFaults.apply(direction, getFaults(from, to), message)) {
 				signal(from, to, () => {
 					deliver(part);
 				});
--- a/src/stand-ins/peers/answer-faults.ts
+++ b/src/stand-ins/peers/response-faults.ts
@@ -3,17 +3,17 @@
 } from '../../peers/peer-frame.js';
 import type {PeerFaults} from './network-wire.js';
 
-/** Loses, doubles and crosses the answers among the messages of a simulated network. */
-export type AnswerFaults = {
-	/** The messages that travel in place of the one sent. */
+/** Drops, duplicates and reorders the responses among the messages of a simulated network; calls are unaffected. */
+export type ResponseFaults = {
+	/** Returns the messages that are sent in place of a message. */
 	apply(direction: string, faults: PeerFaults, message: Uint8Array): readonly Uint8Array[];
 };
 
-/** Creates the faults; they remember the answers held back to be crossed. */
-export function createAnswerFaults(): AnswerFaults {
+/** Creates the faults, which keep a response to be reordered until the next one in its direction. */
+export function createResponseFaults(): ResponseFaults {
 	const heldBack = new Map<string, PeerFrame>();
 
-	const cross = (direction: string, frame: PeerFrame): readonly PeerFrame[] => {
+	const reorder = (direction: string, frame: PeerFrame): readonly PeerFrame[] => {
 		const earlier = heldBack.get(direction);
 		if (!earlier) {
 			heldBack.set(direction, frame);
@@ -33,7 +33,7 @@
 			return [];
 		}
 
-		const frames = faults.crossAnswers ? cross(direction, frame) : [frame];
+		const frames = faults.crossAnswers ? reorder(direction, frame) : [frame];
 		return faults.duplicateAnswers ? frames.flatMap(each => [each, each]) : frames;
 	};
 
@@ -51,7 +51,7 @@
 	};
 }
 
-/** Messages of a handshake hold no frames. */
+/** Decodes a message; undefined for a message of the handshake, which holds no frames. */
 function decodeFramesOrUndefined(message: Uint8Array): readonly PeerFrame[] | undefined {
 	try {
 		return decodeFrames(message);
--- a/src/stand-ins/peers/tcp-relay.ts
+++ b/src/stand-ins/peers/tcp-relay.ts
@@ -3,15 +3,15 @@
 	connect, createServer, type AddressInfo, type Socket,
 } from 'node:net';
 
-/** Stands between two hosts and fails as networks do. */
+/** A TCP relay between two hosts that simulates network faults. */
 export type TcpRelay = {
-	/** Where callers connect. */
+	/** Address to which clients connect. */
 	readonly address: string;
-	/** Sets where new connections lead. */
+	/** Sets the address to which new connections are forwarded. */
 	target(address: string): void;
-	/** Loses all traffic of the connections that are open now, without closing them; new ones work. */
+	/** Drops all traffic of the currently open connections without closing them; new connections work. */
 	freeze(): void;
-	/** Lets so many more bytes of the answering side pass, then cuts the connections. */
+	/** Forwards this number of further response bytes, of all connections together, then cuts the connection that carried the last of them. */
 	cutAfter(bytes: number): void;
 	stop(): void;
 };
@@ -29,16 +29,16 @@
 		}
 	};
 
-	const pass = (from: Socket, to: Socket, data: Uint8Array) => {
+	const forward = (from: Socket, to: Socket, data: Uint8Array) => {
 		if (!frozen.has(from) && !to.destroyed) {
 			to.write(data);
 		}
 	};
 
-	const passAnswer = (from: Socket, to: Socket, data: Uint8Array) => {
+	const forwardResponse = (from: Socket, to: Socket, data: Uint8Array) => {
 		const part = data.subarray(0, bytesLeft);
 		bytesLeft -= part.length;
-		pass(from, to, part);
+		forward(from, to, part);
 		if (bytesLeft === 0) {
 			bytesLeft = Infinity;
 			to.end();
@@ -46,21 +46,21 @@
 		}
 	};
 
-	const server = createServer(caller => {
-		const answerer = connect(targetPort, '127.0.0.1');
-		for (const socket of [caller, answerer]) {
+	const server = createServer(client => {
+		const upstream = connect(targetPort, '127.0.0.1');
+		for (const socket of [client, upstream]) {
 			sockets.add(socket);
 			socket.on('error', () => undefined);
 		}
 
-		caller.on('data', data => {
-			pass(caller, answerer, data);
+		client.on('data', data => {
+			forward(client, upstream, data);
 		});
-		answerer.on('data', data => {
-			passAnswer(answerer, caller, data);
+		upstream.on('data', data => {
+			forwardResponse(upstream, client, data);
 		});
-		caller.on('close', () => answerer.destroy());
-		answerer.on('end', () => caller.end());
+		client.on('close', () => upstream.destroy());
+		upstream.on('end', () => client.end());
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
--- a/src/stand-ins/peers/wire-transport.ts
+++ b/src/stand-ins/peers/wire-transport.ts
@@ -24,8 +24,8 @@
 			wire.signal(far.host, host, () => {
 				near.onOpened();
 			});
-			breakOnKill(wire, near, far);
-			breakOnKill(wire, far, near);
+			closeRemainingOnKill(wire, near, far);
+			closeRemainingOnKill(wire, far, near);
 			far.host.onChannel?.(createChannel(wire, far, near, Promise.resolve()));
 		});
 	};
@@ -83,7 +83,7 @@
 			if (near.closedBy === undefined) {
 				wire.send(near.host, far.host, message, delivered => {
 					if (far.closedBy === undefined) {
-						// A new buffer each time: hosts share no bytes.
+						// A new buffer for each message, so that hosts share no memory.
 						far.listener?.onMessage(Buffer.from(delivered));
 					}
 				});
@@ -107,11 +107,11 @@
 	};
 }
 
-/** The operating system of a killed process closes its connections. */
-function breakOnKill(wire: NetworkWire, dying: WireEnd, left: WireEnd): void {
+/** Closes the remaining end when a host is killed, as the operating system does for a killed process. */
+function closeRemainingOnKill(wire: NetworkWire, dying: WireEnd, remaining: WireEnd): void {
 	dying.host.onKill.add(() => {
-		wire.signal(dying.host, left.host, () => {
-			closeEnd(left, 'connection reset');
+		wire.signal(dying.host, remaining.host, () => {
+			closeEnd(remaining, 'connection reset');
 		});
 	});
 }
--- a/src/stand-ins/plain-platform/local-platform.ts
+++ b/src/stand-ins/plain-platform/local-platform.ts
@@ -19,35 +19,35 @@
 	readonly name: string;
 	readonly callerPort: number;
 	readonly metricsPort: number;
-	/** Lines that it logged. */
+	/** Lines that the proxy has logged. */
 	readonly lines: string[];
-	/** Ends it with a signal and resolves with its exit code, undefined where the signal ended it. */
+	/** Sends a signal and resolves with the exit code once the process has ended; undefined where the signal ended it. */
 	end(signal: 'SIGTERM' | 'SIGKILL'): Promise<number | undefined>;
 };
 
-/** The platform, one database group and proxies on loopback: the proxies are processes, all else runs here. */
+/** The platform, one database group and proxies on loopback. The proxies are processes; everything else runs in this process. */
 export type LocalPlatform = {
 	readonly group: PlainGroup;
 	readonly store: HttpStoreFront;
-	/** Starts a proxy from the bundle under `target/` and waits until it is ready. */
+	/** Starts a proxy from the bundle under `target/`. Resolves once it is ready; rejects where it ends before that or takes too long. */
 	startProxy(name: string): Promise<LocalProxy>;
-	/** Ends everything that was started. */
+	/** Ends all proxies and servers, and removes the settings files. */
 	stop(): Promise<void>;
 };
 
 const HOST = '127.0.0.1';
 const GROUP = 'nights';
-const READY_WITHIN_MS = 10_000;
-const RECHECK_MS = 20;
+const READY_TIMEOUT_MS = 10_000;
+const READY_POLL_MS = 20;
 
-/** Databases that callers may name, with the policy of their reads. */
+/** Databases that callers can open, with the read policy of each. */
 const ROUTES = [
 	{host: 'sync', type: 'primary'},
 	{host: 'review', type: 'bounded', maxStalenessMs: 1500},
 	{host: 'roster', type: 'read_your_writes', maxStalenessMs: 2500},
 ];
 
-/** Starts the platform and the group; no proxy yet. */
+/** Starts the platform and the group, without proxies. */
 export async function startLocalPlatform(observer: PlainObserver): Promise<LocalPlatform> {
 	const clock = createSystemClock();
 	const [storePort, ordersPort, ...serverPorts] = await findFreePorts(5) as [number, number, ...number[]];
@@ -56,7 +56,7 @@
 		clock, name: GROUP, zones: ['zone-a', 'zone-b', 'zone-c'], observer,
 	});
 	const lineServers = await Promise.all(group.servers.map(async (server, i) => startLineServer(group, server, HOST, serverPorts[i]!)));
-	const orders = await openOrders(group, ordersPort);
+	const orders = await startOrderServer(group, ordersPort);
 	const folder = mkdtempSync(path.join(tmpdir(), 'aldercroft-local-'));
 	const children: ChildProcess[] = [];
 
@@ -156,7 +156,7 @@
 	};
 }
 
-async function openOrders(group: PlainGroup, port: number) {
+async function startOrderServer(group: PlainGroup, port: number) {
 	const server = createServer((req, res) => {
 		json(req).then(body => {
 			const outcome = group.promote((body as {id: string}).id);
@@ -171,7 +171,7 @@
 }
 
 async function waitUntilReady(port: number, child: ChildProcess) {
-	const until = performance.now() + READY_WITHIN_MS;
+	const until = performance.now() + READY_TIMEOUT_MS;
 	while (performance.now() < until && child.exitCode === null) {
 		const res = await fetch(`http://${HOST}:${port}/ready`).catch(() => undefined);
 		if (res?.status === 200) {
@@ -179,9 +179,9 @@
 		}
 
 		await new Promise(resolve => {
-			setTimeout(resolve, RECHECK_MS);
+			setTimeout(resolve, READY_POLL_MS);
 		});
 	}
 
-	throw new Error(`the proxy was not ready within ${READY_WITHIN_MS} ms, or ended with ${child.exitCode}`);
+	throw new Error(`the proxy was not ready within ${READY_TIMEOUT_MS} ms, or ended with ${child.exitCode}`);
 }
--- a/src/stand-ins/plain-platform/wire-caller.ts
+++ b/src/stand-ins/plain-platform/wire-caller.ts
@@ -1,31 +1,31 @@
 import {connect} from 'node:net';
 import {createLineReader} from '../../platform/line-reader.js';
 
-/** A caller that speaks the platform's lines to a proxy. */
+/** A caller that uses the platform's line protocol on a connection to a proxy. */
 export type WireCaller = {
-	/** The lines of the answer to the start of the session, or of its refusal. */
+	/** The lines of the answer to `STARTUP`, or of its refusal. */
 	readonly greeting: readonly string[];
-	/** Sends a statement and resolves with the lines of its answer; without the last one where the connection ended. */
+	/** Sends a statement and resolves with the lines of its answer, which is incomplete where the connection ended. */
 	ask(id: string, text: string): Promise<readonly string[]>;
-	/** Sends bytes as they are. */
+	/** Sends a text unchanged. */
 	send(text: string): void;
 	leave(): void;
 	readonly closed: boolean;
-	/** What the host sent while nothing was under way, upon which the caller closes its session; undefined where it sent nothing. */
+	/** First line that the host sent while no request was in progress, after which the caller terminates its session; undefined where there was none. */
 	readonly unasked: string | undefined;
 	/** Resolves once the connection has ended. */
 	whenClosed(): Promise<void>;
 };
 
-/** How an answer ended, as a caller takes it. */
+/** The outcome of a write, as its caller knows it from the answer. */
 export type WireOutcome = 'done' | 'not-run' | 'unknown';
 
-/** Reads the first row of an answer, undefined where it has none. */
+/** Returns the first row of an answer; undefined where it has none. */
 export function getFirstRow(lines: readonly string[]): string | undefined {
 	return lines[0]?.startsWith('DATAROW ') ? lines[0].slice('DATAROW '.length) : undefined;
 }
 
-/** Reads whether an answer says that a write was done, or promises that nothing of it is kept. */
+/** Returns the outcome of a write from its answer: done, not run where the error code guarantees that nothing of it is kept, otherwise unknown. */
 export function getOutcome(lines: readonly string[]): WireOutcome {
 	if (lines.some(line => line.startsWith('COMPLETE '))) {
 		return 'done';
@@ -34,26 +34,26 @@
 	return lines.some(line => /^ERROR (?:BUSY|ABORTED|LAGGING|READONLY|WRONGNODE|CONNLIMIT) /v.test(line)) ? 'not-run' : 'unknown';
 }
 
-/** Opens a session, showing a key where the route needs one. */
+/** Opens a session with a key, which some routes require. Resolves once the host has answered; the session may have been refused. */
 export async function openWireCaller(port: number, database: string, key = 'caller'): Promise<WireCaller> {
 	const socket = connect({host: '127.0.0.1', port, noDelay: true});
 	const reader = createLineReader();
 	let closed = false;
 	let lines: string[] = [];
-	let take: ((answer: readonly string[]) => void) | undefined;
+	let pendingExchange: ((answer: readonly string[]) => void) | undefined;
 	let unasked: string | undefined;
 
-	const finish = () => {
+	const resolveExchange = () => {
 		const answer = lines;
 		lines = [];
-		take?.(answer);
-		take = undefined;
+		pendingExchange?.(answer);
+		pendingExchange = undefined;
 	};
 
 	socket.setEncoding('latin1');
 	socket.on('data', (chunk: string) => {
 		for (const line of reader.push(chunk) ?? []) {
-			if (!take) {
+			if (!pendingExchange) {
 				unasked ??= line;
 				socket.end('TERMINATE\r\n');
 				continue;
@@ -61,7 +61,7 @@
 
 			lines.push(line);
 			if (line.startsWith('READY ')) {
-				finish();
+				resolveExchange();
 			}
 		}
 	});
@@ -71,7 +71,7 @@
 	const ended = new Promise<void>(resolve => {
 		socket.on('close', () => {
 			closed = true;
-			finish();
+			resolveExchange();
 			resolve();
 		});
 	});
@@ -82,7 +82,7 @@
 		}
 
 		const answered = new Promise<readonly string[]>(resolve => {
-			take = resolve;
+			pendingExchange = resolve;
 		});
 		socket.write(text, 'latin1');
 		return answered;
--- a/src/stand-ins/processes/child-process.ts
+++ b/src/stand-ins/processes/child-process.ts
@@ -4,62 +4,66 @@
 import type {Readable} from 'node:stream';
 import {createInterface} from 'node:readline';
 
-/** A process of the project's own, started by a demo, a benchmark or a test. */
-export type OwnProcess = {
+/** A process that runs a script of the project, started by a demo, a benchmark or a test. */
+export type ManagedProcess = {
 	readonly pid: number;
-	/** Ends it in order and waits; kills it after `boundMs` milliseconds. Resolves with its exit code. */
-	stop(boundMs?: number): Promise<number | undefined>;
-	/** Ends it at once. */
+	/**
+	 * Sends SIGTERM, and SIGKILL if the process still runs after `timeoutMs` milliseconds, 15,000 by default. Resolves with its exit code, undefined where a
+	 * signal ended it.
+	 */
+	stop(timeoutMs?: number): Promise<number | undefined>;
+	/** Sends SIGKILL. Resolves once the process has ended. */
 	kill(): Promise<void>;
-	/** Pauses it, and lets it go on. */
+	/** Sends SIGSTOP. */
 	pause(): void;
+	/** Sends SIGCONT. */
 	resume(): void;
 	readonly ended: boolean;
 };
 
-/** What to start. */
-export type OwnProcessOptions = {
-	/** Path of the script within the build, as in `daemon/main.js`; sources run by a loader start the build's too. */
+/** Options of a process to start. */
+export type ManagedProcessOptions = {
+	/** Path of the script within the build, as in `daemon/main.js`; also the build's script when the caller runs from source with a loader. */
 	readonly script: string;
 	readonly args?: readonly string[];
-	/** Tells from a line of output that the process is ready; its value is handed back. */
+	/** Returns whether a line of output shows that the process is ready; the first such line is returned as `readyLine`. */
 	readonly isReady: (line: string) => boolean;
-	/** Told of each line. */
+	/** Called with each line of output. */
 	onLine?(line: string): void;
-	/** Told of the process before it is ready, so that its starter can end it whatever happens. */
-	onSpawned?(own: OwnProcess): void;
-	/** How long it may take to be ready, in milliseconds. */
-	readonly readyBoundMs?: number;
+	/** Called with the process before it is ready, so that the starter can end it in any case. */
+	onSpawned?(managed: ManagedProcess): void;
+	/** Maximum time until the process is ready, in milliseconds; default 30,000. */
+	readonly readyTimeoutMs?: number;
 };
 
-/** A process and the line that showed that it was ready. */
+/** A process, and the line of output that showed that it was ready. */
 export type ReadyProcess = {
-	readonly process: OwnProcess;
+	readonly process: ManagedProcess;
 	readonly readyLine: string;
 };
 
-const STOP_BOUND_MS = 15_000;
-const READY_BOUND_MS = 30_000;
+const STOP_TIMEOUT_MS = 15_000;
+const READY_TIMEOUT_MS = 30_000;
 
-/** Starts a script of the build with this Node and waits until it is ready; kills it and rejects where it ends before or takes too long. */
-export async function startOwnProcess(options: OwnProcessOptions): Promise<ReadyProcess> {
-	const {script, args = [], readyBoundMs = READY_BOUND_MS} = options;
+/** Starts a script of the build with this Node. Resolves once it is ready; kills it and rejects where it ends before that or takes too long. */
+export async function startManagedProcess(options: ManagedProcessOptions): Promise<ReadyProcess> {
+	const {script, args = [], readyTimeoutMs: readyBoundMs = READY_TIMEOUT_MS} = options;
 	const path = new URL(`../../../dist/${script}`, import.meta.url).pathname;
 	const child = spawn(process.execPath, [path, ...args], {stdio: ['ignore', 'pipe', 'inherit']});
-	const own = createOwnProcess(child);
-	options.onSpawned?.(own);
-	// Guards against a process that is left behind: one that never becomes ready would outlive whoever waits for it.
+	const managed = createManagedProcess(child);
+	options.onSpawned?.(managed);
+	// Kills a process that never becomes ready, which would otherwise outlive its starter.
 	const timer = setTimeout(() => {
-		void own.kill();
+		void managed.kill();
 	}, readyBoundMs);
 	try {
-		return {process: own, readyLine: await waitForReadyLine(child, options)};
+		return {process: managed, readyLine: await waitForReadyLine(child, options)};
 	} finally {
 		clearTimeout(timer);
 	}
 }
 
-async function waitForReadyLine(child: ChildProcess & {readonly stdout: Readable}, {script, isReady, onLine}: OwnProcessOptions): Promise<string> {
+async function waitForReadyLine(child: ChildProcess & {readonly stdout: Readable}, {script, isReady, onLine}: ManagedProcessOptions): Promise<string> {
 	return new Promise((resolve, reject) => {
 		const lines = createInterface({input: child.stdout});
 		lines.on('line', line => {
@@ -75,7 +79,7 @@
 	});
 }
 
-function createOwnProcess(child: ChildProcess): OwnProcess {
+function createManagedProcess(child: ChildProcess): ManagedProcess {
 	const isEnded = () => child.exitCode !== null || child.signalCode !== null;
 
 	const waitForEnd = async () => {
@@ -89,9 +93,9 @@
 		get ended() {
 			return isEnded();
 		},
-		async stop(boundMs = STOP_BOUND_MS) {
+		async stop(timeoutMs = STOP_TIMEOUT_MS) {
 			child.kill('SIGTERM');
-			const timer = setTimeout(() => child.kill('SIGKILL'), boundMs);
+			const timer = setTimeout(() => child.kill('SIGKILL'), timeoutMs);
 			await waitForEnd();
 			clearTimeout(timer);
 			return child.exitCode ?? undefined;
--- a/src/stand-ins/processes/free-ports.ts
+++ b/src/stand-ins/processes/free-ports.ts
@@ -1,7 +1,7 @@
 import {createServer, type AddressInfo} from 'node:net';
 import {once} from 'node:events';
 
-/** Finds that many ports free on the loopback address now; all are held until the last is found, so none comes twice. */
+/** Finds `count` free ports on the loopback address. All are kept open until the last is found, so that no port is returned twice. */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
 	const servers = await Promise.all(Array.from({length: count}, async () => {
 		const server = createServer();
--- a/src/stand-ins/processes/local-system.ts
+++ b/src/stand-ins/processes/local-system.ts
@@ -3,13 +3,13 @@
 import {createHttpPlatform} from '../../object-store/http-platform.js';
 import {ObjectKind, type Platform, type PlatformHost} from '../../object-store/platform.js';
 import {createSystemClock} from '../../time/system-clock.js';
-import {startOwnProcess, type OwnProcess} from './child-process.js';
+import {startManagedProcess, type ManagedProcess} from './child-process.js';
 import {findFreePorts} from './free-ports.js';
 
-/** A whole system as separate processes on loopback: the platform, one process a database group, one a proxy. */
+/** A whole system as processes on loopback: the platform, one process for each database group and one for each proxy. */
 export type LocalSystem = {
 	readonly platformUrl: string;
-	/** The platform's API, as a client of its own. */
+	/** A client of the platform's API. */
 	readonly platform: Platform;
 	readonly proxies: readonly LocalProxy[];
 	getGroupOrThrow(name: string): LocalGroup;
@@ -24,32 +24,32 @@
 	readonly host: PlatformHost;
 	readonly callerUrl: string;
 	readonly operatorUrl: string;
-	readonly process: OwnProcess;
+	readonly process: ManagedProcess;
 };
 
 /** One database group of a local system. */
 export type LocalGroup = {
 	readonly cfg: GroupConfig;
-	/** Base URL for its faults. */
+	/** Base URL of the group's fault control. */
 	readonly controlUrl: string;
-	readonly process: OwnProcess;
+	readonly process: ManagedProcess;
 };
 
-/** What a local system is made of. */
+/** Options of a local system. */
 export type LocalSystemOptions = {
 	readonly proxies: number;
 	readonly groups: readonly LocalGroupOptions[];
-	/** Availability zones of the proxies, in turn. */
+	/** Availability zones, to which proxies are assigned in turn. */
 	readonly availabilityZones: readonly string[];
-	/** Takes the daemons' log lines; without it they go nowhere. */
+	/** Called with each log line of a daemon. */
 	onLine?(proxy: string, line: string): void;
-	/** Further flags of every daemon. */
+	/** Additional flags of every daemon. */
 	readonly flags?: readonly string[];
-	/** Told of each process as soon as it exists, so that an interrupted start can be ended. */
-	onSpawned?(own: OwnProcess): void;
+	/** Called with each process as soon as it exists, so that the processes of an interrupted start can be ended. */
+	onSpawned?(managed: ManagedProcess): void;
 };
 
-/** A database group to start. */
+/** Options of a database group to start. */
 export type LocalGroupOptions = {
 	readonly name: string;
 	readonly availabilityZones: readonly string[];
@@ -66,27 +66,27 @@
 const PORTS_PER_PROXY = 3;
 const PLATFORM_TIMEOUT_MS = 5000;
 const READY_POLL_MS = 50;
-const READY_BOUND_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 
 type StartOptions = LocalSystemOptions & Required<Pick<LocalSystemOptions, 'onSpawned'>>;
 
-/** Starts everything and waits until each proxy tells the balancer that it is ready. */
+/** Starts all processes. Resolves once the readiness check of each proxy succeeds; otherwise kills all processes and rejects. */
 export async function startLocalSystem(options: LocalSystemOptions): Promise<LocalSystem> {
-	const started: OwnProcess[] = [];
-	const onSpawned = (own: OwnProcess) => {
-		started.push(own);
-		options.onSpawned?.(own);
+	const started: ManagedProcess[] = [];
+	const onSpawned = (managed: ManagedProcess) => {
+		started.push(managed);
+		options.onSpawned?.(managed);
 	};
 
 	try {
 		return await startAll({...options, onSpawned}, started);
 	} catch (err) {
-		await Promise.all(started.map(async own => own.kill()));
+		await Promise.all(started.map(async managed => managed.kill()));
 		throw err;
 	}
 }
 
-async function startAll(options: StartOptions, started: readonly OwnProcess[]): Promise<LocalSystem> {
+async function startAll(options: StartOptions, started: readonly ManagedProcess[]): Promise<LocalSystem> {
 	const platformUrl = await startPlatform(options);
 	const platform = createHttpPlatform({baseUrl: platformUrl, clock: createSystemClock()});
 	const groups = await Promise.all(options.groups.map(async group => startGroup(group, platform, options)));
@@ -102,18 +102,18 @@
 		setHosts: async hosts => putHosts(platformUrl, hosts),
 		async stop() {
 			await Promise.all(proxies.map(async proxy => proxy.process.stop()));
-			await Promise.all(started.map(async own => own.stop()));
+			await Promise.all(started.map(async managed => managed.stop()));
 		},
 	};
 }
 
 async function startPlatform({onSpawned}: StartOptions): Promise<string> {
-	const {readyLine} = await startOwnProcess({script: 'stand-ins/platform/main.js', isReady: isJson, onSpawned});
+	const {readyLine} = await startManagedProcess({script: 'stand-ins/platform/main.js', isReady: isJson, onSpawned});
 	return (JSON.parse(readyLine) as {url: string}).url;
 }
 
 async function startGroup(group: LocalGroupOptions, platform: Platform, {onSpawned}: StartOptions): Promise<LocalGroup> {
-	const {process, readyLine} = await startOwnProcess({
+	const {process, readyLine} = await startManagedProcess({
 		script: 'stand-ins/database/main.js',
 		args: formatFlags({
 			ports: group.availabilityZones.map(() => '0').join(','),
@@ -164,7 +164,7 @@
 	await putHosts(platformUrl, planned.map(({host}) => host));
 
 	return Promise.all(planned.map(async ({host, callerPort, peerPort, operatorPort}) => {
-		const {process} = await startOwnProcess({
+		const {process} = await startManagedProcess({
 			script: 'daemon/main.js',
 			args: [
 				...formatFlags({
@@ -196,7 +196,7 @@
 
 async function waitUntilReady(proxy: LocalProxy): Promise<void> {
 	const clock = createSystemClock();
-	const until = clock.now() + READY_BOUND_MS;
+	const until = clock.now() + READY_TIMEOUT_MS;
 	while (clock.now() < until) {
 		const res = await fetch(`${proxy.operatorUrl}/ready`);
 		if (res.ok) {
@@ -218,7 +218,7 @@
 	}
 }
 
-/** Writes flags with their values, leaving out those without one. */
+/** Formats flags as arguments, without those whose value is undefined. */
 function formatFlags(flags: Readonly<Record<string, string | number | undefined>>): string[] {
 	return Object.entries(flags).flatMap(([name, value]) => value === undefined ? [] : [`--${name}`, String(value)]);
 }
--- a/src/stand-ins/system/simulated-system.ts
+++ b/src/stand-ins/system/simulated-system.ts
@@ -19,7 +19,7 @@
 import {createFaultGate, type FaultGate} from '../platform/platform-faults.js';
 import {createVirtualClock, type VirtualClock} from '../time/virtual-clock.js';
 
-/** One proxy of a simulated system, with the ways to fail its surroundings. */
+/** One proxy of a simulated system, with its own clients of the platform, the servers and its peers, on which faults can be set. */
 export type SimulatedProxy = {
 	readonly name: string;
 	readonly address: string;
@@ -33,19 +33,19 @@
 export type SimulatedSystem = {
 	readonly clock: VirtualClock;
 	readonly store: ObjectStore;
-	/** Faults of the platform for all proxies. */
+	/** Faults of the platform that affect all proxies. */
 	readonly platformGate: FaultGate;
 	readonly network: PeerNetwork;
 	readonly proxies: readonly SimulatedProxy[];
 	getProxyOrThrow(name: string): SimulatedProxy;
 	getGroupOrThrow(name: string): DatabaseGroup;
-	/** Puts a changed configuration into the store, as an operator's change would. */
+	/** Stores a group's configuration, as an operator's change does. */
 	configure(cfg: GroupConfig): void;
-	/** Starts every proxy and lets the system settle. */
+	/** Starts every proxy and resolves after a startup time of 3 s. */
 	start(): Promise<void>;
-	/** Stops a proxy as its daemon does, once its own callers went elsewhere: hands its groups on and ends what is open. */
+	/** Stops a proxy as its daemon does after its callers have moved to other proxies: hands over its groups and drains its open transactions. */
 	leave(name: string): Promise<void>;
-	/** Takes a proxy's host away: its links break, its connections to servers go silent, and it reaches nothing more. */
+	/** Ends a proxy's host: its links break, its connections to servers go silent, and nothing that it sends arrives. */
 	kill(name: string): void;
 	stop(): Promise<void>;
 };
@@ -53,39 +53,41 @@
 /** A database group of a simulated system. */
 export type SimulatedGroup = {
 	readonly name: string;
-	/** Availability zones of its servers, one each. */
+	/** Availability zones, one for each server. */
 	readonly availabilityZones: readonly string[];
 	readonly config?: Partial<Omit<GroupConfig, 'name' | 'endpoints'>>;
 	readonly sizes?: Partial<DatabaseServerSizes>;
 };
 
-/** What a simulated system is made of. */
+/** Options of a simulated system. */
 export type SimulatedSystemOptions = {
 	readonly proxies: number;
 	readonly groups: readonly SimulatedGroup[];
 	readonly availabilityZones: readonly string[];
 	readonly seed?: number;
-	/** Time a message takes one way between hosts, in milliseconds. */
+	/** One-way latency between hosts, and between hosts and servers, in milliseconds; default 1. */
 	readonly latencyMs?: number;
-	/** Puts something between the proxies and their way to the servers. */
+	/** Wraps each proxy's access to the servers. */
 	wrapEndpoints?(endpoints: Endpoints, clock: Clock): Endpoints;
-	/** Puts something between the proxies and their way to each other. */
+	/** Wraps each proxy's calls to its peers. */
 	wrapPeers?(peers: LivePeers): LivePeers;
-	/** What differs from the failover that ships, and who is told of promotions. */
+	/** Changes to the product's failover, and an observer of promotions. */
 	readonly failoverHooks?: FailoverHooks;
 };
 
 const SIGNING_KEY = 'a signing key for simulated systems only';
 const PEER_KEY = 'a peer key for simulated systems alone';
 
-/** Bound on what a leaving proxy waits for, and time between its looks, in milliseconds. */
-const LEAVE_MS = 8000;
-const LEAVE_LOOK_MS = 20;
+/** Maximum time for each step of a proxy's leaving, in milliseconds. */
+const LEAVE_TIMEOUT_MS = 8000;
 
-/** Time in which a started system settles, in milliseconds. */
-const SETTLE_MS = 3000;
+/** Interval at which a leaving proxy checks for open transactions, in milliseconds. */
+const LEAVE_POLL_MS = 20;
 
-/** Creates a system; nothing runs before it is started. */
+/** Time for a started system to become ready, in milliseconds. */
+const STARTUP_MS = 3000;
+
+/** Creates a system, which does nothing before it is started. */
 export function createSimulatedSystem(options: SimulatedSystemOptions): SimulatedSystem {
 	const latencyMs = options.latencyMs ?? 1;
 	const clock = createVirtualClock();
@@ -155,14 +157,14 @@
 		},
 		async start() {
 			await Promise.all(proxies.map(async ({kernel}) => kernel.start()));
-			await clock.advance(SETTLE_MS);
+			await clock.advance(STARTUP_MS);
 		},
 		async leave(name) {
 			const {kernel, address} = proxies.find(proxy => proxy.name === name) ?? throwUnknown(name);
 			const transactions = kernel.getOrThrow('transactions');
-			await kernel.getOrThrow('owners').leave(LEAVE_MS);
-			for (const until = clock.now() + LEAVE_MS; transactions.getOpenCount() > 0 && clock.now() < until;) {
-				await clock.sleep(LEAVE_LOOK_MS);
+			await kernel.getOrThrow('owners').leave(LEAVE_TIMEOUT_MS);
+			for (const until = clock.now() + LEAVE_TIMEOUT_MS; transactions.getOpenCount() > 0 && clock.now() < until;) {
+				await clock.sleep(LEAVE_POLL_MS);
 			}
 
 			await kernel.stop();
@@ -224,7 +226,7 @@
 		endpointUser: 'aldercroft',
 		endpointPassword: 'unused',
 		endpointDatabase: 'aldercroft',
-		// The hash of no token that anybody holds: commands may be run here in the name of the settings' operator.
+		// Not the hash of any existing token; its presence permits commands in the name of the bootstrap operator.
 		bootstrapTokenHash: '0'.repeat(64),
 		logLevel: 'info',
 		shutdownMs: 10_000,
--- a/src/stand-ins/time/timed-heap.ts
+++ b/src/stand-ins/time/timed-heap.ts
@@ -1,15 +1,15 @@
-/** What is due at a time; among equal times the lower order goes first. */
+/** An item that is due at a time; of items due at the same time, the one of the lower order comes first. */
 export type Timed = {
 	readonly at: number;
 	readonly order: number;
 };
 
-/** Things in the order in which they are due, as a binary heap. */
+/** A binary heap of items in the order in which they are due. */
 export type TimedHeap<T extends Timed> = {
-	/** The one that is due first. */
+	/** The item that is due first; undefined where the heap is empty. */
 	readonly first: T | undefined;
 	add(item: T): void;
-	/** Takes out the one that is due first. */
+	/** Removes and returns the item that is due first; undefined where the heap is empty. */
 	takeFirst(): T | undefined;
 };
 
@@ -26,18 +26,18 @@
 			return heap[0];
 		},
 		add(item) {
-			let place = heap.length;
-			while (place > 0) {
-				const parent = (place - 1) >>> 1;
+			let index = heap.length;
+			while (index > 0) {
+				const parent = (index - 1) >>> 1;
 				if (!isEarlier(item, heap[parent]!)) {
 					break;
 				}
 
-				heap[place] = heap[parent]!;
-				place = parent;
+				heap[index] = heap[parent]!;
+				index = parent;
 			}
 
-			heap[place] = item;
+			heap[index] = item;
 		},
 		takeFirst() {
 			const first = heap[0];
@@ -46,8 +46,8 @@
 				return first;
 			}
 
-			let place = 0;
-			for (let child = 1; child < heap.length; child = (2 * place) + 1) {
+			let index = 0;
+			for (let child = 1; child < heap.length; child = (2 * index) + 1) {
 				if (child + 1 < heap.length && isEarlier(heap[child + 1]!, heap[child]!)) {
 					child++;
 				}
@@ -56,11 +56,11 @@
 					break;
 				}
 
-				heap[place] = heap[child]!;
-				place = child;
+				heap[index] = heap[child]!;
+				index = child;
 			}
 
-			heap[place] = last;
+			heap[index] = last;
 			return first;
 		},
 	};
--- a/src/stand-ins/time/virtual-clock.ts
+++ b/src/stand-ins/time/virtual-clock.ts
@@ -2,18 +2,18 @@
 import type {Clock} from '../../time/clock.js';
 import {createTimedHeap, type Timed} from './timed-heap.js';
 
-/** A clock that moves only when told to, so that a failure's order of events repeats exactly. */
+/** A clock that advances only on request, so that the order of events of a failure can be reproduced exactly. */
 export type VirtualClock = Clock & {
-	/** Moves the time forward by `ms`, waking each sleeper at its own moment and letting all that follows settle. */
+	/** Advances the time by `ms`. Wakes each sleeper at its own time, and lets the work that follows finish before the next. */
 	advance(ms: number): Promise<void>;
-	/** Moves the time forward until the promise settles, at most by `limitMs`. */
+	/** Advances the time until the promise settles, and settles as it does. Rejects where it has not settled after `limitMs`, 600,000 by default. */
 	runUntil<T>(promise: Promise<T>, limitMs?: number): Promise<T>;
-	/** Moves the calendar alone, as an administrator might. */
+	/** Changes the wall clock only, as when an administrator sets the time. */
 	jumpWall(ms: number): void;
 };
 
 type Sleeper = Timed & {
-	/** Woken already, perhaps by its signal. */
+	/** Whether it was woken, by the clock or by its signal. */
 	ended: boolean;
 	wake(): void;
 };
@@ -21,33 +21,33 @@
 /** Default start: 2026-01-05T06:00:00Z. */
 const START_MS = 1_767_592_800_000;
 
-/** More wakes than this at one moment mean a loop that sleeps for no time and would never end. */
-const MOST_WAKES_AT_ONCE = 100_000;
+/** Number of wakes at one moment above which a loop that sleeps for no time is assumed, which would never end. */
+const MAX_WAKES_AT_ONCE = 100_000;
 
-/** Rounds of the event loop in which work set off by one moment settles, where it may pass through streams of the runtime. */
-const SETTLE_ROUNDS = 3;
+/** Rounds of the event loop in which the work that follows a wake finishes, including work that passes through streams of Node. */
+const DEFAULT_DRAIN_ROUNDS = 3;
 
-/** Settings of a virtual clock. */
+/** Options of a virtual clock. */
 export type VirtualClockOptions = {
-	/** Rounds of the event loop after each moment; fewer suffice where nothing but the project's own code runs. */
+	/** Rounds of the event loop after each wake, default 3; fewer suffice where only the project's own code runs. */
 	readonly settleRounds?: number;
 };
 
 /** Creates a virtual clock that begins at `startMs`, milliseconds since the epoch. */
-export function createVirtualClock(startMs = START_MS, {settleRounds = SETTLE_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
+export function createVirtualClock(startMs = START_MS, {settleRounds = DEFAULT_DRAIN_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
 	let now = startMs;
 	let wallOffset = 0;
 	let order = 0;
 	let wakesAtOnce = 0;
 	const sleepers = createTimedHeap<Sleeper>();
 
-	const settle = async () => {
+	const drainEventLoop = async () => {
 		for (let round = 0; round < settleRounds; round++) {
 			await setImmediate();
 		}
 	};
 
-	/** The earliest that sleeps no longer than `until`; those that ended are dropped when they come first. */
+	/** Removes and returns the earliest sleeper that is due by `until`. Sleepers that were woken by a signal are dropped when they become the first. */
 	const takeNext = (until: number) => {
 		while (sleepers.first?.ended) {
 			sleepers.takeFirst();
@@ -63,13 +63,13 @@
 		}
 
 		wakesAtOnce = next.at > now ? 0 : wakesAtOnce + 1;
-		if (wakesAtOnce > MOST_WAKES_AT_ONCE) {
+		if (wakesAtOnce > MAX_WAKES_AT_ONCE) {
 			throw new Error('a task sleeps for no time over and over, so the virtual time cannot move');
 		}
 
 		now = Math.max(now, next.at);
 		next.wake();
-		await settle();
+		await drainEventLoop();
 		return true;
 	};
 
@@ -100,9 +100,9 @@
 		},
 		async advance(ms) {
 			const until = now + ms;
-			await settle();
+			await drainEventLoop();
 			while (await wakeNext(until)) {
-				// Each sleeper woken may add others before `until`.
+				// A sleeper that was woken may add others that are due by `until`.
 			}
 
 			now = until;
@@ -110,14 +110,14 @@
 		async runUntil(promise, limitMs = 600_000) {
 			const until = now + limitMs;
 			const progress = {settled: false};
-			const mark = () => {
+			const markSettled = () => {
 				progress.settled = true;
 			};
 
-			promise.then(mark, mark);
-			await settle();
+			promise.then(markSettled, markSettled);
+			await drainEventLoop();
 			while (!progress.settled && await wakeNext(until)) {
-				// Woken until the promise settles.
+				// Wakes sleepers until the promise settles.
 			}
 
 			if (!progress.settled) {
