--- a/src/demo/balancer.ts
+++ b/src/demo/balancer.ts
@@ -1,20 +1,20 @@
 import type {LocalProxy} from '../stand-ins/processes/local-system.js';
 
-/** The platform's balancer in little: leads each request to the next proxy in turn. */
+/** A minimal version of the platform's balancer, which sends each request to the next proxy in turn. */
 export type Balancer = {
-	/** The next proxy; one that was taken out is passed over. */
+	/** Returns the next proxy that was not removed; throws where none is left. */
 	next(): LocalProxy;
-	/** Every proxy that is not taken out. */
+	/** Returns every proxy that was not removed. */
 	getLive(): readonly LocalProxy[];
-	takeOut(name: string): void;
+	remove(name: string): void;
 };
 
 /** Creates a balancer over the proxies. */
 export function createBalancer(proxies: readonly LocalProxy[]): Balancer {
-	const out = new Set<string>();
+	const removed = new Set<string>();
 	let turn = 0;
 
-	const getLive = () => proxies.filter(({host}) => !out.has(host.name));
+	const getLive = () => proxies.filter(({host}) => !removed.has(host.name));
 
 	return {
 		getLive,
@@ -23,8 +23,8 @@
 			turn++;
 			return live[turn % live.length] ?? throwNoProxy();
 		},
-		takeOut(name) {
-			out.add(name);
+		remove(name) {
+			removed.add(name);
 		},
 	};
 }
--- a/src/demo/caller.ts
+++ b/src/demo/caller.ts
@@ -5,43 +5,43 @@
 import type {LocalProxy} from '../stand-ins/processes/local-system.js';
 import type {Demo} from './demo.js';
 
-/** A request as a demo's caller writes it; what is left out has the default of docs/CALLERS.md. */
+/** A request as a caller of the demo writes it; members that are left out have the defaults of docs/CALLERS.md. */
 export type DemoRequest = Pick<CallerRequest, 'kind' | 'statement'> & Partial<CallerRequest>;
 
-/** A caller with one session: it echoes its token and sends one request at a time. */
+/** A caller with one session, whose token it returns with each request. */
 export type DemoCaller = {
-	/** Sends a request to one proxy, once. Rejects with {@link ConnectionLostError} where no answer came. */
+	/** Sends a request to one proxy, once. Rejects with {@link ConnectionLostError} where no answer arrived. */
 	ask(proxy: LocalProxy, req: DemoRequest): Promise<CallerResponse>;
-	/** Sends a request through the balancer until an answer comes; asks for the outcome where it was left unsure. */
+	/** Sends a request through the balancer until an answer arrives, and queries the outcome of a write where the answer leaves it unknown. */
 	send(req: DemoRequest): Promise<SentAnswer>;
-	/** Asks what became of a write that was left unsure; undefined where nobody could tell. */
-	askOutcome(requestId: string): Promise<OutcomeAnswer | undefined>;
+	/** Queries the outcome of a write that is unknown; undefined where no proxy knows it either. */
+	queryOutcome(requestId: string): Promise<OutcomeAnswer | undefined>;
 };
 
-/** What became of a request, and which host told. */
+/** The outcome of a request, and the host that reported it. */
 export type OutcomeAnswer = Pick<SentAnswer, 'answer' | 'host'>;
 
-/** An answer with what it took to get it. */
+/** An answer, with the host that gave it and the connections that broke before. */
 export type SentAnswer = {
 	readonly answer: CallerResponse;
-	/** Host whose answer it is. */
+	/** Host that answered. */
 	readonly host: string;
-	/** How often a connection broke after the request had been sent. */
-	readonly cuts: number;
+	/** Number of connections that broke after the request had been sent. */
+	readonly brokenConnections: number;
 };
 
-/** What a caller is made from. */
+/** Options of a caller. */
 export type DemoCallerOptions = Pick<Demo, 'clock' | 'random' | 'balancer'> & {
 	readonly group: string;
 };
 
-/** A connection that ended before the answer was whole. */
+/** A connection that ended before the complete answer was received. */
 export class ConnectionLostError extends Error {
 	override readonly name = 'ConnectionLostError';
 
 	constructor(
 		message: string,
-		/** False where the connection was refused, so that nothing was sent. */
+		/** False where the connection was refused, so nothing was sent. */
 		readonly sent: boolean,
 		options?: ErrorOptions,
 	) {
@@ -49,11 +49,11 @@
 	}
 }
 
-/** The word for a session that has written nothing yet. */
+/** Session token of a session that has not written anything yet. */
 const NEW_SESSION = 'new';
 
-/** Times that a caller sends one request, or asks for one outcome, before it gives up. */
-const MOST_TRIES = 12;
+/** Maximum number of times that a caller sends a request, or queries an outcome. */
+const MAX_ATTEMPTS = 12;
 
 /** Pause before a caller sends the same request again, in milliseconds. */
 const PAUSE_MS = 100;
@@ -81,8 +81,8 @@
 		{method: 'POST', body: JSON.stringify(req)},
 	);
 
-	/** Undefined where no answer came; a proxy that refuses connections leaves the balancer, as its checks would do. */
-	const tryAt = async (exchangeAt: (proxy: LocalProxy) => Promise<CallerResponse>) => {
+	/** Resolves without an answer where none arrived. Removes a proxy that refuses connections from the balancer, as the balancer's health checks would. */
+	const exchangeWithNext = async (exchangeAt: (proxy: LocalProxy) => Promise<CallerResponse>) => {
 		const proxy = balancer.next();
 		try {
 			return {answer: await exchangeAt(proxy), host: proxy.host.name, sent: true};
@@ -92,16 +92,16 @@
 			}
 
 			if (!err.sent) {
-				balancer.takeOut(proxy.host.name);
+				balancer.remove(proxy.host.name);
 			}
 
 			return {answer: undefined, host: proxy.host.name, sent: err.sent};
 		}
 	};
 
-	const askOutcome = async (requestId: string): Promise<OutcomeAnswer | undefined> => {
-		for (let tries = 1; tries <= MOST_TRIES; tries++) {
-			const {answer, host} = await tryAt(async proxy => exchange(`${proxy.callerUrl}/v1/groups/${group}/requests/${requestId}/outcome`, {}));
+	const queryOutcome = async (requestId: string): Promise<OutcomeAnswer | undefined> => {
+		for (let tries = 1; tries <= MAX_ATTEMPTS; tries++) {
+			const {answer, host} = await exchangeWithNext(async proxy => exchange(`${proxy.callerUrl}/v1/groups/${group}/requests/${requestId}/outcome`, {}));
 			if (answer && answer.outcome !== Outcome.Unknown) {
 				return {answer, host};
 			}
@@ -114,25 +114,25 @@
 
 	return {
 		ask,
-		askOutcome,
+		queryOutcome,
 		async send(req) {
 			const requestId = createRequestId(clock.wall(), random);
-			const submit = async (attempt: number) => tryAt(async proxy => ask(proxy, {...req, requestId, attempt}));
-			let cuts = 0;
-			for (let tries = 1; tries <= MOST_TRIES; tries++) {
-				const {answer, host, sent} = await submit(cuts + 1);
+			const submit = async (attempt: number) => exchangeWithNext(async proxy => ask(proxy, {...req, requestId, attempt}));
+			let brokenConnections = 0;
+			for (let tries = 1; tries <= MAX_ATTEMPTS; tries++) {
+				const {answer, host, sent} = await submit(brokenConnections + 1);
 				if (answer && answer.refusal?.code !== RefusalCode.HostLeaving) {
-					const end: SentAnswer = {answer, host, cuts};
-					const isUnsure = answer.outcome === Outcome.Unknown && req.kind === RequestKind.Write;
-					return isUnsure ? {...end, ...await askOutcome(requestId)} : end;
+					const end: SentAnswer = {answer, host, brokenConnections};
+					const isUnknown = answer.outcome === Outcome.Unknown && req.kind === RequestKind.Write;
+					return isUnknown ? {...end, ...await queryOutcome(requestId)} : end;
 				}
 
 				if (answer) {
-					balancer.takeOut(host);
+					balancer.remove(host);
 					continue;
 				}
 
-				cuts += sent ? 1 : 0;
+				brokenConnections += sent ? 1 : 0;
 				await clock.sleep(PAUSE_MS);
 			}
 
--- a/src/demo/demo.ts
+++ b/src/demo/demo.ts
@@ -3,32 +3,32 @@
 import type {Clock} from '../time/clock.js';
 import type {Balancer} from './balancer.js';
 import type {DemoOperator} from './operator.js';
-import type {Promises} from './promises.js';
-import type {Story} from './story.js';
+import type {Guarantees} from './guarantees.js';
+import type {DemoOutput} from './demo-output.js';
 
-/** What every chapter works with. */
+/** The system, the people and the output that every scenario uses. */
 export type Demo = {
 	readonly system: LocalSystem;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly balancer: Balancer;
-	readonly story: Story;
-	readonly promises: Promises;
-	/** Two operators who may change things. */
+	readonly output: DemoOutput;
+	readonly guarantees: Guarantees;
+	/** Two operators who may change the configuration. */
 	readonly dana: DemoOperator;
 	readonly iva: DemoOperator;
 };
 
-/** One part of the story. */
-export type Chapter = {
+/** One scenario of the demo. */
+export type Scenario = {
 	readonly title: string;
-	/** Why it matters, and to whom. */
+	/** Why the scenario matters, and to whom. */
 	readonly why: string;
-	tell(demo: Demo): Promise<void>;
+	run(demo: Demo): Promise<void>;
 };
 
-/** Granite Loop's group. */
+/** Name of Granite Loop's group. */
 export const SLEEP_LOGS = 'sleep-logs';
 
-/** The Bureau's group. */
+/** Name of the Bureau's group. */
 export const FILINGS = 'filings';
--- a/src/demo/faults.ts
+++ b/src/demo/faults.ts
@@ -1,8 +1,8 @@
 import type {FaultCommand} from '../stand-ins/database/fault-command.js';
 import type {Demo} from './demo.js';
 
-/** Orders a fault of one of a group's servers, which count from 0. */
-export async function orderFault(demo: Demo, group: string, server: number, fault: FaultCommand): Promise<void> {
+/** Injects a fault at one of a group's servers, which are numbered from 0. */
+export async function injectFault(demo: Demo, group: string, server: number, fault: FaultCommand): Promise<void> {
 	const res = await fetch(`${demo.system.getGroupOrThrow(group).controlUrl}/faults`, {
 		method: 'POST', headers: {'content-type': 'application/json'}, body: JSON.stringify({server, ...fault}),
 	});
@@ -14,10 +14,10 @@
 /** Sets how far a group's replicas lag, in milliseconds. */
 export async function setLag(demo: Demo, group: string, lagMs: number): Promise<void> {
 	const {endpoints} = demo.system.getGroupOrThrow(group).cfg;
-	await Promise.all(endpoints.map(async (_, server) => orderFault(demo, group, server, {fault: 'replication-lag', ms: lagMs})));
+	await Promise.all(endpoints.map(async (_, server) => injectFault(demo, group, server, {fault: 'replication-lag', ms: lagMs})));
 }
 
-/** The server that leads a group by its own word; of several the one of the highest term. */
+/** Returns the server that reports itself as a group's primary; of several, the one of the highest term. */
 export async function findPrimaryServer(demo: Demo, group: string): Promise<{readonly server: number; readonly name: string}> {
 	const {cfg, controlUrl} = demo.system.getGroupOrThrow(group);
 	const res = await fetch(`${controlUrl}/faults`);
--- a/src/demo/lagging-replicas.ts
+++ b/src/demo/lagging-replicas.ts
@@ -1,10 +1,10 @@
 import {Outcome} from '../callers/caller-response.js';
 import {RequestKind} from '../callers/caller-request.js';
 import {createCaller, type DemoRequest} from './caller.js';
-import {SLEEP_LOGS, type Chapter, type Demo} from './demo.js';
-import {Promised} from './promises.js';
+import {SLEEP_LOGS, type Scenario, type Demo} from './demo.js';
+import {Guarantee} from './guarantees.js';
 
-/** What a coach's pull showed, and what it had to show at least. */
+/** The result of a coach's read, with the number of rows that it had to return at least. */
 type Pull = {
 	readonly maxAgeMs: number;
 	readonly ageMs: number;
@@ -17,22 +17,22 @@
 const STATED_AGES_MS = [100, 1000, 5000];
 const BETWEEN_PULLS_MS = 30;
 
-/** Coaches state how old the nights they read may be; the younger, the more of them the primary serves. */
-export const laggingReplicas: Chapter = {
+/** Coaches state a maximum age for the nights that they read: the lower it is, the more reads the primary serves. */
+export const laggingReplicas: Scenario = {
 	title: 'Coaches pull nights of a stated age from lagging replicas',
 	why: 'Replicas should carry the reads, but a stale one lets a coach plan a hard session on a bad night.',
-	async tell(demo) {
-		const {promises, story} = demo;
+	async run(demo) {
+		const {guarantees, output} = demo;
 		const pulls = await pullWhileSyncing(demo);
 		for (const maxAgeMs of STATED_AGES_MS) {
-			story.tell(describePulls(demo, maxAgeMs, pulls.filter(pull => pull.maxAgeMs === maxAgeMs)));
+			output.printLine(describePulls(demo, maxAgeMs, pulls.filter(pull => pull.maxAgeMs === maxAgeMs)));
 		}
 
 		const tooOld = pulls.flatMap(({maxAgeMs, ageMs, seen, mustSee}) => [
 			...ageMs > maxAgeMs ? [`an answer ${ageMs} ms old was given to a read that accepts ${maxAgeMs} ms`] : [],
 			...seen < mustSee ? [`a read that accepts ${maxAgeMs} ms showed ${seen} nights, and ${mustSee} were older than that`] : [],
 		]);
-		promises.check(Promised.ReadAge, tooOld, `${pulls.length} pulls; each showed all nights acknowledged before its stated age`);
+		guarantees.check(Guarantee.ReadAge, tooOld, `${pulls.length} pulls; each showed all nights acknowledged before its stated age`);
 	},
 };
 
--- a/src/demo/lose-primary.ts
+++ b/src/demo/lose-primary.ts
@@ -1,50 +1,50 @@
 import {Outcome} from '../callers/caller-response.js';
 import {WorkClass} from '../groups/group-config.js';
-import {FILINGS, type Chapter, type Demo} from './demo.js';
-import {findPrimaryServer, orderFault} from './faults.js';
-import type {SentWrite} from './judge-writes.js';
-import {Promised} from './promises.js';
-import {judgeWorkStream, startWorkStream, type WorkStreamOptions} from './work-stream.js';
+import {FILINGS, type Scenario, type Demo} from './demo.js';
+import {findPrimaryServer, injectFault} from './faults.js';
+import type {SentWrite} from './verify-writes.js';
+import {Guarantee} from './guarantees.js';
+import {verifyWorkStream, startWorkStream, type WorkStreamOptions} from './work-stream.js';
 
 const STREAM: WorkStreamOptions = {
 	group: FILINGS, table: 'filings', batch: 'failover', callers: 10, class: WorkClass.Deadline, deadlineMs: 8000,
 };
 
-const BEFORE = 60;
-const AFTER = 100;
+const WRITES_BEFORE = 60;
+const WRITES_AFTER = 100;
 
-/** Generous on purpose: a busy machine must not turn the demo red. What this run took is printed. */
-const GAP_BOUND_MS = 9000;
+/** Maximum time without writes, in milliseconds. Generous, so that the demo does not fail on a busy machine; the time of each run is printed. */
+const MAX_GAP_MS = 9000;
 
-/** The server that takes the filings is killed while attorneys file. */
-export const losePrimary: Chapter = {
+/** Kills the primary of the filings while attorneys file. */
+export const losePrimary: Scenario = {
 	title: 'The primary of the filings dies while attorneys file',
 	why: 'A stalled filing can cost a client its priority, and a filing must never post twice. Nobody but aldercroft orders a promotion.',
-	async tell(demo) {
-		const {clock, promises, story} = demo;
+	async run(demo) {
+		const {clock, guarantees, output} = demo;
 		const stream = startWorkStream(demo, STREAM);
-		await stream.waitForAcknowledged(BEFORE);
+		await stream.waitForAcknowledged(WRITES_BEFORE);
 		const lost = await findPrimaryServer(demo, FILINGS);
 		const killedAt = clock.now();
-		await orderFault(demo, FILINGS, lost.server, {fault: 'kill'});
-		await stream.waitForAcknowledged(AFTER);
+		await injectFault(demo, FILINGS, lost.server, {fault: 'kill'});
+		await stream.waitForAcknowledged(WRITES_AFTER);
 		await stream.stop();
 
 		const next = await findPrimaryServer(demo, FILINGS);
 		const gapMs = getGapMs(stream.writes, killedAt);
-		story.tell(`${lost.name} was killed; ${next.name} was promoted; the first filing sent afterwards landed after ${Math.round(gapMs)} ms`);
-		story.tell(describeEffect(stream.writes, killedAt));
-		promises.check(
-			Promised.FailoverEnds,
-			gapMs <= GAP_BOUND_MS ? [] : [`writes did not land for ${Math.round(gapMs)} ms`],
-			`a gap of ${Math.round(gapMs)} ms (bound for the demo: ${GAP_BOUND_MS} ms)`,
+		output.printLine(`${lost.name} was killed; ${next.name} was promoted; the first filing sent afterwards landed after ${Math.round(gapMs)} ms`);
+		output.printLine(describeEffect(stream.writes, killedAt));
+		guarantees.check(
+			Guarantee.FailoverEnds,
+			gapMs <= MAX_GAP_MS ? [] : [`writes did not land for ${Math.round(gapMs)} ms`],
+			`a gap of ${Math.round(gapMs)} ms (bound for the demo: ${MAX_GAP_MS} ms)`,
 		);
-		await judgeWorkStream(demo, STREAM, stream);
-		await bringBack(demo, lost.server);
+		await verifyWorkStream(demo, STREAM, stream);
+		await restartServer(demo, lost.server);
 	},
 };
 
-/** Time from the loss to the first acknowledgement of a filing that was sent after it. */
+/** Returns the time from the loss to the first acknowledgement of a filing that was sent after it, in milliseconds. */
 function getGapMs(writes: readonly SentWrite[], killedAt: number): number {
 	const landed = writes
 		.filter(({outcome, sentAt}) => outcome === Outcome.Done && sentAt >= killedAt)
@@ -60,7 +60,7 @@
 	return `${under.length} filings were under way at that moment; the longest took ${longestMs} ms; ${refused.length} were refused${codes ? ` (${codes})` : ''}`;
 }
 
-async function bringBack(demo: Demo, server: number): Promise<void> {
-	await orderFault(demo, FILINGS, server, {fault: 'restart'});
-	demo.story.tell('the old primary is back, as a replica: its term has passed');
+async function restartServer(demo: Demo, server: number): Promise<void> {
+	await injectFault(demo, FILINGS, server, {fault: 'restart'});
+	demo.output.printLine('the old primary is back, as a replica: its term has passed');
 }
--- a/src/demo/operator.ts
+++ b/src/demo/operator.ts
@@ -6,19 +6,19 @@
 import type {Random} from '../random/random.js';
 import type {LocalProxy} from '../stand-ins/processes/local-system.js';
 
-/** An operator at a terminal, with the tool `aldercroft`. */
+/** An operator who uses the command-line tool `aldercroft`. */
 export type DemoOperator = {
 	readonly tokenHash: string;
-	/** Runs one command at a proxy, as a process of its own. */
+	/** Runs one command at a proxy, in a process of its own. */
 	run(command: string, proxy: LocalProxy): Promise<CommandEnd>;
-	/** The same; rejects where the command was not done. */
+	/** Does the same and resolves with the output; rejects where the command failed. */
 	runOrThrow(command: string, proxy: LocalProxy): Promise<string>;
 };
 
-/** How a command ended. */
+/** The result of a command. */
 export type CommandEnd = {
 	readonly exitCode: number;
-	/** What it printed, on either output. */
+	/** Text that it printed to standard output, followed by that to standard error. */
 	readonly text: string;
 };
 
--- a/src/demo/platform-demo.ts
+++ b/src/demo/platform-demo.ts
@@ -2,43 +2,43 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {startLocalPlatform, type LocalPlatform, type LocalProxy} from '../stand-ins/plain-platform/local-platform.js';
 import {getFirstRow, getOutcome, openWireCaller} from '../stand-ins/plain-platform/wire-caller.js';
-import {createStory, type Story} from './story.js';
+import {createDemoOutput, type DemoOutput} from './demo-output.js';
 
 /**
- * The story of `npm run demo:platform`: proxies as processes before a database group whose fences do not bind, with all of
- * the platform in this process. It ends with exit code 1 where a promise was broken.
+ * The program of `npm run demo:platform`: proxies as processes in front of a database group without a fence against superseded primaries, with the whole
+ * platform in this process. It ends with exit code 1 where a guarantee was broken.
  */
 
 const PROXIES = 3;
 const WRITERS = 6;
-const LONGEST_GAP_MS = 9000;
+const MAX_GAP_MS = 9000;
 
-/** What writers were told. */
-type Told = {
+/** The outcomes of writes, as they were reported to the writers. */
+type WriteOutcomes = {
 	readonly acknowledged: Map<string, number>;
 	readonly refused: Set<string>;
 	unknown: number;
 };
 
 const commits = new Map<string, number>();
-const told: Told = {acknowledged: new Map(), refused: new Set(), unknown: 0};
-let broken = 0;
+const outcomes: WriteOutcomes = {acknowledged: new Map(), refused: new Set(), unknown: 0};
+let faultCount = 0;
 
-function judge(story: Story, faults: readonly string[], line: string) {
-	story.showVerdict(faults.length === 0, line);
-	broken += faults.length;
+function reportCheck(output: DemoOutput, faults: readonly string[], line: string) {
+	output.showVerdict(faults.length === 0, line);
+	faultCount += faults.length;
 	for (const fault of faults.slice(0, 3)) {
-		story.tell(fault);
+		output.printLine(fault);
 	}
 }
 
-/** Writes one item after the other, at one proxy after the other where one is gone. */
+/** Writes one item after another until aborted, in sessions at one proxy after another. */
 async function write(proxies: readonly LocalProxy[], writer: number, signal: AbortSignal) {
 	for (let session = writer; !signal.aborted; session++) {
 		const caller = await openWireCaller(proxies[session % proxies.length]!.callerPort, 'roster');
 		for (let i = 0; i < 50 && !signal.aborted && !caller.closed; i++) {
 			const id = `w${writer}-${session}-${i}`;
-			noteAnswer(id, await caller.ask(id, `WRITE item-${writer} ${id}`));
+			recordAnswer(id, await caller.ask(id, `WRITE item-${writer} ${id}`));
 			await sleep(10);
 		}
 
@@ -47,19 +47,19 @@
 	}
 }
 
-function noteAnswer(id: string, lines: readonly string[]) {
+function recordAnswer(id: string, lines: readonly string[]) {
 	const outcome = getOutcome(lines);
 	if (outcome === 'done') {
-		told.acknowledged.set(id, performance.now());
+		outcomes.acknowledged.set(id, performance.now());
 	} else if (outcome === 'not-run') {
-		told.refused.add(id);
+		outcomes.refused.add(id);
 	} else {
-		told.unknown++;
+		outcomes.unknown++;
 	}
 }
 
-async function roam(story: Story, proxies: readonly LocalProxy[]) {
-	story.beginChapter('A caller reads its own writes, and data of a stated age', 'Replicas serve the reads, each behind what the caller has to see.');
+async function readOwnWrites(output: DemoOutput, proxies: readonly LocalProxy[]) {
+	output.beginScenario('A caller reads its own writes, and data of a stated age', 'Replicas serve the reads, each behind what the caller has to see.');
 	const faults: string[] = [];
 	for (const proxy of proxies) {
 		const caller = await openWireCaller(proxy.callerPort, 'roster');
@@ -72,46 +72,46 @@
 		caller.leave();
 	}
 
-	judge(story, faults, `each session found what it had just written: ${proxies.length} sessions`);
+	reportCheck(output, faults, `each session found what it had just written: ${proxies.length} sessions`);
 }
 
-async function losePrimary(story: Story, platform: LocalPlatform, proxies: readonly LocalProxy[]) {
-	story.beginChapter('The primary dies while callers write', 'Nobody but the proxies has it replaced; what it acknowledged alone must not be doubled or denied.');
+async function losePrimary(output: DemoOutput, platform: LocalPlatform, proxies: readonly LocalProxy[]) {
+	output.beginScenario('The primary dies while callers write', 'Nobody but the proxies has it replaced; what it acknowledged alone must not be doubled or denied.');
 	const old = platform.group.leader;
 	const killedAt = performance.now();
 	platform.group.crash(old);
-	while (performance.now() < killedAt + LONGEST_GAP_MS && platform.group.leader.id === old.id) {
+	while (performance.now() < killedAt + MAX_GAP_MS && platform.group.leader.id === old.id) {
 		await sleep(20);
 	}
 
 	await sleep(1500);
-	const first = Math.min(...[...told.acknowledged.values()].filter(at => at > killedAt + 100));
+	const first = Math.min(...[...outcomes.acknowledged.values()].filter(at => at > killedAt + 100));
 	const gap = Math.round(first - killedAt);
-	judge(story, gap < LONGEST_GAP_MS ? [] : [`the gap was ${gap} ms`], `writes land again after ${gap} ms, of which the promotion takes 1,000`);
+	reportCheck(output, gap < MAX_GAP_MS ? [] : [`the gap was ${gap} ms`], `writes land again after ${gap} ms, of which the promotion takes 1,000`);
 	platform.group.restart(old);
 	const replaced = proxies.flatMap(({lines}) => lines).findLast(line => line.includes('a group has a primary again'));
-	story.tell(`one proxy logged: ${replaced?.slice(0, 120) ?? 'nothing'}…`);
+	output.printLine(`one proxy logged: ${replaced?.slice(0, 120) ?? 'nothing'}…`);
 }
 
-async function stopOne(story: Story, proxies: readonly LocalProxy[]) {
-	story.beginChapter('A proxy is stopped in order, another is killed', 'A planned stop ends sessions between statements; a kill leaves outcomes open, but nothing is doubled.');
+async function stopAndKill(output: DemoOutput, proxies: readonly LocalProxy[]) {
+	output.beginScenario('A proxy is stopped in order, another is killed', 'A planned stop ends sessions between statements; a kill leaves outcomes open, but nothing is doubled.');
 	const code = await proxies[0]!.end('SIGTERM');
-	judge(story, code === 0 ? [] : [`it ended with ${code}`], 'the stopped proxy ended by itself');
+	reportCheck(output, code === 0 ? [] : [`it ended with ${code}`], 'the stopped proxy ended by itself');
 	await proxies[1]!.end('SIGKILL');
 	await sleep(1000);
 }
 
-function judgeWrites(story: Story) {
-	story.beginChapter('Every answer is compared with the logs of the group', 'A refusal that promises that nothing is kept must be true.');
+function verifyWrites(output: DemoOutput) {
+	output.beginScenario('Every answer is compared with the logs of the group', 'A refusal that promises that nothing is kept must be true.');
 	const faults = [
-		...[...told.acknowledged.keys()].filter(id => commits.get(id) !== 1).map(id => `${id} was acknowledged and took effect ${commits.get(id) ?? 0} times`),
-		...[...told.refused].filter(id => commits.has(id)).map(id => `${id} was refused and took effect`),
+		...[...outcomes.acknowledged.keys()].filter(id => commits.get(id) !== 1).map(id => `${id} was acknowledged and took effect ${commits.get(id) ?? 0} times`),
+		...[...outcomes.refused].filter(id => commits.has(id)).map(id => `${id} was refused and took effect`),
 	];
-	judge(story, faults, `${told.acknowledged.size} acknowledged writes took effect once, ${told.refused.size} refused ones never; ${told.unknown} were left open`);
+	reportCheck(output, faults, `${outcomes.acknowledged.size} acknowledged writes took effect once, ${outcomes.refused.size} refused ones never; ${outcomes.unknown} were left open`);
 }
 
 async function runPlatformDemo(): Promise<number> {
-	const story = createStory({
+	const output = createDemoOutput({
 		print(line) {
 			console.log(line);
 		},
@@ -130,21 +130,21 @@
 		}
 
 		await sleep(1500);
-		await roam(story, proxies);
+		await readOwnWrites(output, proxies);
 		const writers = Array.from({length: WRITERS}, async (_, i) => write(proxies, i, ended.signal));
 		await sleep(1000);
-		await losePrimary(story, platform, proxies);
-		await stopOne(story, proxies);
+		await losePrimary(output, platform, proxies);
+		await stopAndKill(output, proxies);
 		ended.abort();
 		await Promise.all(writers);
-		judgeWrites(story);
+		verifyWrites(output);
 	} finally {
 		ended.abort();
 		await platform.stop();
 	}
 
-	console.log(broken === 0 ? '\n   Every promise was kept.' : `\n   ${broken} faults.`);
-	return broken === 0 ? 0 : 1;
+	console.log(faultCount === 0 ? '\n   Every promise was kept.' : `\n   ${faultCount} faults.`);
+	return faultCount === 0 ? 0 : 1;
 }
 
 process.exitCode = await runPlatformDemo();
--- a/src/demo/refuse-and-explain.ts
+++ b/src/demo/refuse-and-explain.ts
@@ -4,26 +4,26 @@
 import {WorkClass} from '../groups/group-config.js';
 import {RefusalCode} from '../refusals/refusal.js';
 import {createCaller, type SentAnswer} from './caller.js';
-import {FILINGS, type Chapter, type Demo} from './demo.js';
-import {findUntrueRefusals, type SentWrite} from './judge-writes.js';
+import {FILINGS, type Scenario, type Demo} from './demo.js';
+import {findUntrueRefusals, type SentWrite} from './verify-writes.js';
 import type {CommandEnd} from './operator.js';
-import {Promised} from './promises.js';
+import {Guarantee} from './guarantees.js';
 
-const FILINGS_AT_ONCE = 200;
+const CONCURRENT_FILINGS = 200;
 const DEADLINE_MS = 250;
 const TABLE = 'rush';
 
-/** More filings than the servers can take, with a deadline that many of them cannot meet. */
-export const refuseAndExplain: Chapter = {
+/** Sends more filings than the servers can process, with a deadline that many of them cannot meet. */
+export const refuseAndExplain: Scenario = {
 	title: 'Too many filings at once: refused in time, truthfully, and explained',
 	why: 'A public body must explain every refusal when asked, also when the host that refused is gone.',
-	async tell(demo) {
-		const {promises, story} = demo;
-		const sent = await fileAtOnce(demo);
+	async run(demo) {
+		const {guarantees, output} = demo;
+		const sent = await fileConcurrently(demo);
 		const writes = sent.map(({write}) => write);
 		const refused = sent.filter(({write}) => write.outcome === Outcome.NotRun);
-		story.tell(`${FILINGS_AT_ONCE} filings came in one moment, each to be done within ${DEADLINE_MS} ms: ${describeOutcomes(writes)}`);
-		promises.check(Promised.TruthfulRefusal, findUntrueRefusals(writes, await readMarks(demo)), `${refused.length} refused filings compared with the rows`);
+		output.printLine(`${CONCURRENT_FILINGS} filings came in one moment, each to be done within ${DEADLINE_MS} ms: ${describeOutcomes(writes)}`);
+		guarantees.check(Guarantee.TruthfulRefusal, findUntrueRefusals(writes, await readMarks(demo)), `${refused.length} refused filings compared with the rows`);
 		const asked = refused.find(({write}) => write.code === RefusalCode.QueueFull) ?? refused[0];
 		if (asked) {
 			await explain(demo, asked.end);
@@ -31,14 +31,14 @@
 	},
 };
 
-type RushedWrite = {
+type SubmittedWrite = {
 	readonly write: SentWrite;
 	readonly end: SentAnswer;
 };
 
-async function fileAtOnce(demo: Demo): Promise<readonly RushedWrite[]> {
+async function fileConcurrently(demo: Demo): Promise<readonly SubmittedWrite[]> {
 	const {clock} = demo;
-	return Promise.all(Array.from({length: FILINGS_AT_ONCE}, async (_, index) => {
+	return Promise.all(Array.from({length: CONCURRENT_FILINGS}, async (_, index) => {
 		const mark = `rush-${index + 1}`;
 		const sentAt = clock.now();
 		const end = await createCaller({...demo, group: FILINGS}).send({
@@ -56,21 +56,21 @@
 	}));
 }
 
-/** Asks why by the request's id and by the ticket, before and after the refusing host is killed. */
+/** Explains a refusal by the request's id before the refusing host is killed, and by the ticket afterwards. */
 async function explain(demo: Demo, {answer, host}: SentAnswer): Promise<void> {
-	const {balancer, dana, promises, story, system} = demo;
+	const {balancer, dana, guarantees, output, system} = demo;
 	const ticket = answer.refusal!.ticket!;
 	const byId = await dana.run(`why ${answer.requestId}`, getOther(demo, host));
-	story.tell(`${host} refused request ${answer.requestId}; another host is asked why, by the id`);
-	story.showCommand(`why ${answer.requestId}`, byId.text);
+	output.printLine(`${host} refused request ${answer.requestId}; another host is asked why, by the id`);
+	output.showCommand(`why ${answer.requestId}`, byId.text);
 
 	await system.getProxyOrThrow(host).process.kill();
-	balancer.takeOut(host);
+	balancer.remove(host);
 	const byTicket = await dana.run(`why ${ticket}`, getOther(demo, host));
-	story.tell(`${host} is killed with all that it had in memory; the caller's ticket still explains`);
-	story.showCommand(`why ${ticket}`, byTicket.text, 2);
-	promises.check(
-		Promised.Explained,
+	output.printLine(`${host} is killed with all that it had in memory; the caller's ticket still explains`);
+	output.showCommand(`why ${ticket}`, byTicket.text, 2);
+	guarantees.check(
+		Guarantee.Explained,
 		[...findUnexplained('by its id', answer.requestId, byId), ...findUnexplained('by its ticket', answer.requestId, byTicket)],
 		'asked by id at another host, and by ticket after the host was killed',
 	);
--- a/src/demo/roam-session.ts
+++ b/src/demo/roam-session.ts
@@ -2,19 +2,19 @@
 import {RequestKind} from '../callers/caller-request.js';
 import type {LocalProxy} from '../stand-ins/processes/local-system.js';
 import {createCaller, type DemoCaller} from './caller.js';
-import {SLEEP_LOGS, type Chapter} from './demo.js';
+import {SLEEP_LOGS, type Scenario} from './demo.js';
 import {setLag} from './faults.js';
-import {Promised} from './promises.js';
+import {Guarantee} from './guarantees.js';
 
 const LAG_MS = 400;
 const MEMBER = 'm-101';
 
-/** A member annotates a night at one proxy and looks at it through each of the others, while every replica lags. */
-export const roamSession: Chapter = {
+/** A member writes a note at each proxy in turn and reads it at the next one, while every replica lags. */
+export const roamSession: Scenario = {
 	title: 'A session roams over nine proxies',
 	why: `Replicas now lag by ${LAG_MS} ms. A member annotates a night at each proxy and looks at it through the next one at once.`,
-	async tell(demo) {
-		const {promises, story, balancer} = demo;
+	async run(demo) {
+		const {guarantees, output, balancer} = demo;
 		await setLag(demo, SLEEP_LOGS, LAG_MS);
 		const member = createCaller({...demo, group: SLEEP_LOGS});
 		const proxies = balancer.getLive();
@@ -31,8 +31,8 @@
 			}
 		}
 
-		story.tell(`the floor travels in the session's token; reads were served by ${[...servedBy].map(([name, count]) => `${name} (${count})`).join(', ')}`);
-		promises.check(Promised.ReadYourWrites, faults, `${proxies.length} notes, each read at another proxy than wrote it`);
+		output.printLine(`the floor travels in the session's token; reads were served by ${[...servedBy].map(([name, count]) => `${name} (${count})`).join(', ')}`);
+		guarantees.check(Guarantee.ReadYourWrites, faults, `${proxies.length} notes, each read at another proxy than wrote it`);
 	},
 };
 
--- a/src/demo/run-demo.ts
+++ b/src/demo/run-demo.ts
@@ -5,28 +5,28 @@
 import {auditTrail} from './audit-trail.js';
 import {createBalancer} from './balancer.js';
 import {
-	FILINGS, SLEEP_LOGS, type Chapter, type Demo,
+	FILINGS, SLEEP_LOGS, type Scenario, type Demo,
 } from './demo.js';
 import {drainEndpoint} from './drain-endpoint.js';
 import {laggingReplicas} from './lagging-replicas.js';
 import {loseHost} from './lose-host.js';
 import {losePrimary} from './lose-primary.js';
 import {createOperator, type DemoOperator} from './operator.js';
-import {createPromises} from './promises.js';
+import {createGuarantees} from './guarantees.js';
 import {refuseAndExplain} from './refuse-and-explain.js';
 import {replaceHost} from './replace-host.js';
 import {roamSession} from './roam-session.js';
-import {createStory, type Story} from './story.js';
+import {createDemoOutput, type DemoOutput} from './demo-output.js';
 import {syncNights} from './sync-nights.js';
 
-/** What the demo needs of its process. */
+/** Options of the demo. */
 export type RunDemoOptions = {
 	readonly print: (line: string) => void;
 	/** Emits `SIGINT` and `SIGTERM`, as the process does. */
 	readonly events: NodeJS.EventEmitter;
 };
 
-/** Exit code of a run that was interrupted or could not be told to its end. */
+/** Exit code of a run that was interrupted or could not be completed. */
 const FAILED = 1;
 
 const PROXIES = 9;
@@ -35,19 +35,19 @@
 const LAG_MS = 20;
 const LEAVE_NOTICE_MS = 500;
 
-/** Time that a process may take to end before it is killed, in milliseconds. */
-const STOP_BOUND_MS = 5000;
+/** Time after which a process that does not end is killed, in milliseconds. */
+const STOP_TIMEOUT_MS = 5000;
 
-const CHAPTERS: readonly Chapter[] = [
+const SCENARIOS: readonly Scenario[] = [
 	syncNights, roamSession, laggingReplicas, losePrimary, loseHost, drainEndpoint, replaceHost, refuseAndExplain, auditTrail,
 ];
 
-/** Tells the whole story; resolves with the exit code once every process that it started has ended. */
+/** Runs the whole demo. Resolves with the exit code once every process that it started has ended. */
 export async function runDemo({print, events}: RunDemoOptions): Promise<number> {
 	const clock = createSystemClock();
 	const random = createSystemRandom();
-	const story = createStory({print});
-	const promises = createPromises(story);
+	const output = createDemoOutput({print});
+	const guarantees = createGuarantees(output);
 	const bootstrap = createOperator(random);
 	const dana = createOperator(random);
 	const iva = createOperator(random);
@@ -55,37 +55,37 @@
 	const interrupted = waitForInterrupt(events);
 	const startedAt = clock.now();
 
-	const tell = async () => {
+	const startAndRun = async () => {
 		print('aldercroft: nine daemons, two database groups of three servers and a platform, as processes on loopback');
-		const system = await startSystem(bootstrap, own => spawned.push(own));
+		const system = await startSystem(bootstrap, managed => spawned.push(managed));
 		print(`All were ready after ${formatSeconds(clock.now() - startedAt)}.`);
 		const demo: Demo = {
-			system, clock, random, story, promises, dana, iva, balancer: createBalancer(system.proxies),
+			system, clock, random, output, guarantees, dana, iva, balancer: createBalancer(system.proxies),
 		};
-		await admitOperators(demo, bootstrap);
-		await tellAll(demo);
+		await createOperators(demo, bootstrap);
+		await runScenarios(demo);
 	};
 
 	try {
-		const signal = await Promise.race([interrupted, tell()]);
+		const signal = await Promise.race([interrupted, startAndRun()]);
 		print('');
-		return signal ? describeInterrupt(story, signal) : promises.conclude();
+		return signal ? describeInterrupt(output, signal) : guarantees.conclude();
 	} catch (err) {
-		story.showVerdict(false, `the story could not be told to its end: ${(err as Error).message}`);
+		output.showVerdict(false, `the story could not be told to its end: ${(err as Error).message}`);
 		return FAILED;
 	} finally {
-		await Promise.all(spawned.map(async own => own.stop(STOP_BOUND_MS)));
+		await Promise.all(spawned.map(async managed => managed.stop(STOP_TIMEOUT_MS)));
 		print(`Every process has ended. The whole took ${formatSeconds(clock.now() - startedAt)}.`);
 	}
 }
 
-/** The token whose hash is in the settings lets the first operators in. */
-async function admitOperators({dana, iva, balancer}: Demo, bootstrap: DemoOperator): Promise<void> {
+/** Creates the first operators with the bootstrap token, whose hash is in the settings. */
+async function createOperators({dana, iva, balancer}: Demo, bootstrap: DemoOperator): Promise<void> {
 	await bootstrap.runOrThrow(`create operator dana role operate token-hash ${dana.tokenHash}`, balancer.next());
 	await bootstrap.runOrThrow(`create operator iva role operate token-hash ${iva.tokenHash}`, balancer.next());
 }
 
-async function startSystem(bootstrap: DemoOperator, onSpawned: (own: ManagedProcess) => void): Promise<LocalSystem> {
+async function startSystem(bootstrap: DemoOperator, onSpawned: (managed: ManagedProcess) => void): Promise<LocalSystem> {
 	return startLocalSystem({
 		proxies: PROXIES,
 		availabilityZones: [...GRANITE_LOOP_ZONES, ...BUREAU_ZONES],
@@ -102,16 +102,16 @@
 	});
 }
 
-async function tellAll(demo: Demo): Promise<void> {
-	for (const chapter of CHAPTERS) {
-		demo.story.beginChapter(chapter.title, chapter.why);
-		await chapter.tell(demo);
+async function runScenarios(demo: Demo): Promise<void> {
+	for (const scenario of SCENARIOS) {
+		demo.output.beginScenario(scenario.title, scenario.why);
+		await scenario.run(demo);
 	}
 }
 
 async function waitForInterrupt(events: NodeJS.EventEmitter): Promise<string> {
 	return new Promise(resolve => {
-		// Listened to for good: without a listener a second signal would leave processes behind.
+		// The listeners stay registered: without one, a second signal would end this process and leave its children running.
 		for (const signal of ['SIGINT', 'SIGTERM']) {
 			events.on(signal, () => {
 				resolve(signal);
@@ -120,8 +120,8 @@
 	});
 }
 
-function describeInterrupt(story: Story, signal: string): number {
-	story.showVerdict(false, `the story was interrupted by ${signal}`);
+function describeInterrupt(output: DemoOutput, signal: string): number {
+	output.showVerdict(false, `the story was interrupted by ${signal}`);
 	return FAILED;
 }
 
--- a/src/demo/sync-nights.ts
+++ b/src/demo/sync-nights.ts
@@ -3,21 +3,21 @@
 import {WorkClass} from '../groups/group-config.js';
 import {createRequestId} from '../random/request-id.js';
 import {createCaller} from './caller.js';
-import {SLEEP_LOGS, type Chapter, type Demo} from './demo.js';
-import {findLostOrDoubled, type SentWrite} from './judge-writes.js';
-import {Promised} from './promises.js';
+import {SLEEP_LOGS, type Scenario, type Demo} from './demo.js';
+import {findLostOrDuplicated, type SentWrite} from './verify-writes.js';
+import {Guarantee} from './guarantees.js';
 
-/** Bands of one wave sync at once; the next wave begins when they are done. */
+/** The bands of a wave sync concurrently; the next wave begins when they are done. */
 const WAVES = 3;
 const BANDS_IN_WAVE = 15;
 const MEMBERS = WAVES * BANDS_IN_WAVE;
 
-/** Bands sync their nights over a shaky link: each sync is sent twice under one request id, at two proxies. */
-export const syncNights: Chapter = {
+/** Bands sync their nights over an unreliable link: each sync is sent twice under one request id, to two proxies. */
+export const syncNights: Scenario = {
 	title: 'Bands sync their nights, each of them twice',
 	why: 'A lost sync makes a night vanish; a doubled one skews the recovery score. The request id keeps both from happening.',
-	async tell(demo) {
-		const {promises, story} = demo;
+	async run(demo) {
+		const {guarantees, output} = demo;
 		const writes: SyncedNight[] = [];
 		for (let wave = 1; wave <= WAVES; wave++) {
 			const members = Array.from({length: BANDS_IN_WAVE}, (_, index) => `m-${wave}${String(index + 1).padStart(2, '0')}`);
@@ -25,14 +25,14 @@
 		}
 
 		const repeats = writes.filter(({bothDone}) => bothDone).length;
-		story.tell(`${MEMBERS} bands sent their night to two of nine proxies; ${repeats} were told "done" by both`);
+		output.printLine(`${MEMBERS} bands sent their night to two of nine proxies; ${repeats} were told "done" by both`);
 		const stored = await readMembers(demo);
-		promises.check(Promised.OnceOnly, findLostOrDoubled(writes, stored), `${MEMBERS} nights sent ${MEMBERS * 2} times, ${stored.length} rows found`);
+		guarantees.check(Guarantee.OnceOnly, findLostOrDuplicated(writes, stored), `${MEMBERS} nights sent ${MEMBERS * 2} times, ${stored.length} rows found`);
 	},
 };
 
 type SyncedNight = SentWrite & {
-	/** Both proxies told that the sync is done. */
+	/** Whether both proxies answered that the sync is done. */
 	readonly bothDone: boolean;
 };
 
@@ -47,11 +47,11 @@
 		requestId: createRequestId(clock.wall(), random),
 		class: WorkClass.Deadline,
 	};
-	// Both at once: neither proxy has heard of the other's submission.
+	// Sent concurrently, so that neither proxy knows of the other's request.
 	const [first, second] = await Promise.all([band.ask(balancer.next(), req), band.ask(balancer.next(), {...req, attempt: 2})]);
 	const done = [first, second].find(({outcome}) => outcome === Outcome.Done);
-	const settled = done ? undefined : await band.askOutcome(req.requestId);
-	const end = done ?? settled?.answer ?? second;
+	const queried = done ? undefined : await band.queryOutcome(req.requestId);
+	const end = done ?? queried?.answer ?? second;
 	return {
 		mark: member,
 		outcome: end.outcome,
--- a/src/demo/judge-writes.ts
+++ b/src/demo/verify-writes.ts
@@ -1,19 +1,20 @@
 import {Outcome} from '../callers/caller-response.js';
 
-/** A write as its caller knows it at the end. */
+/** A write with its final outcome, as its caller knows it. */
 export type SentWrite = {
-	/** What the write put into the table; no other write puts the same. */
+	/** Unique value that the write stores in the table. */
 	readonly mark: string;
 	readonly outcome: Outcome;
-	/** The refusal's code, where there was one. */
+	/** Code of the refusal, where there was one. */
 	readonly code?: string;
-	/** When it was sent first and when its last answer came, milliseconds of the demo's clock. */
+	/** Time at which it was first sent, in milliseconds of the demo's clock. */
 	readonly sentAt: number;
+	/** Time of its last answer, in milliseconds of the demo's clock. */
 	readonly answeredAt: number;
 };
 
-/** Says which writes were lost, doubled or ran unacknowledged for good, given every mark found in the table. */
-export function findLostOrDoubled(writes: readonly SentWrite[], stored: readonly string[]): string[] {
+/** Returns a sentence for each write that was lost, stored more than once, or whose outcome stayed unknown, given every mark in the table. */
+export function findLostOrDuplicated(writes: readonly SentWrite[], stored: readonly string[]): string[] {
 	const counts = countMarks(stored);
 	return writes.flatMap(({mark, outcome, code}) => {
 		const count = counts.get(mark) ?? 0;
@@ -29,7 +30,7 @@
 	});
 }
 
-/** Says which writes ran although their callers were told that they did not. */
+/** Returns a sentence for each write that is stored although its caller was told that it did not run. */
 export function findUntrueRefusals(writes: readonly SentWrite[], stored: readonly string[]): string[] {
 	const counts = countMarks(stored);
 	return writes
--- a/src/demo/work-stream.ts
+++ b/src/demo/work-stream.ts
@@ -3,53 +3,53 @@
 import type {WorkClass} from '../groups/group-config.js';
 import {createCaller, type DemoCaller, type SentAnswer} from './caller.js';
 import type {Demo} from './demo.js';
-import {findLostOrDoubled, findUntrueRefusals, type SentWrite} from './judge-writes.js';
-import {Promised} from './promises.js';
+import {findLostOrDuplicated, findUntrueRefusals, type SentWrite} from './verify-writes.js';
+import {Guarantee} from './guarantees.js';
 
-/** A read of a session's own last write. */
+/** A session's read of its own last write. */
 export type OwnRead = {
 	readonly mark: string;
 	readonly answer: SentAnswer;
 };
 
-/** Callers that write, read what they wrote, and begin again until they are stopped. */
+/** Callers that repeatedly write and read what they wrote, until they are stopped. */
 export type WorkStream = {
-	/** Writes that have their last answer. */
+	/** Writes whose final outcome is known to their callers. */
 	readonly writes: readonly SentWrite[];
 	readonly reads: readonly OwnRead[];
-	/** Connections that broke under a request. */
-	readonly cuts: number;
-	/** Resolves once that many writes were acknowledged since now. */
+	/** Number of connections that broke during a request. */
+	readonly brokenConnections: number;
+	/** Resolves once `count` more writes are acknowledged; rejects where that takes longer than 20 s. */
 	waitForAcknowledged(count: number): Promise<void>;
-	/** Ends the stream once each caller has its last answer. */
+	/** Stops the stream. Resolves once each caller has its last answer. */
 	stop(): Promise<void>;
 };
 
-/** What a stream does. */
+/** Options of a stream. */
 export type WorkStreamOptions = {
 	readonly group: string;
 	readonly table: string;
-	/** Stands in every row of this stream and of no other. */
+	/** Value that marks the rows of this stream; no other stream uses it. */
 	readonly batch: string;
 	readonly callers: number;
 	readonly class: WorkClass;
 	readonly deadlineMs: number;
 };
 
-/** Pause of a caller between two rounds, in milliseconds; with it a stream leaves the servers time to spare. */
+/** Pause of a caller between two rounds, in milliseconds, so that a stream does not saturate the servers. */
 const PAUSE_MS = 20;
 
 const POLL_MS = 20;
 
-/** Time after which a wait for acknowledged writes counts as an error of the demo, in milliseconds. */
-const WAIT_BOUND_MS = 20_000;
+/** Time after which waiting for acknowledged writes fails the demo, in milliseconds. */
+const WAIT_TIMEOUT_MS = 20_000;
 
 /** Starts a stream of work. */
 export function startWorkStream(demo: Demo, options: WorkStreamOptions): WorkStream {
 	const {clock} = demo;
 	const writes: SentWrite[] = [];
 	const reads: OwnRead[] = [];
-	let cuts = 0;
+	let brokenConnections = 0;
 	let stopped = false;
 
 	const write = async (caller: DemoCaller, mark: string) => {
@@ -61,7 +61,7 @@
 			class: options.class,
 			deadlineMs: options.deadlineMs,
 		});
-		cuts += sent.cuts;
+		brokenConnections += sent.brokenConnections;
 		const {outcome, refusal} = sent.answer;
 		writes.push({
 			mark, outcome, code: refusal?.code, sentAt, answeredAt: clock.now(),
@@ -76,7 +76,7 @@
 			values: [mark],
 			deadlineMs: options.deadlineMs,
 		});
-		cuts += answer.cuts;
+		brokenConnections += answer.brokenConnections;
 		reads.push({mark, answer});
 	};
 
@@ -98,15 +98,15 @@
 	return {
 		writes,
 		reads,
-		get cuts() {
-			return cuts;
+		get brokenConnections() {
+			return brokenConnections;
 		},
 		async waitForAcknowledged(count) {
-			const wanted = countAcknowledged() + count;
-			const until = clock.now() + WAIT_BOUND_MS;
-			while (countAcknowledged() < wanted) {
+			const target = countAcknowledged() + count;
+			const until = clock.now() + WAIT_TIMEOUT_MS;
+			while (countAcknowledged() < target) {
 				if (clock.now() > until) {
-					throw new Error(`${options.batch}: ${countAcknowledged()} writes were acknowledged, and ${wanted} were awaited`);
+					throw new Error(`${options.batch}: ${countAcknowledged()} writes were acknowledged, and ${target} were awaited`);
 				}
 
 				await clock.sleep(POLL_MS);
@@ -119,25 +119,25 @@
 	};
 }
 
-/** Compares what a stream's callers were told with what the group holds, and judges the promises about it. */
-export async function judgeWorkStream(demo: Demo, options: WorkStreamOptions, stream: WorkStream): Promise<void> {
-	const {promises} = demo;
+/** Compares the answers to a stream's callers with the rows that the group stores, and checks the guarantees that concern them. */
+export async function verifyWorkStream(demo: Demo, options: WorkStreamOptions, stream: WorkStream): Promise<void> {
+	const {guarantees} = demo;
 	const {writes, reads} = stream;
 	const stored = await readMarks(demo, options);
 	const count = (outcome: Outcome) => writes.filter(write => write.outcome === outcome).length;
-	promises.check(
-		Promised.OnceOnly,
-		findLostOrDoubled(writes, stored),
+	guarantees.check(
+		Guarantee.OnceOnly,
+		findLostOrDuplicated(writes, stored),
 		`${count(Outcome.Done)} acknowledged, ${count(Outcome.NotRun)} refused, ${count(Outcome.Unknown)} unsure; ${stored.length} rows found`,
 	);
 	if (count(Outcome.NotRun) > 0) {
-		promises.check(Promised.TruthfulRefusal, findUntrueRefusals(writes, stored), `${count(Outcome.NotRun)} refusals compared with the rows`);
+		guarantees.check(Guarantee.TruthfulRefusal, findUntrueRefusals(writes, stored), `${count(Outcome.NotRun)} refusals compared with the rows`);
 	}
 
-	promises.check(Promised.ReadYourWrites, findUnseenWrites(reads), `${reads.length} reads of a caller's own last write`);
+	guarantees.check(Guarantee.ReadYourWrites, findUnseenWrites(reads), `${reads.length} reads of a caller's own last write`);
 }
 
-/** Every mark of the stream's rows, as a read of the latest state shows them. */
+/** Resolves with the marks of all rows of a stream, from a read of the latest state. Rejects where they could not be read. */
 async function readMarks(demo: Demo, {group, table, batch}: WorkStreamOptions): Promise<string[]> {
 	const {answer} = await createCaller({...demo, group}).send({
 		kind: RequestKind.Read, statement: `SELECT mark FROM ${table} WHERE batch = $1`, values: [batch], latest: true,
@@ -149,7 +149,7 @@
 	return answer.rows!.map(row => row.mark as string);
 }
 
-/** A refused read shows nothing, so it cannot show too little; it is a refusal and stands with those. */
+/** Returns a sentence for each read that missed its session's own write. Refused reads return no rows and count as refusals instead. */
 function findUnseenWrites(reads: readonly OwnRead[]): string[] {
 	return reads
 		.filter(({answer: {answer}}) => answer.outcome === Outcome.Done && answer.rows!.length === 0)
