--- a/src/stand-ins/metadata-store/http-store-front.ts
+++ b/src/stand-ins/metadata-store/http-store-front.ts
@@ -139,7 +139,7 @@
 
 	const serve = async (req: IncomingMessage, res: ServerResponse) => {
 		calls.set(req.method ?? '', (calls.get(req.method ?? '') ?? 0) + 1);
-		const [status, body] = front.refuseWith === undefined ? await handle(req) : [front.refuseWith, {}];
+		const [status, body] = store.refuseWith === undefined ? await handle(req) : [store.refuseWith, {}];
 		res.writeHead(status, {'content-type': 'application/json', 'store-era': String(generation)}).end(JSON.stringify(body));
 	};
 
@@ -150,7 +150,7 @@
 	});
 	server.listen(port, host);
 	await once(server, 'listening');
-	const front: HttpStoreFront = {
+	const store: HttpStoreFront = {
 		server,
 		calls,
 		refuseWith: undefined,
@@ -170,5 +170,5 @@
 			}
 		},
 	};
-	return front;
+	return store;
 }
--- a/src/stand-ins/metadata-store/in-memory-metadata-store.ts
+++ b/src/stand-ins/metadata-store/in-memory-metadata-store.ts
@@ -44,7 +44,7 @@
 	 */
 	restore(copy: StoreCopy, rewriteMs?: number): void;
 	/** Sets the faults for a host; without a name, for all hosts that have none of their own. */
-	setTrouble(hostName: string | undefined, trouble: Partial<StoreFaults>): void;
+	setTrouble(hostName: string | undefined, faults: Partial<StoreFaults>): void;
 	/** Removes all faults. */
 	heal(): void;
 	/** Number of calls so far. */
@@ -74,18 +74,18 @@
 
 	const call = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
 		calls++;
-		const {refused, silent, answerMs} = getFaults(hostName);
-		await clock.sleep(Math.min(answerMs, timeoutMs) / 2);
+		const {refused, silent, answerMs: roundTripMs} = getFaults(hostName);
+		await clock.sleep(Math.min(roundTripMs, timeoutMs) / 2);
 		if (refused) {
 			throwPlatformSilent(what, new Error('refused'));
 		}
 
-		if (silent || answerMs > timeoutMs) {
+		if (silent || roundTripMs > timeoutMs) {
 			return timeOut(what, timeoutMs);
 		}
 
 		const result = perform();
-		await clock.sleep(answerMs / 2);
+		await clock.sleep(roundTripMs / 2);
 		return result;
 	};
 
@@ -188,8 +188,8 @@
 			const record = records.get(kind)!.get(name);
 			return record && qualifyRecord(record);
 		},
-		setTrouble(hostName, trouble) {
-			faultsByHost.set(hostName, {...NO_FAULTS, ...trouble});
+		setTrouble(hostName, faults) {
+			faultsByHost.set(hostName, {...NO_FAULTS, ...faults});
 		},
 		heal() {
 			faultsByHost.clear();
--- a/src/stand-ins/peers/wire-transport.ts
+++ b/src/stand-ins/peers/wire-transport.ts
@@ -108,9 +108,9 @@
 }
 
 /** Closes the remaining end when a host is killed, as the operating system does for a killed process. */
-function closeRemainingOnKill(wire: NetworkWire, dying: WireEnd, remaining: WireEnd): void {
-	dying.host.onKill.add(() => {
-		wire.signal(dying.host, remaining.host, () => {
+function closeRemainingOnKill(wire: NetworkWire, killed: WireEnd, remaining: WireEnd): void {
+	killed.host.onKill.add(() => {
+		wire.signal(killed.host, remaining.host, () => {
 			closeEnd(remaining, 'connection reset');
 		});
 	});
--- a/src/stand-ins/plain-group/line-server.ts
+++ b/src/stand-ins/plain-group/line-server.ts
@@ -48,8 +48,8 @@
 }
 
 async function open(group: PlainGroup, server: PlainServer, socket: Socket, line: string): Promise<EndpointLink | undefined> {
-	const [word, name = '', , endpointId = server.id] = line.split(' ');
-	if (word !== 'STARTUP' || !server.running) {
+	const [keyword, name = '', , endpointId = server.id] = line.split(' ');
+	if (keyword !== 'STARTUP' || !server.running) {
 		socket.destroy();
 		return undefined;
 	}
@@ -66,8 +66,8 @@
 }
 
 async function answer(link: EndpointLink | undefined, socket: Socket, line: string) {
-	const [word, id, ...rest] = line.split(' ');
-	if (!link || word !== 'QUERY' || id === undefined) {
+	const [keyword, id, ...rest] = line.split(' ');
+	if (!link || keyword !== 'QUERY' || id === undefined) {
 		socket.end();
 		return;
 	}
@@ -99,8 +99,8 @@
 }
 
 function parseCommand(text: string): EndpointCommand | undefined {
-	const [word = '', term] = text.split(' ');
-	switch (word) {
+	const [keyword = '', term] = text.split(' ');
+	switch (keyword) {
 		case 'STATUS': {
 			return {kind: 'status'};
 		}
--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -104,14 +104,14 @@
 		log: [],
 		sessions: new Set(),
 	}));
-	let leader = servers[0]!;
+	let latestPrimary = servers[0]!;
 	let term = 1;
 	let stopped = false;
 
 	const replicateTo = (server: PlainServer) => {
 		const isResponsive = ({running, frozenUntil}: PlainServer) => running && frozenUntil <= clock.now();
-		const isConnected = leader.role === EndpointRole.Primary && isResponsive(server) && isResponsive(leader) && !server.cutFromGroup && !leader.cutFromGroup;
-		if (server === leader || !isConnected) {
+		const isConnected = latestPrimary.role === EndpointRole.Primary && isResponsive(server) && isResponsive(latestPrimary) && !server.cutFromGroup && !latestPrimary.cutFromGroup;
+		if (server === latestPrimary || !isConnected) {
 			server.connectedToSuccessorSince = undefined;
 			return;
 		}
@@ -125,12 +125,12 @@
 			server.role = EndpointRole.Replica;
 		}
 
-		if (server.fencedTerm > leader.term) {
+		if (server.fencedTerm > latestPrimary.term) {
 			return;
 		}
 
-		server.term = leader.term;
-		alignLog(server.log, leader.log, clock.now() + server.lagMs);
+		server.term = latestPrimary.term;
+		alignLog(server.log, latestPrimary.log, clock.now() + server.lagMs);
 	};
 
 	const replicate = async () => {
@@ -145,14 +145,14 @@
 
 	const completePromotion = async (server: PlainServer) => {
 		await clock.sleep(options.promoteMs ?? DEFAULT_PROMOTE_MS);
-		if (!server.running || (server === leader && server.role === EndpointRole.Primary)) {
+		if (!server.running || (server === latestPrimary && server.role === EndpointRole.Primary)) {
 			return;
 		}
 
 		// A frozen server is promoted as well, although it does not answer until it continues: the order designated it.
 
 		term++;
-		leader = server;
+		latestPrimary = server;
 		server.role = EndpointRole.Primary;
 		server.term = term;
 		server.fencedTerm = 0;
@@ -261,7 +261,7 @@
 		slots: options.slots ?? DEFAULT_SLOTS,
 		servers,
 		get leader() {
-			return leader;
+			return latestPrimary;
 		},
 		async open(target, listener, isCut, hostZone) {
 			await clock.sleep(OPEN_MS);
@@ -291,7 +291,7 @@
 				return OrderOutcome.NotRunning;
 			}
 
-			if (server !== leader || server.role === EndpointRole.Replica) {
+			if (server !== latestPrimary || server.role === EndpointRole.Replica) {
 				void completePromotion(server);
 			}
 
@@ -306,7 +306,7 @@
 		restart(server) {
 			server.running = true;
 			server.fencedTerm = 0;
-			server.role = server === leader ? EndpointRole.Primary : EndpointRole.Replica;
+			server.role = server === latestPrimary ? EndpointRole.Primary : EndpointRole.Replica;
 		},
 		startOver(server) {
 			this.crash(server);
--- a/src/stand-ins/plain-group/plain-server.ts
+++ b/src/stand-ins/plain-group/plain-server.ts
@@ -143,8 +143,8 @@
 	};
 
 	const run = (session: PlainSession, id: string, text: string) => {
-		const [word, item = '', data = ''] = text.split(' ');
-		return word === 'WRITE' ? write(session, id, item, data) : read(session, id, item);
+		const [keyword, item = '', data = ''] = text.split(' ');
+		return keyword === 'WRITE' ? write(session, id, item, data) : read(session, id, item);
 	};
 
 	const begin = (session: PlainSession, readOnly: boolean) => {
--- a/src/stand-ins/plain-platform/wire-caller.ts
+++ b/src/stand-ins/plain-platform/wire-caller.ts
@@ -41,7 +41,7 @@
 	let closed = false;
 	let lines: string[] = [];
 	let pendingExchange: ((answer: readonly string[]) => void) | undefined;
-	let unasked: string | undefined;
+	let firstUnsolicited: string | undefined;
 
 	const resolveExchange = () => {
 		const answer = lines;
@@ -54,7 +54,7 @@
 	socket.on('data', (chunk: string) => {
 		for (const line of reader.push(chunk) ?? []) {
 			if (!pendingExchange) {
-				unasked ??= line;
+				firstUnsolicited ??= line;
 				socket.end('TERMINATE\r\n');
 				continue;
 			}
@@ -101,7 +101,7 @@
 			return closed;
 		},
 		get unasked() {
-			return unasked;
+			return firstUnsolicited;
 		},
 		whenClosed: async () => ended,
 	};
--- a/src/stand-ins/proxies/simulated-proxies.ts
+++ b/src/stand-ins/proxies/simulated-proxies.ts
@@ -54,7 +54,7 @@
 	/** Registers the groups' running servers with their current state. */
 	registerEndpoints(): void;
 	/** Sets the faults of promotion orders from now on; none where left out. */
-	setOrderTrouble(trouble?: OrderFaults): void;
+	setOrderTrouble(faults?: OrderFaults): void;
 	stop(): void;
 };
 
@@ -235,8 +235,8 @@
 		proxies,
 		orders,
 		registerEndpoints,
-		setOrderTrouble(trouble) {
-			orderFaults = trouble;
+		setOrderTrouble(faults) {
+			orderFaults = faults;
 		},
 		async startProxy(name) {
 			const peerAddress = `${name}:7000`;
@@ -244,11 +244,11 @@
 			const peers = options.wrapPeers?.(hostPeers) ?? hostPeers;
 			const hostClock = createHostClock(clock);
 			let resolveKilled!: () => void;
-			const death = new Promise<void>(resolve => {
+			const whenKilled = new Promise<void>(resolve => {
 				resolveKilled = resolve;
 			});
 			const proxy: {-readonly [K in keyof SimulatedProxy]: SimulatedProxy[K]} = {
-				name, peerAddress, availabilityZone: `zone-${proxies.length % zoneCount}`, clock: hostClock, cutFrom: new Set(), killed: false, death, kernel: undefined!,
+				name, peerAddress, availabilityZone: `zone-${proxies.length % zoneCount}`, clock: hostClock, cutFrom: new Set(), killed: false, death: whenKilled, kernel: undefined!,
 			};
 			links.set(proxy, new Set());
 			killResolvers.set(proxy, resolveKilled);
