--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -158,8 +158,8 @@
 		server.fencedTerm = 0;
 		observer.onLead?.(server);
 		// A promoted server applies every commit that it has received immediately.
-		for (const [i, held] of server.log.entries()) {
-			server.log[i] = {...held, visibleAt: Math.min(held.visibleAt, clock.now())};
+		for (const [i, entry] of server.log.entries()) {
+			server.log[i] = {...entry, visibleAt: Math.min(entry.visibleAt, clock.now())};
 		}
 	};
 
--- a/src/stand-ins/plain-group/plain-log.ts
+++ b/src/stand-ins/plain-group/plain-log.ts
@@ -8,15 +8,15 @@
 	readonly writes: ReadonlyArray<{readonly item: string; readonly data: string; readonly statementId: string}>;
 };
 
-/** A commit in the log of one server. */
-export type ReplicatedCommit = {
+/** An entry of one server's log: a commit, and when it becomes visible there. */
+export type LogEntry = {
 	readonly commit: PlainCommit;
 	/** Time from which reads on this server see the commit. */
 	readonly visibleAt: number;
 };
 
 /** Returns the data of an item that a read sees at `now`; undefined where no visible commit wrote it. */
-export function readItem(log: readonly ReplicatedCommit[], now: number, item: string): string | undefined {
+export function readItem(log: readonly LogEntry[], now: number, item: string): string | undefined {
 	for (let i = log.length - 1; i >= 0; i--) {
 		const {commit, visibleAt} = log[i]!;
 		const written = visibleAt <= now ? commit.writes.findLast(write => write.item === item) : undefined;
@@ -32,13 +32,13 @@
  * Returns the end of the part of a log that reads see at `now`. Its term is 0 while no commit is visible: with the term of a new primary, a replica that
  * has applied nothing would count as ahead of every position of the previous term.
  */
-export function getVisibleEnd(log: readonly ReplicatedCommit[], now: number): LogPosition {
+export function getVisibleEnd(log: readonly LogEntry[], now: number): LogPosition {
 	const last = log.findLast(({visibleAt}) => visibleAt <= now);
 	return {term: last?.commit.term ?? 0, position: last?.commit.position ?? 0};
 }
 
 /** Makes a log equal to the primary's: commits that the primary lacks are rolled back, new ones become visible at `visibleAt`. */
-export function alignLog(log: ReplicatedCommit[], primaryLog: readonly ReplicatedCommit[], visibleAt: number): void {
+export function alignLog(log: LogEntry[], primaryLog: readonly LogEntry[], visibleAt: number): void {
 	// Logs that hold the same commit also hold the same commits before it, so the common prefix is searched from the end.
 	let common = Math.min(log.length, primaryLog.length);
 	while (common > 0 && log[common - 1]!.commit !== primaryLog[common - 1]!.commit) {
--- a/src/stand-ins/plain-group/plain-server.ts
+++ b/src/stand-ins/plain-group/plain-server.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../../time/clock.js';
 import type {ServiceSlots} from '../database/service-slots.js';
 import {
-	getVisibleEnd, readItem, type ReplicatedCommit, type PlainCommit,
+	getVisibleEnd, readItem, type LogEntry, type PlainCommit,
 } from './plain-log.js';
 
 /** A session on a server, which is one connection. */
@@ -50,7 +50,7 @@
 	loseAnswers: number;
 	/** Number of coming commits that are rejected for lack of a slot, which leaves their transactions open. */
 	turnAwayCommits: number;
-	readonly log: ReplicatedCommit[];
+	readonly log: LogEntry[];
 	readonly sessions: Set<PlainSession>;
 	/** Time since which this superseded primary has been connected to its successor without interruption. */
 	connectedToSuccessorSince?: number;
--- a/src/stand-ins/time/virtual-clock.ts
+++ b/src/stand-ins/time/virtual-clock.ts
@@ -34,7 +34,7 @@
 };
 
 /** Creates a virtual clock that begins at `startMs`, milliseconds since the epoch. */
-export function createVirtualClock(startMs = START_MS, {settleRounds = DEFAULT_DRAIN_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
+export function createVirtualClock(startMs = START_MS, {settleRounds: rounds = DEFAULT_DRAIN_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
 	let now = startMs;
 	let wallOffset = 0;
 	let order = 0;
@@ -42,7 +42,7 @@
 	const sleepers = createTimedHeap<Sleeper>();
 
 	const drainEventLoop = async () => {
-		for (let round = 0; round < settleRounds; round++) {
+		for (let round = 0; round < rounds; round++) {
 			await setImmediate();
 		}
 	};
