--- a/src/bench/overload/caller-model.ts
+++ b/src/bench/overload/caller-model.ts
@@ -4,33 +4,33 @@
 import type {ModelService} from './request-model.js';
 import {drawWorkMs, type Mix} from './traffic.js';
 
-/** How a caller takes a failure. */
+/** How a caller reacts to a failure. */
 export const CallerKind = {
-	/** Does not ask again. */
+	/** Does not retry. */
 	Single: 'single',
-	/** Asks again after a short pause, whatever it was told. */
+	/** Retries after a short delay and ignores the retry-after that it is given. */
 	Impatient: 'impatient',
-	/** Asks again when it was told to come back. */
+	/** Retries after the retry-after that it is given. */
 	Polite: 'polite',
 } as const;
 
 /** One of the kinds in {@link CallerKind}. */
 export type CallerKind = typeof CallerKind[keyof typeof CallerKind];
 
-/** What became of a caller's request, over all its asks. */
+/** The outcome of a caller's request over all its attempts. */
 export type CallerOutcome = {
 	readonly class: WorkClass;
 	readonly workMs: number;
-	readonly askedAt: number;
+	readonly sentAt: number;
 	readonly endedAt: number;
-	/** Answered within the deadline of one of its asks. */
+	/** Whether it was answered within the deadline of one of its attempts. */
 	readonly inTime: boolean;
-	/** Time from the ask that was answered to its answer, in milliseconds. */
-	readonly answerMs: number;
-	readonly asks: number;
+	/** Time from the last attempt to its response, refusal or deadline, in milliseconds. */
+	readonly responseMs: number;
+	readonly attempts: number;
 };
 
-/** What a caller's model is made of. */
+/** Dependencies and settings of a caller model. */
 export type CallerModelOptions = {
 	readonly schedule: VirtualSchedule;
 	readonly random: Random;
@@ -39,17 +39,17 @@
 	readonly entry: ModelService;
 };
 
-const MOST_ASKS = 4;
-const IMPATIENT_PAUSE_MS = 100;
-const DEFAULT_PAUSE_MS = 1000;
+const MAX_ATTEMPTS = 4;
+const IMPATIENT_DELAY_MS = 100;
+const DEFAULT_RETRY_DELAY_MS = 1000;
 
-/** Creates callers; each call sends one request of the class and follows it to its end. */
+/** Returns a function that sends one request of a class and resolves with its outcome after the last attempt. */
 export function createCallerModel(options: CallerModelOptions): (workClass: WorkClass) => Promise<CallerOutcome> {
 	const {schedule, random, mix, kind, entry} = options;
-	const mostAsks = kind === CallerKind.Single ? 1 : MOST_ASKS;
+	const maxAttempts = kind === CallerKind.Single ? 1 : MAX_ATTEMPTS;
 
-	/** Answers at the deadline at the latest: then the caller has left. */
-	const ask = async (workClass: WorkClass, workMs: number) => {
+	/** Resolves at the deadline at the latest, since the caller leaves then. */
+	const send = async (workClass: WorkClass, workMs: number) => {
 		const {deadlineMs, isRead, replicationMs} = mix[workClass];
 		const deadlineAt = schedule.now() + (deadlineMs * (0.5 + random.fraction()));
 		return new Promise<{done: boolean; retryAfterMs?: number}>(resolve => {
@@ -63,24 +63,24 @@
 		});
 	};
 
-	const getPauseMs = (retryAfterMs: number | undefined) => kind === CallerKind.Polite
-		? retryAfterMs ?? DEFAULT_PAUSE_MS
-		: IMPATIENT_PAUSE_MS * (0.5 + random.fraction());
+	const getRetryDelayMs = (retryAfterMs: number | undefined) => kind === CallerKind.Polite
+		? retryAfterMs ?? DEFAULT_RETRY_DELAY_MS
+		: IMPATIENT_DELAY_MS * (0.5 + random.fraction());
 
 	return async workClass => {
-		const askedAt = schedule.now();
+		const sentAt = schedule.now();
 		const workMs = drawWorkMs(mix[workClass].workMs, random);
-		for (let asks = 1; ; asks++) {
-			const lastAskAt = schedule.now();
-			const answer = await ask(workClass, workMs);
-			if (answer.done || asks >= mostAsks) {
+		for (let attempts = 1; ; attempts++) {
+			const lastAttemptAt = schedule.now();
+			const response = await send(workClass, workMs);
+			if (response.done || attempts >= maxAttempts) {
 				const endedAt = schedule.now();
 				return {
-					class: workClass, workMs, askedAt, endedAt, inTime: answer.done, answerMs: endedAt - lastAskAt, asks,
+					class: workClass, workMs, sentAt, endedAt, inTime: response.done, responseMs: endedAt - lastAttemptAt, attempts,
 				};
 			}
 
-			await schedule.sleep(getPauseMs(answer.retryAfterMs));
+			await schedule.sleep(getRetryDelayMs(response.retryAfterMs));
 		}
 	};
 }
--- a/src/bench/overload/entry-model.ts
+++ b/src/bench/overload/entry-model.ts
@@ -3,19 +3,19 @@
 import type {VirtualSchedule} from '../virtual-schedule.js';
 import type {ModelService} from './request-model.js';
 
-/** What an entry's model is made of. */
+/** Dependencies and settings of an entry model. */
 export type EntryModelOptions = {
 	readonly schedule: VirtualSchedule;
 	readonly random: Random;
 	readonly owners: readonly ModelService[];
 	readonly retries: Retries;
-	/** Name under which the group's retry budget is kept. */
+	/** Name of the group's retry budget. */
 	readonly group: string;
-	/** Called for each try. */
+	/** Called before each try. */
 	onTry(): void;
 };
 
-/** Creates an entry that sends each request to one of the owners and retries by the product's policy. */
+/** Creates an entry that sends each request to a random owner and retries by the product's policy. */
 export function createEntryModel(options: EntryModelOptions): ModelService {
 	const {schedule, random, owners, retries, group} = options;
 
@@ -25,23 +25,23 @@
 			for (let tries = 1; ; tries++) {
 				options.onTry();
 				const owner = owners[Math.floor(random.fraction() * owners.length)]!;
-				const answer = await owner.execute(req);
-				if (answer.done) {
-					return answer;
+				const response = await owner.execute(req);
+				if (response.done) {
+					return response;
 				}
 
 				const next = retries.decide({
 					group,
 					failed: {
-						provedNotRun: answer.provedNotRun, isRead: req.isRead, hasKey: true,
-						code: answer.code, retryAfterMs: answer.retryAfterMs, otherOwnerLeft: false,
+						provedNotRun: response.provedNotRun, isRead: req.isRead, hasKey: true,
+						code: response.code, retryAfterMs: response.retryAfterMs, otherOwnerLeft: false,
 					},
 					tries,
 					deadlineAt: req.deadlineAt,
 					fraction: random.fraction(),
 				}, schedule.now());
 				if (!next.retry) {
-					return {...answer, retryAfterMs: next.retryAfterMs};
+					return {...response, retryAfterMs: next.retryAfterMs};
 				}
 
 				await schedule.sleep(next.delayMs);
--- a/src/bench/overload/faults.ts
+++ b/src/bench/overload/faults.ts
@@ -4,12 +4,12 @@
 	getFailedMs, getGoodput, getInTimePart, getRecoveryMs,
 } from './figures.js';
 import {
-	comparePolicies, runOneGroup, type Figures, type Part,
+	comparePolicies, runOneGroup, type Figures, type ExperimentPart,
 } from './part.js';
 import {BASELINES, PRODUCT, type Policy} from './policies.js';
 import type {GroupPlan} from './scenario.js';
 
-/** A fault that begins after ten seconds of quiet and ends at a set time. */
+/** A scenario whose fault begins after ten seconds of normal operation and ends at a set time. */
 type FaultPlan = {
 	readonly name: string;
 	readonly endAt: number;
@@ -22,7 +22,7 @@
 const BEFORE = {from: 3000, to: BEGIN_AT};
 const PLOT_STEP_MS = 500;
 
-/** So slow that nothing which begins ends within the run. */
+/** Speed at which no statement that has begun ends within the run. */
 const SILENT_SPEED = 1e-6;
 
 const outage: GroupPlan = {
@@ -81,7 +81,7 @@
 	],
 };
 
-/** A server that dies again and again under its work, after which nobody knows what ran. */
+/** A server that crashes repeatedly while it executes statements, so that it is unknown which of them ran. */
 const crashLoop: GroupPlan = {
 	getLoad: () => 0.8,
 	faults: Array.from({length: 50}, (_, i) => ({
@@ -118,10 +118,10 @@
 	},
 ];
 
-/** Measures what a fault costs while it lasts and how long after its end requests are answered as before. */
-export async function runFaults(options: ExperimentOptions): Promise<Part> {
-	const measures: Array<Part['measures']> = [];
-	const baselines: Array<Part['baselines']> = [];
+/** Measures the share of requests that fail during each fault and the time from its end until requests are answered as before. */
+export async function runFaults(options: ExperimentOptions): Promise<ExperimentPart> {
+	const measures: Array<ExperimentPart['measures']> = [];
+	const baselines: Array<ExperimentPart['baselines']> = [];
 	const plots: Plot[] = [];
 	for (const faultPlan of PLANS) {
 		options.report(faultPlan.name);
@@ -160,7 +160,7 @@
 	};
 }
 
-/** Goodput over time of the first seed. */
+/** Creates a plot of goodput over time, of the first seed. */
 function createPlot(title: string, curves: ReadonlyMap<string, readonly CallerOutcome[]>): Plot {
 	const steps = Array.from({length: 60}, (_, i) => 5000 + (i * PLOT_STEP_MS));
 	return {
--- a/src/bench/overload/baselines.ts
+++ b/src/bench/overload/fifo-admission.ts
@@ -1,9 +1,9 @@
 import type {Admission, AdmissionResult, AdmissionRequest} from '../../admission/admission.js';
 import {RefusalCode} from '../../refusals/refusal.js';
 
-/** A queue without classes or deadlines: first come first served, at most `limit` at once, refused where `maxQueued` wait. */
+/** Creates a first-come-first-served admission without classes or deadlines: at most `limit` requests run at once, and a request is refused while `maxQueued` wait. */
 export function createFifoAdmission(limit: number, maxQueued = Number.POSITIVE_INFINITY): Admission {
-	const waiting: Array<{readonly enteredAt: number; answer(answer: AdmissionResult): void}> = [];
+	const waiting: Array<{readonly enteredAt: number; resolve(result: AdmissionResult): void}> = [];
 	let running = 0;
 
 	const grant = (enteredAt: number, now: number): AdmissionResult => {
@@ -14,7 +14,7 @@
 			release(releasedAt) {
 				running--;
 				const next = waiting.shift();
-				next?.answer(grant(next.enteredAt, releasedAt));
+				next?.resolve(grant(next.enteredAt, releasedAt));
 			},
 		};
 	};
@@ -30,7 +30,7 @@
 			}
 
 			return new Promise<AdmissionResult>(resolve => {
-				waiting.push({enteredAt: now, answer: resolve});
+				waiting.push({enteredAt: now, resolve});
 			});
 		},
 		getPredictedWaitMs: () => 0,
--- a/src/bench/overload/hot-group.ts
+++ b/src/bench/overload/hot-group.ts
@@ -2,7 +2,7 @@
 import {CallerKind} from './caller-model.js';
 import {getInTimePart} from './figures.js';
 import {
-	measureSeeds, SLOTS, type Figures, type Part,
+	measureSeeds, SLOTS, type Figures, type ExperimentPart,
 } from './part.js';
 import {PRODUCT} from './policies.js';
 import {runScenario, type Fault, type GroupPlan} from './scenario.js';
@@ -11,13 +11,13 @@
 const LENGTH_MS = 30_000;
 const WINDOW = {from: 10_000, to: 25_000};
 
-/** A group whose server dies again and again while its callers send five times what it could do. */
+/** A group whose server crashes every 50 ms while its callers send five times its capacity. */
 const hot: GroupPlan = {
 	getLoad: () => 5,
 	faults: createCrashes(50),
 };
 
-/** Groups whose connections are cut now and then, so that they need a retry. */
+/** Groups whose server crashes every 500 ms, so that some of their requests need a retry. */
 const calm: GroupPlan = {
 	getLoad: () => 0.6,
 	faults: createCrashes(500),
@@ -32,8 +32,8 @@
 	}));
 }
 
-/** Measures whether one hot group behind the same entry harms two calm ones, with a budget for each group and with one for all. */
-export async function runHotGroup({seeds, report}: ExperimentOptions): Promise<Part> {
+/** Measures whether one hot group affects two calm ones, with a retry budget for each group and with one for all. */
+export async function runHotGroup({seeds, report}: ExperimentOptions): Promise<ExperimentPart> {
 	report('hot group');
 	return {
 		measures: await measureSeeds(seeds, async seed => getFigures(seed, [calm, hot, calm], false)),
--- a/src/bench/overload/load-sweep.ts
+++ b/src/bench/overload/load-sweep.ts
@@ -1,10 +1,10 @@
 import type {ExperimentOptions, Plot, Variant} from '../experiment.js';
 import {CallerKind} from './caller-model.js';
 import {
-	getAnswerMs, getGoodput, getInTimePart, getUsefulWork,
+	getResponseMs, getGoodput, getInTimePart, getUsefulWork,
 } from './figures.js';
 import {
-	comparePolicies, getValue, runOneGroup, SLOTS, type Figures, type Part,
+	comparePolicies, getValue, runOneGroup, SLOTS, type Figures, type ExperimentPart,
 } from './part.js';
 import {BASELINES, PRODUCT, type Policy} from './policies.js';
 
@@ -12,9 +12,9 @@
 const LENGTH_MS = 25_000;
 const WINDOW = {from: 5000, to: LENGTH_MS};
 
-/** Measures steady loads from half of what the server can do to three times that, with each kind of caller. */
-export async function runLoadSweep(options: ExperimentOptions): Promise<Part> {
-	const parts: Part[] = [];
+/** Measures steady loads from 0.5 to 3 times the server's capacity, with each kind of caller. */
+export async function runLoadSweep(options: ExperimentOptions): Promise<ExperimentPart> {
+	const parts: ExperimentPart[] = [];
 	for (const callers of Object.values(CallerKind)) {
 		options.report(`load sweep, ${callers} callers`);
 		const figures = await comparePolicies([PRODUCT, ...BASELINES], options, async (seed, policy) => sweep(seed, policy, callers));
@@ -43,7 +43,7 @@
 			figures[`${workClass} answered in time ${at} (part)`] = getInTimePart(outcomes, WINDOW, workClass);
 		}
 
-		figures[`deadline p99 ${at} (ms)`] = getAnswerMs(outcomes, WINDOW, 'deadline', 0.99);
+		figures[`deadline p99 ${at} (ms)`] = getResponseMs(outcomes, WINDOW, 'deadline', 0.99);
 		figures[`tries a request ${at} (tries)`] = tries / outcomes.length;
 	}
 
@@ -63,8 +63,8 @@
 	};
 }
 
-/** Puts parts together; figures of the same way stand under one name. */
-export function mergeParts(parts: readonly Part[]): Part {
+/** Merges parts; figures of the same policy are combined under its name. */
+export function mergeParts(parts: readonly ExperimentPart[]): ExperimentPart {
 	const names = new Set(parts.flatMap(part => part.baselines.map(({name}) => name)));
 	return {
 		measures: parts.flatMap(part => part.measures),
--- a/src/bench/overload/longer-stage-order.ts
+++ b/src/bench/overload/longer-stage-order.ts
@@ -2,15 +2,15 @@
 import type {QueueOrder} from '../../admission/queue-order.js';
 import type {ModelRequest} from './request-model.js';
 
-/** How long a statement is believed to run, in milliseconds. */
+/** Returns the estimated execution time of a statement, in milliseconds. */
 export type WorkEstimate = (req: ModelRequest) => number;
 
 /**
- * Smallest longer stage first: of a request's execution and its wait for replication, which overlap, the longer one
- * is how long it would take on an idle server.
+ * Orders requests by their longer stage, shortest first. A request's execution and its wait for replication overlap, so the
+ * longer of the two is its time on an idle server.
  *
- * After the MaxSRPT algorithm of "Joint Optimization of Overlapping Phases in MapReduce" (Lin, Wierman, Zhang, Tan), with
- * the stages as they are when the request comes. On trial here; docs/notes/admission.md tells why it was not adopted.
+ * Follows the MaxSRPT algorithm of "Joint Optimization of Overlapping Phases in MapReduce" (Lin, Wierman, Zhang, Tan), with
+ * the stages as they are on arrival. It is only compared here; docs/notes/admission.md states why it was not adopted.
  */
 export class LongerStageOrder implements QueueOrder {
 	readonly #estimate: WorkEstimate;
--- a/src/bench/overload/part.ts
+++ b/src/bench/overload/part.ts
@@ -7,23 +7,23 @@
 import {runScenario, type GroupOutcome, type Scenario} from './scenario.js';
 import {USERS_MIX} from './traffic.js';
 
-/** One part of the experiment: the product's figures, those of the other ways, and plots. */
-export type Part = {
+/** Results of one part of the experiment: the product's figures, those of the baselines, and plots. */
+export type ExperimentPart = {
 	readonly measures: readonly Measure[];
 	readonly baselines: readonly Variant[];
 	readonly plots: readonly Plot[];
 };
 
-/** Runs one part. */
-export type RunPart = (options: ExperimentOptions) => Promise<Part>;
+/** Runs one part of the experiment. */
+export type RunExperimentPart = (options: ExperimentOptions) => Promise<ExperimentPart>;
 
-/** Statements that a server runs at once, as at Granite Loop. */
+/** Statements that a server runs concurrently, as at Granite Loop. */
 export const SLOTS = 3;
 
-/** Figures of one seed, by name; `unit` is told by the name's last word in parentheses. */
+/** Figures of one seed, by name; each name ends with the unit in parentheses. */
 export type Figures = Readonly<Record<string, number>>;
 
-/** Runs one group on one server, as the product and with single callers unless said otherwise. */
+/** Runs one group on one server, with the product's policy and callers that don't retry unless `scenario` overrides them. */
 export async function runOneGroup(seed: number, scenario: Partial<Scenario> & Pick<Scenario, 'groups' | 'lengthMs'>): Promise<GroupOutcome> {
 	const [outcome] = await runScenario({
 		seed,
@@ -37,7 +37,7 @@
 	return outcome!;
 }
 
-/** Runs `getFigures` for each seed and makes a measure of each figure; a name ends with its unit in parentheses. */
+/** Runs `getFigures` for each seed and returns a measure of each figure; a figure's name ends with its unit in parentheses. */
 export async function measureSeeds(seeds: readonly number[], getFigures: (seed: number) => Promise<Figures>): Promise<readonly Measure[]> {
 	const runs: Figures[] = [];
 	for (const seed of seeds) {
@@ -50,12 +50,12 @@
 	});
 }
 
-/** Measures several policies the same way: the first is the product, the others its baselines. */
+/** Measures several policies with the same figures: the first is the product, the others its baselines. */
 export async function comparePolicies(
 	policies: readonly Policy[],
 	{seeds, report}: ExperimentOptions,
 	getFigures: (seed: number, policy: Policy) => Promise<Figures>,
-): Promise<Pick<Part, 'measures' | 'baselines'>> {
+): Promise<Pick<ExperimentPart, 'measures' | 'baselines'>> {
 	const variants: Variant[] = [];
 	for (const policy of policies) {
 		report(`  ${policy.name}`);
@@ -65,7 +65,7 @@
 	return {measures: variants[0]!.measures, baselines: variants.slice(1)};
 }
 
-/** The median of a measure by its name. */
+/** Returns the value of a measure by its name, NaN where there is none. */
 export function getValue(measures: readonly Measure[], name: string): number {
 	return measures.find(measure => measure.name === name)?.value ?? Number.NaN;
 }
--- a/src/bench/overload/queue-orders.ts
+++ b/src/bench/overload/queue-orders.ts
@@ -1,10 +1,10 @@
 import type {ExperimentOptions} from '../experiment.js';
 import {
-	getAnswerMs, getGoodput, getInTimePart,
+	getResponseMs, getGoodput, getInTimePart,
 } from './figures.js';
 import {LongerStageOrder} from './longer-stage-order.js';
 import {
-	comparePolicies, runOneGroup, type Figures, type Part,
+	comparePolicies, runOneGroup, type Figures, type ExperimentPart,
 } from './part.js';
 import {createProductPolicy, PRODUCT, type Policy} from './policies.js';
 import {USERS_MIX, type Mix} from './traffic.js';
@@ -13,7 +13,7 @@
 const LENGTH_MS = 25_000;
 const WINDOW = {from: 5000, to: LENGTH_MS};
 
-/** The users' mix where half of a statement's time or more is spent waiting for replication. */
+/** The users' mix with replication waits of at least the mean execution time. */
 const REPLICATED_MIX: Mix = {
 	deadline: {...USERS_MIX.deadline, replicationMs: 10},
 	interactive: {...USERS_MIX.interactive, replicationMs: 10},
@@ -26,8 +26,8 @@
 	createProductPolicy('longer stage first, work as the class has it', {order: new LongerStageOrder(req => REPLICATED_MIX[req.class].workMs)}),
 ];
 
-/** Compares the order of a class's queue by deadline with that by the longer of two overlapping stages. */
-export async function runQueueOrders(options: ExperimentOptions): Promise<Part> {
+/** Compares ordering a class's queue by deadline with ordering it by the longer of two overlapping stages. */
+export async function runQueueOrders(options: ExperimentOptions): Promise<ExperimentPart> {
 	options.report('queue orders');
 	return {...await comparePolicies(ORDERS, options, getFigures), plots: []};
 }
@@ -41,9 +41,9 @@
 		const at = `at ${load}x with replication`;
 		figures[`goodput ${at} (requests/s)`] = getGoodput(outcomes, WINDOW);
 		figures[`interactive answered in time ${at} (part)`] = getInTimePart(outcomes, WINDOW, 'interactive');
-		figures[`interactive median ${at} (ms)`] = getAnswerMs(outcomes, WINDOW, 'interactive', 0.5);
-		figures[`interactive p99 ${at} (ms)`] = getAnswerMs(outcomes, WINDOW, 'interactive', 0.99);
-		figures[`deadline p99 ${at} (ms)`] = getAnswerMs(outcomes, WINDOW, 'deadline', 0.99);
+		figures[`interactive median ${at} (ms)`] = getResponseMs(outcomes, WINDOW, 'interactive', 0.5);
+		figures[`interactive p99 ${at} (ms)`] = getResponseMs(outcomes, WINDOW, 'interactive', 0.99);
+		figures[`deadline p99 ${at} (ms)`] = getResponseMs(outcomes, WINDOW, 'deadline', 0.99);
 		figures[`background answered in time ${at} (part)`] = getInTimePart(outcomes, WINDOW, 'background');
 	}
 
--- a/src/bench/overload/refusal-cost.ts
+++ b/src/bench/overload/refusal-cost.ts
@@ -7,7 +7,7 @@
 import {callerRequestSchema} from '../../callers/caller-request.js';
 import {createVirtualSchedule} from '../virtual-schedule.js';
 import type {ExperimentOptions} from '../experiment.js';
-import {measureSeeds, SLOTS, type Part} from './part.js';
+import {measureSeeds, SLOTS, type ExperimentPart} from './part.js';
 import {SHARES} from './policies.js';
 
 const REFUSALS = 100_000;
@@ -19,8 +19,8 @@
 	kind: 'read', statement: 'select night, score from nights where member = $1 order by night desc limit 7', values: ['m-1042'], class: 'interactive',
 });
 
-/** Measures the processor time of a refusal by a full queue against that of a request which is served over HTTP. */
-export async function runRefusalCost({seeds, report}: ExperimentOptions): Promise<Part> {
+/** Compares the processor time of a refusal by a full queue with that of a request served over HTTP. */
+export async function runRefusalCost({seeds, report}: ExperimentOptions): Promise<ExperimentPart> {
 	report('cost of a refusal');
 	const measures = await measureSeeds(seeds, async () => {
 		const refusalUs = await measureRefusalUs();
@@ -41,7 +41,7 @@
 		void admission.acquire(req, 0);
 	}
 
-	// The queue is full by now or soon: what enters before that only waits.
+	// Fills the queue, if it is not full yet: requests that are queued are never resolved.
 	for (let i = 0; i < WARM_UP; i++) {
 		void admission.acquire(req, 0);
 	}
@@ -49,15 +49,15 @@
 	return measureUs(REFUSALS, async () => admission.acquire(req, 0));
 }
 
-/** Half of what client and server spend together, since both run in this process. */
+/** Returns half of the processor time of client and server together, since both run in this process, in microseconds. */
 async function measureServedUs(): Promise<number> {
 	const admission = createIdleAdmission();
 	const server = fastify();
 	server.post('/v1/groups/:group/requests', async req => {
 		const {class: workClass, statement} = callerRequestSchema.parse(req.body);
-		const answer = await admission.acquire({class: workClass, deadlineAt: DEADLINE_MS}, 0);
-		if (answer.admitted) {
-			answer.release(1, true);
+		const admitted = await admission.acquire({class: workClass, deadlineAt: DEADLINE_MS}, 0);
+		if (admitted.admitted) {
+			admitted.release(1, true);
 		}
 
 		return {outcome: 'done', rows: [{statement}], servedBy: 'hall-a-1'};
@@ -95,10 +95,10 @@
 	});
 }
 
-async function measureUs(count: number, once: () => Promise<unknown>): Promise<number> {
+async function measureUs(count: number, run: () => Promise<unknown>): Promise<number> {
 	const before = process.cpuUsage();
 	for (let i = 0; i < count; i++) {
-		await once();
+		await run();
 	}
 
 	const {user, system} = process.cpuUsage(before);
--- a/src/bench/overload/request-model.ts
+++ b/src/bench/overload/request-model.ts
@@ -1,26 +1,26 @@
 import type {WorkClass} from '../../groups/group-config.js';
 import type {RefusalCode} from '../../refusals/refusal.js';
 
-/** What one ask of a caller carries. */
+/** One attempt of a caller's request. */
 export type ModelRequest = {
 	readonly class: WorkClass;
 	readonly workMs: number;
 	readonly deadlineAt: number;
 	readonly isRead: boolean;
-	/** How long from the ask on the answer must wait for replication, which goes on while the statement waits and runs. */
+	/** Time from arrival at the owner for which the response waits for replication, in milliseconds; it overlaps with queueing and execution. */
 	readonly replicationMs: number;
 };
 
-/** What came of an ask, or of a try at an owner. */
-export type ModelAnswer = {
+/** The result of an attempt, or of a try at an owner. */
+export type ModelResponse = {
 	readonly done: boolean;
-	/** It is proved that nothing ran. */
+	/** Whether it is proved that the statement did not run. */
 	readonly provedNotRun: boolean;
 	readonly code?: RefusalCode;
 	readonly retryAfterMs?: number;
 };
 
-/** Answers asks: an owner, or an entry before owners. */
+/** Executes requests: an owner, or an entry in front of owners. */
 export type ModelService = {
-	execute(req: ModelRequest): Promise<ModelAnswer>;
+	execute(req: ModelRequest): Promise<ModelResponse>;
 };
--- a/src/bench/overload/scenario.ts
+++ b/src/bench/overload/scenario.ts
@@ -11,7 +11,7 @@
 	drawClass, drawGapMs, getCapacity, type Mix,
 } from './traffic.js';
 
-/** One run of callers, entry, owners and a server for each group. */
+/** Settings of one run, with callers, an entry, owners and a server for each group. */
 export type Scenario = {
 	readonly seed: number;
 	readonly policy: Policy;
@@ -20,30 +20,30 @@
 	readonly slots: number;
 	/** How many owners share each server. */
 	readonly owners: number;
-	/** How many of them get requests; default all. */
-	readonly sending?: number;
+	/** How many of the owners receive requests; default all. */
+	readonly activeOwners?: number;
 	readonly groups: readonly GroupPlan[];
-	/** Whether all groups draw on one retry budget. */
+	/** Whether all groups share one retry budget. */
 	readonly hasSharedBudget?: boolean;
 	/** How long callers send requests, in milliseconds. */
 	readonly lengthMs: number;
 };
 
-/** What happens to one group. */
+/** The load and the faults of one group. */
 export type GroupPlan = {
-	/** Fresh requests at that time, as a multiple of what the server can do. */
+	/** Returns the rate of fresh requests at that time, as a multiple of the server's capacity. */
 	getLoad(at: number): number;
 	/** Faults of the server. */
 	readonly faults: readonly Fault[];
 };
 
-/** Something done to a server at a set time. */
+/** A change to a server at a set time. */
 export type Fault = {
 	readonly at: number;
 	apply(server: ServerModel): void;
 };
 
-/** What became of one group's requests. */
+/** Outcomes of one group's requests. */
 export type GroupOutcome = {
 	readonly outcomes: readonly CallerOutcome[];
 	/** Fresh requests and retries that reached an owner. */
@@ -52,16 +52,16 @@
 
 const ROUND_TRIP_MS = 2;
 
-/** Time after the last request in which answers may still come. */
-const TAIL_MS = 30_000;
+/** Time after the last request in which outstanding requests may end. */
+const DRAIN_MS = 30_000;
 
-/** A floor of the budget that no run uses up. */
+/** Budget floor that no run exhausts, in retries a second. */
 const UNLIMITED_RETRIES = 1e6;
 
-/** How often the load is looked up while no request comes, in milliseconds. */
-const IDLE_STEP_MS = 100;
+/** Poll interval of the load while it is zero, in milliseconds. */
+const IDLE_POLL_MS = 100;
 
-/** Runs a scenario and returns what became of each group's requests. */
+/** Runs a scenario in virtual time and returns the outcomes of each group's requests. */
 export async function runScenario(scenario: Scenario): Promise<readonly GroupOutcome[]> {
 	const schedule = createVirtualSchedule();
 	const random = createSeededRandom(scenario.seed);
@@ -69,7 +69,7 @@
 	const groups = scenario.groups.map((plan, i) => startGroup({
 		scenario, plan, schedule, random, retries, budgetName: scenario.hasSharedBudget ? 'all' : `group-${i}`,
 	}));
-	await schedule.runUntil(scenario.lengthMs + TAIL_MS);
+	await schedule.runUntil(scenario.lengthMs + DRAIN_MS);
 	return groups;
 }
 
@@ -89,7 +89,7 @@
 	const {policy, mix, slots} = scenario;
 	const outcome = {outcomes: [] as CallerOutcome[], tries: 0};
 	const server = createServerModel(schedule, slots, ROUND_TRIP_MS);
-	const owners = Array.from({length: scenario.sending ?? scenario.owners}, () => createOwnerModel({
+	const owners = Array.from({length: scenario.activeOwners ?? scenario.owners}, () => createOwnerModel({
 		schedule, server, givesUp: policy.givesUp, admission: policy.createAdmission({slots, owners: scenario.owners, clock: schedule}),
 	}));
 	const entry = createEntryModel({
@@ -112,11 +112,11 @@
 		});
 	}
 
-	const arrive = async () => {
+	const generateArrivals = async () => {
 		while (schedule.now() < scenario.lengthMs) {
 			const perSecond = plan.getLoad(schedule.now()) * getCapacity(mix, slots);
 			if (perSecond <= 0) {
-				await schedule.sleep(IDLE_STEP_MS);
+				await schedule.sleep(IDLE_POLL_MS);
 				continue;
 			}
 
@@ -127,6 +127,6 @@
 		}
 	};
 
-	void arrive();
+	void generateArrivals();
 	return outcome;
 }
--- a/src/bench/overload/server-model.ts
+++ b/src/bench/overload/server-model.ts
@@ -3,24 +3,24 @@
 /** How a statement ended. */
 export const RunResult = {
 	Done: 'done',
-	/** The server took no connection: proved not run. */
+	/** The server accepted no connection, which proves that the statement did not run. */
 	Refused: 'refused',
-	/** No answer came by the time given, or the connection was cut. The server may still work on it. */
+	/** No response came by the given time, or the connection was cut. The server may still execute the statement. */
 	Silent: 'silent',
 } as const;
 
 /** One of the results in {@link RunResult}. */
 export type RunResult = typeof RunResult[keyof typeof RunResult];
 
-/** A database server as a queue: slots, and first come first served for what finds them taken. */
+/** A database server modelled as a first-come-first-served queue in front of a number of slots. */
 export type ServerModel = {
-	/** Runs a statement of that much work; resolves by `giveUpAt` at the latest. */
+	/** Runs a statement that takes `workMs` at normal speed; resolves by `giveUpAt` at the latest. */
 	run(workMs: number, giveUpAt: number): Promise<RunResult>;
-	/** Work done in a millisecond by each slot; 1 is normal. Holds for statements that begin after. */
+	/** Sets the work that each slot does in a millisecond; 1 is normal. Applies to statements that start executing later. */
 	setSpeed(speed: number): void;
-	/** While set the server takes no connection; what runs goes on. */
+	/** Sets whether the server refuses connections; running statements continue. */
 	setRefusing(refusing: boolean): void;
-	/** Loses all that runs and waits, as a crash does; its connections are cut. */
+	/** Cuts all connections and drops all running and waiting statements, as a crash does. */
 	crash(): void;
 };
 
@@ -29,7 +29,7 @@
 	end(result: RunResult): void;
 };
 
-/** Creates a server; an exchange costs `roundTripMs` beside its work. */
+/** Creates a server; an exchange takes `roundTripMs` in addition to its work. */
 export function createServerModel(schedule: VirtualSchedule, slots: number, roundTripMs: number): ServerModel {
 	const waiting: Job[] = [];
 	const running = new Set<Job>();
--- a/src/bench/overload/traffic.ts
+++ b/src/bench/overload/traffic.ts
@@ -1,23 +1,23 @@
 import type {WorkClass} from '../../groups/group-config.js';
 import type {Random} from '../../random/random.js';
 
-/** What callers of one class send. */
+/** The traffic of one class. */
 export type ClassTraffic = {
 	/** Part of all requests, 0 to 1. */
 	readonly part: number;
 	/** Mean time that a statement takes on an idle server, in milliseconds. */
 	readonly workMs: number;
-	/** Mean time that callers wait, in milliseconds; it is drawn evenly from half to one and a half of it. */
+	/** Mean deadline of a request, in milliseconds; deadlines are uniformly distributed from 0.5 to 1.5 times the mean. */
 	readonly deadlineMs: number;
 	readonly isRead: boolean;
-	/** Mean time that an answer waits for replication, in milliseconds. */
+	/** Mean time that a response waits for replication, in milliseconds. */
 	readonly replicationMs: number;
 };
 
-/** What callers send, by class. */
+/** The traffic of callers, by class. */
 export type Mix = Readonly<Record<WorkClass, ClassTraffic>>;
 
-/** Filings and syncs; lookups and coach pulls; dockets and reconciliation, which take longer each. */
+/** Traffic of the users: filings and syncs (deadline); lookups and coach pulls (interactive); dockets and reconciliation, which take longer each (background). */
 export const USERS_MIX: Mix = {
 	deadline: {
 		part: 0.2, workMs: 10, deadlineMs: 1000, isRead: false, replicationMs: 0,
@@ -30,16 +30,16 @@
 	},
 };
 
-/** Spread of a statement's work around its mean: the sigma of a log-normal distribution, with a 99th percentile of 4.7 times the mean. */
+/** Sigma of the log-normal distribution of a statement's work, whose 99th percentile is 4.7 times the mean. */
 const WORK_SIGMA = 0.8;
 
-/** Requests a second that keep all slots busy. */
+/** Returns the request rate that keeps all slots busy, in requests a second. */
 export function getCapacity(mix: Mix, slots: number): number {
 	const meanMs = Object.values(mix).reduce((sum, traffic) => sum + (traffic.part * traffic.workMs), 0);
 	return slots * 1000 / meanMs;
 }
 
-/** Draws the class of the next request. */
+/** Draws the class of a request by the parts of the mix. */
 export function drawClass(mix: Mix, random: Random): WorkClass {
 	const fraction = random.fraction();
 	if (fraction < mix.deadline.part) {
@@ -49,7 +49,7 @@
 	return fraction < mix.deadline.part + mix.interactive.part ? 'interactive' : 'background';
 }
 
-/** Draws a statement's work, log-normal around its mean. */
+/** Draws a statement's work from a log-normal distribution with the given mean, in milliseconds. */
 export function drawWorkMs(meanMs: number, random: Random): number {
 	const angle = 2 * Math.PI * random.fraction();
 	const normal = Math.sqrt(-2 * Math.log(1 - random.fraction())) * Math.cos(angle);
--- a/tests/bench/overload-tests.ts
+++ b/tests/bench/overload-tests.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {
-	getAnswerMs, getInTimePart, getRecoveryMs, getUsefulWork,
+	getResponseMs, getInTimePart, getRecoveryMs, getUsefulWork,
 } from '../../src/bench/overload/figures.js';
 import {runOneGroup, SLOTS} from '../../src/bench/overload/part.js';
 import {WORK_CLASSES} from '../../src/admission/class-queues.js';
@@ -14,23 +14,23 @@
 		return outcomes;
 	};
 
-	it('repeats a run of the same seed', async () => {
+	it('yields the same outcomes for the same seed', async () => {
 		expect(await run(1)).to.deep.equal(await run(1));
 	});
 
-	it('keeps useful work, the deadline class and every share at twice the capacity', async () => {
+	it('keeps the useful work, the deadline class\'s latency and every class\'s share at twice the capacity', async () => {
 		const [quiet, full, twice] = [await run(0.5), await run(1), await run(2)];
 		expect(getUsefulWork(twice, WINDOW, SLOTS)).to.be.at.least(0.95 * getUsefulWork(full, WINDOW, SLOTS));
-		expect(getAnswerMs(twice, WINDOW, 'deadline', 0.99)).to.be.at.most(2 * getAnswerMs(quiet, WINDOW, 'deadline', 0.99));
+		expect(getResponseMs(twice, WINDOW, 'deadline', 0.99)).to.be.at.most(2 * getResponseMs(quiet, WINDOW, 'deadline', 0.99));
 		expect(getInTimePart(twice, WINDOW, 'deadline')).to.equal(1);
 		for (const workClass of WORK_CLASSES) {
 			expect(getInTimePart(twice, WINDOW, workClass)).to.be.at.least(0.1);
 		}
 	});
 
-	// Story: a server is gone for a second, and all its callers ask again and again. Before there was an admission the queue
-	// was longer than any deadline when the server came back, and it never again answered anybody in time.
-	it('answers as before within a second after an outage', async () => {
+	// A server is down for a second while all its callers retry. Without admission the queue is longer than any deadline when the
+	// server is back, and no request is ever again answered in time.
+	it('answers requests as before the outage within a second after it', async () => {
 		const {outcomes} = await runOneGroup(1, {
 			callers: 'impatient',
 			lengthMs: LENGTH_MS,
