--- a/src/bench/site-load/placements.ts
+++ b/src/bench/site-load/placements.ts
@@ -2,43 +2,43 @@
 import {CostBasedPlacement, type ReadPlacement} from '../../placement/read-placement.js';
 import type {PlainServer} from '../../stand-ins/plain-group/plain-server.js';
 
-/** A way to place reads, created for each host. */
+/** A policy for placing reads; each host creates a placement of its own. */
 export type PlacementWay = {
 	readonly name: string;
 	create(findServer: (id: string) => PlainServer): ReadPlacement;
 };
 
-/** The product. */
+/** The product's placement. */
 export const WEIGHED: PlacementWay = {name: 'load, lag and zone weighed', create: () => new CostBasedPlacement()};
 
-/** Every read at the primary: what a proxy does that knows nothing of replicas. */
+/** Places every read at the primary, like a proxy that does not know replicas. */
 class PrimaryPlacement implements ReadPlacement {
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		return candidates.find(({isPrimary}) => isPrimary);
 	}
 }
 
-/** One replica after the other, whatever is known of them. */
-class TurnPlacement implements ReadPlacement {
-	private turn = 0;
+/** Places reads at the replicas by turns, regardless of their load and lag. */
+class RoundRobinPlacement implements ReadPlacement {
+	private reads = 0;
 
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		const replicas = candidates.filter(({isPrimary}) => !isPrimary);
 		const from = replicas.length > 0 ? replicas : candidates;
-		this.turn++;
-		return from[this.turn % from.length];
+		this.reads++;
+		return from[this.reads % from.length];
 	}
 }
 
-/** The replica in the host's own zone where there is one, else one after the other. */
-class ZonePlacement extends TurnPlacement {
+/** Places reads by turns at the replicas in the host's own zone, or at all replicas where that zone has none. */
+class OwnZonePlacement extends RoundRobinPlacement {
 	override choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		const near = candidates.filter(({sameZone, isPrimary}) => sameZone && !isPrimary);
 		return super.choose(near.length > 0 ? near : candidates);
 	}
 }
 
-/** The product's weights with what only the stand-in knows: the true load and time of each server, of all hosts together. */
+/** Applies the product's costs to the true load of each server, from all hosts, and its true added time, which only the simulation knows. */
 class OraclePlacement extends CostBasedPlacement {
 	constructor(private readonly findServer: (id: string) => PlainServer) {
 		super();
@@ -52,8 +52,8 @@
 	}
 }
 
-/** Weights in milliseconds, the same for short statements and long ones. */
-class MillisecondPlacement implements ReadPlacement {
+/** Adds penalties in milliseconds, which are the same for short and long statements. */
+class FixedPenaltyPlacement implements ReadPlacement {
 	choose(candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
 		const getCost = ({load, slots, serviceMs, catchUpMs, sameZone, isPrimary}: ReadCandidate) =>
 			((load + 1) * serviceMs / slots) + catchUpMs + (sameZone ? 0 : 25) + (isPrimary ? 30 : 0);
@@ -61,14 +61,14 @@
 	}
 }
 
-/** The version before the product's, of 25 ms for another zone and 30 for the primary. */
-export const BY_MILLISECONDS: PlacementWay = {name: 'weights in milliseconds', create: () => new MillisecondPlacement()};
+/** The product's former placement, with penalties of 25 ms for another zone and 30 ms for the primary. */
+export const FIXED_PENALTIES: PlacementWay = {name: 'weights in milliseconds', create: () => new FixedPenaltyPlacement()};
 
-/** What the product is compared with. */
+/** The placements that the product's is compared with. */
 export const OTHER_PLACEMENTS: readonly PlacementWay[] = [
-	BY_MILLISECONDS,
+	FIXED_PENALTIES,
 	{name: 'primary only', create: () => new PrimaryPlacement()},
-	{name: 'replicas by turns', create: () => new TurnPlacement()},
-	{name: 'own zone, else by turns', create: () => new ZonePlacement()},
+	{name: 'replicas by turns', create: () => new RoundRobinPlacement()},
+	{name: 'own zone, else by turns', create: () => new OwnZonePlacement()},
 	{name: 'true loads known', create: findServer => new OraclePlacement(findServer)},
 ];
--- a/src/bench/site-load/play-site.ts
+++ b/src/bench/site-load/play-site.ts
@@ -5,47 +5,47 @@
 import type {PlacementWay} from './placements.js';
 import {createSiteCallers, type RequestOutcome} from './site-callers.js';
 import type {RequestShape, SiteShape} from './site-shapes.js';
-import type {SiteStretch} from './site-troubles.js';
+import type {SitePhase} from './site-troubles.js';
 
-/** What a day on a site came to. */
+/** Results of a simulated day at a site. */
 export type SitePlay = {
 	readonly outcomes: readonly RequestOutcome[];
-	/** When each stretch began. */
-	readonly begunAt: ReadonlyArray<{readonly stretch: SiteStretch; readonly at: number}>;
-	/** Reads placed, in the host's own zone among them, and at a replica. */
+	/** When each phase began. */
+	readonly begunAt: ReadonlyArray<{readonly phase: SitePhase; readonly at: number}>;
+	/** Numbers of reads placed in all, in the host's own zone and at a replica. */
 	readonly placed: {reads: number; near: number; replicas: number};
 };
 
-/** Hosts that have just registered replace nothing for 9 s. */
+/** Time before the first request, in milliseconds: hosts that have just registered replace no primary for 9 s. */
 const WARM_UP_MS = 10_000;
 
-/** Longest time until the last answer is there, in milliseconds. */
-const TAIL_MS = 7000;
+/** Time after the day in which the last requests complete, in milliseconds. */
+const DRAIN_MS = 7000;
 
-/** Within one zone a message takes this share of the way between zones. */
-const NEAR_WAY = 0.2;
+/** One-way latency within a zone, as a part of that between zones. */
+const SAME_ZONE_LATENCY_PART = 0.2;
 
-/** One statement in a hundred takes so many times the usual. */
-const HEAVY_SHARE = 0.01;
-const HEAVY_FACTOR = 5;
+/** One statement in a hundred takes five times the usual time. */
+const SLOW_STATEMENT_SHARE = 0.01;
+const SLOW_STATEMENT_FACTOR = 5;
 
-/** Plays a day on a site with one way of placing reads; the same seed brings the same requests. */
-export async function playSite(site: SiteShape, day: readonly SiteStretch[], way: PlacementWay, seed: number): Promise<SitePlay> {
+/** Simulates a day at a site with one policy for placing reads; the same seed yields the same requests. */
+export async function playSite(site: SiteShape, day: readonly SitePhase[], policy: PlacementWay, seed: number): Promise<SitePlay> {
 	const clock = createVirtualClock();
-	const work = createSeededRandom(seed + 1);
+	const workRandom = createSeededRandom(seed + 1);
 	const placed = {reads: 0, near: 0, replicas: 0};
-	const workOf = new Map(site.requests.map(({name, workMs}) => [name, workMs]));
+	const meanWorkMs = new Map(site.requests.map(({name, workMs}) => [name, workMs]));
 
 	const getServiceMs = (text: string) => {
-		const mean = workOf.get(text.split(' ')[1] ?? text) ?? 2;
-		const heavy = work.fraction() < HEAVY_SHARE ? HEAVY_FACTOR : 1;
-		return mean * (0.5 + work.fraction()) * heavy;
+		const mean = meanWorkMs.get(text.split(' ')[1] ?? text) ?? 2;
+		const factor = workRandom.fraction() < SLOW_STATEMENT_SHARE ? SLOW_STATEMENT_FACTOR : 1;
+		return mean * (0.5 + workRandom.fraction()) * factor;
 	};
 
-	const getWayMs = (hostZone: string | undefined, serverZone: string) => hostZone === serverZone ? site.zoneWayMs * NEAR_WAY : site.zoneWayMs;
+	const getOneWayMs = (hostZone: string | undefined, serverZone: string) => hostZone === serverZone ? site.crossZoneOneWayMs * SAME_ZONE_LATENCY_PART : site.crossZoneOneWayMs;
 
 	const createPlacement: SimulatedProxiesOptions['createPlacement'] = () => {
-		const placement = way.create(id => system.groups.flatMap(({servers}) => servers).find(server => server.id === id)!);
+		const placement = policy.create(id => system.groups.flatMap(({servers}) => servers).find(server => server.id === id)!);
 		return {
 			choose(candidates: readonly ReadCandidate[]) {
 				const chosen = placement.choose(candidates);
@@ -71,7 +71,7 @@
 			replicateMs: 10,
 			observer: {onRead() {}, onCommit() {}}, // eslint-disable-line @typescript-eslint/no-empty-function
 			getServiceMs,
-			getWayMs,
+			getWayMs: getOneWayMs,
 		})),
 		routes: site.requests.flatMap(shape => Array.from({length: site.groups}, (_, group) => createRoute(shape, group))),
 		createPlacement,
@@ -82,21 +82,21 @@
 
 	await clock.advance(WARM_UP_MS);
 	const callers = createSiteCallers(system, site, clock, createSeededRandom(seed));
-	const begunAt: Array<{stretch: SiteStretch; at: number}> = [];
-	for (const stretch of day) {
-		begunAt.push({stretch, at: clock.now()});
-		stretch.begin(system);
-		callers.send(stretch.lengthMs, stretch.rate);
-		await clock.advance(stretch.lengthMs);
-		stretch.end(system);
+	const begunAt: Array<{phase: SitePhase; at: number}> = [];
+	for (const phase of day) {
+		begunAt.push({phase, at: clock.now()});
+		phase.begin(system);
+		callers.send(phase.lengthMs, phase.rate);
+		await clock.advance(phase.lengthMs);
+		phase.end(system);
 	}
 
-	await clock.advance(TAIL_MS);
+	await clock.advance(DRAIN_MS);
 	system.stop();
 	return {outcomes: callers.outcomes, begunAt, placed};
 }
 
-function createRoute({name, policy, maxReadAgeMs, deadlineMs, aimMs, worth}: RequestShape, group: number) {
+function createRoute({name, policy, maxReadAgeMs, deadlineMs, aimMs: targetMs, worth: fullValue}: RequestShape, group: number) {
 	return {
 		name: `${name}-${group}`,
 		database: `${name}-${group}`,
@@ -104,7 +104,7 @@
 		policy,
 		maxReadAgeMs,
 		statementTimeoutMs: deadlineMs,
-		targetLatencyMs: aimMs,
-		priority: worth > 1 ? 1 : 2,
+		targetLatencyMs: targetMs,
+		priority: fullValue > 1 ? 1 : 2,
 	};
 }
--- a/src/bench/site-load/site-callers.ts
+++ b/src/bench/site-load/site-callers.ts
@@ -6,11 +6,11 @@
 import {AnswerCode} from '../../statements/statement-answer.js';
 import type {RequestShape, SiteShape} from './site-shapes.js';
 
-/** What became of one request. */
+/** Outcome of one request. */
 export type RequestOutcome = {
 	readonly shape: RequestShape;
 	readonly sentAt: number;
-	/** Time until it was done, in milliseconds; undefined where it never was. */
+	/** Time until it completed, in milliseconds; undefined where it never did. */
 	readonly tookMs: number | undefined;
 	readonly refusals: number;
 };
@@ -18,22 +18,22 @@
 /** Callers that send a site's requests. */
 export type SiteCallers = {
 	readonly outcomes: readonly RequestOutcome[];
-	/** Sends for that long, at a multiple of the calm rate. */
+	/** Sends requests for that long, at `rate` times the rate in calm times. */
 	send(lengthMs: number, rate: number): void;
 };
 
 /** Pause of a caller between the statements of a transaction, in milliseconds. */
-const THINK_MS = 15;
+const THINK_TIME_MS = 15;
 
-/** Statements of a transaction, beside its begin and commit. */
+/** Statements of a transaction, besides its begin and commit. */
 const STATEMENTS = 2;
 
-/** Where a refusal does not say when to come back, in milliseconds. */
-const COME_BACK_MS = 300;
+/** Delay before a retry, in milliseconds; these callers do not read the retry-after of a refusal. */
+const RETRY_DELAY_MS = 300;
 
-type TryEnd = 'done' | 'refused' | 'failed';
+type AttemptResult = 'done' | 'refused' | 'failed';
 
-/** Creates callers over all hosts, as behind a balancer that knows nothing. */
+/** Creates callers whose requests go to random living hosts, as behind a load balancer without load information. */
 export function createSiteCallers(system: SimulatedProxies, site: SiteShape, clock: VirtualClock, random: Random): SiteCallers {
 	const outcomes: RequestOutcome[] = [];
 	const idle = new Map<string, ScriptedCaller[]>();
@@ -48,9 +48,9 @@
 
 	const openCaller = async (host: SimulatedProxy, database: string, shape: RequestShape) => {
 		const key = `${host.name} ${database}`;
-		const known = shape.opensSession ? undefined : idle.get(key)?.pop();
-		if (known && !known.closed) {
-			return known;
+		const idleCaller = shape.opensSession ? undefined : idle.get(key)?.pop();
+		if (idleCaller && !idleCaller.closed) {
+			return idleCaller;
 		}
 
 		const caller = createScriptedCaller();
@@ -58,7 +58,7 @@
 		return await caller.open(database) ? caller : undefined;
 	};
 
-	const keepCaller = (host: SimulatedProxy, database: string, shape: RequestShape, caller: ScriptedCaller) => {
+	const releaseCaller = (host: SimulatedProxy, database: string, shape: RequestShape, caller: ScriptedCaller) => {
 		if (shape.opensSession) {
 			caller.leave();
 			return;
@@ -68,7 +68,7 @@
 		idle.set(key, [...idle.get(key) ?? [], caller]);
 	};
 
-	const judge = (answer: ScriptedAnswer | undefined, mayRepeat: boolean): TryEnd => {
+	const classify = (answer: ScriptedAnswer | undefined, mayRepeat: boolean): AttemptResult => {
 		if (answer?.end.kind === 'complete') {
 			return 'done';
 		}
@@ -77,7 +77,7 @@
 		return didNotRun || mayRepeat ? 'refused' : 'failed';
 	};
 
-	const runTransaction = async (caller: ScriptedCaller, shape: RequestShape): Promise<TryEnd> => {
+	const runTransaction = async (caller: ScriptedCaller, shape: RequestShape): Promise<AttemptResult> => {
 		const readOnly = shape.writeShare === 0;
 		const statements: Statement[] = [
 			{kind: 'begin', readOnly},
@@ -88,7 +88,7 @@
 		];
 		for (const statement of statements) {
 			const answer = await caller.ask(createId(), statement);
-			const end = judge(answer, statement.kind !== 'commit' || readOnly);
+			const end = classify(answer, statement.kind !== 'commit' || readOnly);
 			if (end !== 'done') {
 				if (answer && answer.state !== SessionState.Idle) {
 					await caller.ask(createId(), {kind: 'rollback'});
@@ -98,21 +98,21 @@
 			}
 
 			if (statement.kind === 'run') {
-				await clock.sleep(THINK_MS);
+				await clock.sleep(THINK_TIME_MS);
 			}
 		}
 
 		return 'done';
 	};
 
-	const runOnce = async (caller: ScriptedCaller, shape: RequestShape, draw: number): Promise<TryEnd> => {
+	const runOnce = async (caller: ScriptedCaller, shape: RequestShape, draw: number): Promise<AttemptResult> => {
 		if (draw < shape.transactionShare) {
 			return runTransaction(caller, shape);
 		}
 
 		const writes = draw < shape.transactionShare + shape.writeShare;
 		const access = writes ? Access.Write : Access.Read;
-		return judge(await caller.ask(createId(), {kind: 'run', access, text: writes ? `WRITE ${shape.name} x` : `READ ${shape.name}`}), !writes);
+		return classify(await caller.ask(createId(), {kind: 'run', access, text: writes ? `WRITE ${shape.name} x` : `READ ${shape.name}`}), !writes);
 	};
 
 	const runRequest = async (shape: RequestShape) => {
@@ -125,7 +125,7 @@
 			const caller = await openCaller(host, database, shape);
 			const end = caller ? await runOnce(caller, shape, draw) : 'refused';
 			if (caller) {
-				keepCaller(host, database, shape, caller);
+				releaseCaller(host, database, shape, caller);
 			}
 
 			if (end === 'done') {
@@ -140,7 +140,7 @@
 				break;
 			}
 
-			await clock.sleep(COME_BACK_MS);
+			await clock.sleep(RETRY_DELAY_MS);
 		}
 
 		outcomes.push({
--- a/src/bench/site-load/site-shapes.ts
+++ b/src/bench/site-load/site-shapes.ts
@@ -5,26 +5,26 @@
 	readonly name: string;
 	readonly policy: ReadPolicy;
 	readonly maxReadAgeMs: number;
-	/** Shares of single writes and of transactions; the rest are single reads. */
+	/** Shares of single writes and of transactions; the remaining requests are single reads. */
 	readonly writeShare: number;
 	readonly transactionShare: number;
-	/** Fresh requests a second in calm times, over all groups. */
+	/** Fresh requests a second at rate 1, over all groups. */
 	readonly perSecond: number;
 	/** Mean time of a statement at an endpoint, in milliseconds. */
 	readonly workMs: number;
-	/** Time within which an answer is worth the whole, in milliseconds from the first sending. */
+	/** Latency target: time within which a response earns the full value, in milliseconds from the first attempt. */
 	readonly aimMs: number;
-	/** Time within which it is worth `lateWorth`. */
+	/** Time within which a response earns `lateValue`, in milliseconds from the first attempt. */
 	readonly deadlineMs: number;
 	readonly worth: number;
 	readonly lateWorth: number;
-	/** How often a caller comes back after a refusal. */
+	/** Maximum number of retries after refusals. */
 	readonly retries: number;
-	/** Each request opens a session of its own. */
+	/** Whether each request opens a session of its own. */
 	readonly opensSession: boolean;
 };
 
-/** A site: its hosts, groups and requests. */
+/** Settings of a site: its hosts, groups and requests. */
 export type SiteShape = {
 	readonly name: string;
 	readonly hosts: number;
@@ -35,12 +35,12 @@
 	readonly connections: number;
 	readonly lagMs: number;
 	readonly promoteMs: number;
-	/** One way between zones; within one it is a fifth, in milliseconds. */
-	readonly zoneWayMs: number;
+	/** One-way latency between zones, in milliseconds; within a zone it is a fifth of it. */
+	readonly crossZoneOneWayMs: number;
 	readonly requests: readonly RequestShape[];
 };
 
-/** Sleep logs: heavy reads, most of which replicas may serve. */
+/** Sleep logs: long reads, most of which replicas may serve. */
 export const SLEEP_LOGS: SiteShape = {
 	name: 'sleep logs',
 	hosts: 9,
@@ -51,7 +51,7 @@
 	connections: 22,
 	lagMs: 20,
 	promoteMs: 1000,
-	zoneWayMs: 0.9,
+	crossZoneOneWayMs: 0.9,
 	requests: [
 		{
 			name: 'sync', policy: ReadPolicy.Primary, maxReadAgeMs: 0, writeShare: 0.35, transactionShare: 0.4, perSecond: 47, workMs: 8,
@@ -68,7 +68,7 @@
 	],
 };
 
-/** Filings: short statements, a session for each lookup. */
+/** Filings: short statements, and a session for each lookup. */
 export const FILINGS: SiteShape = {
 	name: 'filings',
 	hosts: 9,
@@ -79,7 +79,7 @@
 	connections: 34,
 	lagMs: 60,
 	promoteMs: 600,
-	zoneWayMs: 1.4,
+	crossZoneOneWayMs: 1.4,
 	requests: [
 		{
 			name: 'filing', policy: ReadPolicy.Primary, maxReadAgeMs: 0, writeShare: 0.2, transactionShare: 0.25, perSecond: 47, workMs: 3,
--- a/src/bench/site-load/site-troubles.ts
+++ b/src/bench/site-load/site-troubles.ts
@@ -1,36 +1,37 @@
 import type {SimulatedProxies} from '../../stand-ins/proxies/simulated-proxies.js';
 
-/** A stretch of a day, with what is wrong in it. */
-export type SiteStretch = {
+/** A phase of a simulated day, with the faults in it. */
+export type SitePhase = {
 	readonly name: string;
 	readonly lengthMs: number;
-	/** Multiple of the calm rate of requests. */
+	/** Request rate as a multiple of the rate in calm times. */
 	readonly rate: number;
 	begin(system: SimulatedProxies): void;
 	end(system: SimulatedProxies): void;
 };
 
-function nothing(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
+function noop(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 
 const getPrimaries = (system: SimulatedProxies) => system.groups.map(group => group.leader);
 
 const getReplicas = (system: SimulatedProxies) => system.groups.flatMap(group => group.servers.filter(({id}) => id !== group.leader.id));
 
-/** Time that a slow server adds to each statement, in milliseconds: a heavy statement takes some four times as long. */
-const SLOW_MS = 100;
+/** Time that a slow server adds to each statement, in milliseconds; a long statement then takes about four times as long. */
+const SLOW_SERVER_EXTRA_MS = 100;
 
-const FAR_BEHIND_MS = 1800;
+/** Replication lag of replicas that are far behind, in milliseconds. */
+const HIGH_LAG_MS = 1800;
 
-/** A day: calm times, then one trouble after the other, each with some time to recover. */
-export const SITE_DAY: readonly SiteStretch[] = [
+/** A simulated day: a calm phase, then a burst and one fault after another, with calm phases to recover after the burst and the crash. */
+export const SITE_DAY: readonly SitePhase[] = [
 	{
-		name: 'calm', lengthMs: 4000, rate: 1, begin: nothing, end: nothing,
+		name: 'calm', lengthMs: 4000, rate: 1, begin: noop, end: noop,
 	},
 	{
-		name: 'burst of three times as many', lengthMs: 4000, rate: 3, begin: nothing, end: nothing,
+		name: 'burst of three times as many', lengthMs: 4000, rate: 3, begin: noop, end: noop,
 	},
 	{
-		name: 'after the burst', lengthMs: 2000, rate: 1, begin: nothing, end: nothing,
+		name: 'after the burst', lengthMs: 2000, rate: 1, begin: noop, end: noop,
 	},
 	{
 		name: 'one replica of each group slow',
@@ -38,7 +39,7 @@
 		rate: 1,
 		begin(system) {
 			for (const group of system.groups) {
-				group.servers.find(({id}) => id !== group.leader.id)!.slowMs = SLOW_MS;
+				group.servers.find(({id}) => id !== group.leader.id)!.slowMs = SLOW_SERVER_EXTRA_MS;
 			}
 		},
 		end(system) {
@@ -53,7 +54,7 @@
 		rate: 1,
 		begin(system) {
 			for (const server of getReplicas(system)) {
-				server.lagMs = FAR_BEHIND_MS;
+				server.lagMs = HIGH_LAG_MS;
 			}
 		},
 		end(system) {
@@ -71,7 +72,7 @@
 				server.loseAnswers += 5;
 			}
 		},
-		end: nothing,
+		end: noop,
 	},
 	{
 		name: 'primary of one group crashed',
@@ -87,6 +88,6 @@
 		},
 	},
 	{
-		name: 'after the crash', lengthMs: 2000, rate: 1, begin: nothing, end: nothing,
+		name: 'after the crash', lengthMs: 2000, rate: 1, begin: noop, end: noop,
 	},
 ];
