--- a/src/bench/rate-limits/counting-host.ts
+++ b/src/bench/rate-limits/counting-host.ts
@@ -4,21 +4,21 @@
 import {createRateLimiter} from '../../workspaces/rate-limiter.js';
 import {createTokenIssuer} from '../../workspaces/token-issuer.js';
 import {createTokenSource} from '../../workspaces/token-source.js';
-import {WAY_MS, type FleetLimit, type FleetLimitOptions} from './fleet-limit.js';
+import {ONE_WAY_MS, type FleetLimit, type FleetLimitOptions} from './fleet-limit.js';
 
-/** The product's way: one host counts and issues tokens, and others stand by. */
+/** Enforces the limit like the product: one host counts and issues tokens, and its fallbacks take over where it does not respond. */
 export function createCountingHost({clock, hosts: hostCount, limit: firstLimit}: FleetLimitOptions): FleetLimit {
-	const network = createPeerNetwork(clock, {latencyMs: WAY_MS});
+	const network = createPeerNetwork(clock, {latencyMs: ONE_WAY_MS});
 	const hosts = Array.from({length: hostCount}, (_, i) => ({name: `entry-${i}`, peerAddress: `entry-${i}:7000`, availabilityZone: `zone-${i % 4}`}));
 	const dead = new Set<number>();
 	let limit = firstLimit;
 	let messages = 0;
-	let lastAsked = hosts[0]!.peerAddress;
+	let lastCalled = hosts[0]!.peerAddress;
 
-	const count = (peers: Peers): Peers => ({
+	const countMessages = (peers: Peers): Peers => ({
 		async call(address, kind, req, timeoutMs) {
 			messages += 2;
-			lastAsked = address;
+			lastCalled = address;
 			return peers.call(address, kind, req, timeoutMs);
 		},
 		handle: peers.handle,
@@ -29,7 +29,7 @@
 		peers.handle('host-alive', async () => ({alive: true as const}));
 		return createRateLimiter({
 			source: createTokenSource({
-				peers: count(peers),
+				peers: countMessages(peers),
 				unreachable: createUnreachableHosts(),
 				clock,
 				ownPeerAddress: peerAddress,
@@ -56,8 +56,8 @@
 			limit = changed;
 		},
 		killCoordinator() {
-			network.kill(lastAsked);
-			dead.add(hosts.findIndex(({peerAddress}) => peerAddress === lastAsked));
+			network.kill(lastCalled);
+			dead.add(hosts.findIndex(({peerAddress}) => peerAddress === lastCalled));
 		},
 	};
 }
--- a/src/bench/rate-limits/demand-shares.ts
+++ b/src/bench/rate-limits/demand-shares.ts
@@ -1,13 +1,13 @@
 import {createTokenBucket} from '../../workspaces/token-bucket.js';
-import {WAY_MS, type FleetLimit, type FleetLimitOptions} from './fleet-limit.js';
+import {ONE_WAY_MS, type FleetLimit, type FleetLimitOptions} from './fleet-limit.js';
 
-/** Pause between two reports of a host's demand, in milliseconds: that of the news of the store. */
-const REPORT_EVERY_MS = 700;
+/** Interval between two reports of a host's demand, in milliseconds: that of the confirmations of the store's copies. */
+const REPORT_INTERVAL_MS = 700;
 
-/** A host that coordinates and is silent is replaced after so long, in milliseconds. */
-const REPLACED_AFTER_MS = 2000;
+/** Time until a silent coordinator is replaced, in milliseconds. */
+const REPLACEMENT_MS = 2000;
 
-/** Each host has a part of the limit by its demand, as one host reckons it from what all report. */
+/** Gives each host a share of the limit in proportion to its demand, which one host computes from the reports of all. */
 export function createDemandShares({clock, random, hosts, limit: firstLimit}: FleetLimitOptions): FleetLimit {
 	let limit = firstLimit;
 	let messages = 0;
@@ -25,19 +25,19 @@
 	};
 
 	const reportLoop = async (host: number) => {
-		await clock.sleep(random.fraction() * REPORT_EVERY_MS);
+		await clock.sleep(random.fraction() * REPORT_INTERVAL_MS);
 		while (!dead.has(host)) {
-			await clock.sleep(REPORT_EVERY_MS);
+			await clock.sleep(REPORT_INTERVAL_MS);
 			if (clock.now() < coordinatedFrom) {
 				continue;
 			}
 
 			messages += 2;
-			await clock.sleep(WAY_MS);
+			await clock.sleep(ONE_WAY_MS);
 			reported.set(host, demands[host]!);
 			demands[host] = 0;
 			const share = getShare(host);
-			await clock.sleep(WAY_MS);
+			await clock.sleep(ONE_WAY_MS);
 			buckets[host]!.setLimit(share, clock.now());
 		}
 	};
@@ -60,7 +60,7 @@
 		},
 		killCoordinator() {
 			dead.add(0);
-			coordinatedFrom = clock.now() + REPLACED_AFTER_MS;
+			coordinatedFrom = clock.now() + REPLACEMENT_MS;
 		},
 	};
 }
--- a/src/bench/rate-limits/fleet-limit.ts
+++ b/src/bench/rate-limits/fleet-limit.ts
@@ -2,20 +2,20 @@
 import type {VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 import type {RateLimit} from '../../workspaces/workspace.js';
 
-/** One way of holding a fleet to one limit. */
+/** Enforcement of one limit over a fleet of hosts. */
 export type FleetLimit = {
-	/** Messages between hosts so far. */
+	/** Number of messages between hosts so far. */
 	readonly messages: number;
-	/** Whether an operation may run at a host. */
+	/** Resolves with whether an operation may run at a host. */
 	take(host: number): Promise<boolean>;
 	setLimit(limit: RateLimit): void;
-	/** Ends the host that coordinates, where there is one; its callers go to others. */
+	/** Kills the host that coordinates; where none does, the first host. Its callers go to other hosts. */
 	killCoordinator(): void;
-	/** Hosts that have ended. */
+	/** Numbers of the hosts that were killed. */
 	readonly dead: ReadonlySet<number>;
 };
 
-/** What a way is made of. */
+/** Dependencies and settings of a {@link FleetLimit}. */
 export type FleetLimitOptions = {
 	readonly clock: VirtualClock;
 	readonly random: Random;
@@ -23,5 +23,5 @@
 	readonly limit: RateLimit;
 };
 
-/** Way of a message from host to host, in milliseconds. */
-export const WAY_MS = 1;
+/** One-way latency between hosts, in milliseconds. */
+export const ONE_WAY_MS = 1;
--- a/src/bench/rate-limits/play-limit.ts
+++ b/src/bench/rate-limits/play-limit.ts
@@ -4,42 +4,42 @@
 import type {RateLimit} from '../../workspaces/workspace.js';
 import type {FleetLimit, FleetLimitOptions} from './fleet-limit.js';
 
-/** A way to hold a limit. */
+/** Creates an enforcement of one limit over a fleet. */
 export type FleetLimitFactory = (options: FleetLimitOptions) => FleetLimit;
 
-/** One part of a play, with its callers at an even rate. */
+/** One step of a load, in which callers send operations at a constant mean rate. */
 export type LoadStep = {
 	readonly ms: number;
-	/** In parts of the limit. */
+	/** Mean rate of operations, as a multiple of the limit's rate. */
 	readonly load: number;
-	/** Part of the hosts that the callers come to, from one end or the other. */
+	/** Hosts that receive the operations; all without it. */
 	readonly hosts?: 'first half' | 'second half';
-	/** Set at the beginning of the step. */
+	/** New limit at the beginning of the step. */
 	readonly limit?: RateLimit;
 	readonly killsCoordinator?: boolean;
-	/** Its operations are judged. */
+	/** Whether the figures include the step's operations. */
 	readonly judged?: boolean;
 };
 
-/** What a play showed. */
+/** Figures of one run. */
 export type LimitFigures = {
-	/** Refused although one counter of the whole fleet would have let it run, as a share of what that lets run. */
+	/** Operations allowed fewer than by one counter of the whole fleet, as a share of those that it allows. */
 	readonly wronglyRefused: number;
-	/** Most operations in a window, as a share of what the users allow there. */
+	/** Maximum number of operations in a window, as a share of what the users allow there. */
 	readonly mostInWindow: number;
 	readonly messagesPerOperation: number;
 	readonly waitP50Ms: number;
 	readonly waitP99Ms: number;
 };
 
-/** Window in which the users count, and what they allow beyond the limit there. */
+/** Window in which the users count operations, and what they allow there: the limit times a factor and some operations more. */
 const WINDOW_MS = 5000;
-const OVERAGE = 1.1;
-const SLACK = 20;
+const ALLOWED_FACTOR = 1.1;
+const ALLOWED_EXTRA = 20;
 
-type Asked = {readonly at: number; readonly doneAt: number; readonly allowed: boolean; readonly judged: boolean; readonly allowedByOracle: boolean};
+type Operation = {readonly startedAt: number; readonly doneAt: number; readonly allowed: boolean; readonly measured: boolean; readonly allowedByOracle: boolean};
 
-/** Plays a load against one way. */
+/** Simulates a load against one enforcement of a limit. */
 export async function playLimit(factory: FleetLimitFactory, hosts: number, limit: RateLimit, steps: readonly LoadStep[], seed: number): Promise<LimitFigures> {
 	const clock = createVirtualClock(undefined, {settleRounds: 2});
 	const random = createSeededRandom(seed);
@@ -47,18 +47,18 @@
 		clock, random, hosts, limit,
 	});
 	const oracle = createTokenBucket(limit, limit.burst, clock.now());
-	const asked: Asked[] = [];
+	const operations: Operation[] = [];
 
-	const ask = async (host: number, judged: boolean) => {
-		const at = clock.now();
-		const allowedByOracle = oracle.take(1, at) === 1;
+	const runOperation = async (host: number, measured: boolean) => {
+		const startedAt = clock.now();
+		const allowedByOracle = oracle.take(1, startedAt) === 1;
 		const allowed = await fleet.take(host);
-		asked.push({
-			at, doneAt: clock.now(), allowed, judged, allowedByOracle,
+		operations.push({
+			startedAt, doneAt: clock.now(), allowed, measured, allowedByOracle,
 		});
 	};
 
-	for (const {ms, load, hosts: part, limit: changed, killsCoordinator, judged = false} of steps) {
+	for (const {ms, load, hosts: part, limit: changed, killsCoordinator, judged: isMeasured = false} of steps) {
 		if (changed) {
 			fleet.setLimit(changed);
 			oracle.setLimit(changed, clock.now());
@@ -72,36 +72,36 @@
 		const rate = limit.ratePerSecond * load;
 		const until = clock.now() + ms;
 		while (clock.now() < until) {
-			void ask(chosen[Math.floor(random.fraction() * chosen.length)]!, judged);
-			// Callers come by chance, at the given rate in the mean.
+			void runOperation(chosen[Math.floor(random.fraction() * chosen.length)]!, isMeasured);
+			// Arrivals are independent, at the given mean rate.
 			await clock.advance(-Math.log(1 - random.fraction()) * 1000 / rate);
 		}
 	}
 
 	await clock.advance(1000);
-	return judge(asked, fleet.messages, limit);
+	return getFigures(operations, fleet.messages, limit);
 }
 
-function judge(asked: readonly Asked[], messages: number, {ratePerSecond, burst}: RateLimit): LimitFigures {
-	const judged = asked.filter(each => each.judged);
-	const owed = judged.filter(({allowedByOracle}) => allowedByOracle).length;
-	const served = judged.filter(({allowed}) => allowed).length;
-	const times = asked.filter(({allowed}) => allowed).map(({doneAt}) => doneAt).toSorted((left, right) => left - right);
-	const waits = judged.map(({at, doneAt}) => doneAt - at).toSorted((left, right) => left - right);
+function getFigures(operations: readonly Operation[], messages: number, {ratePerSecond, burst}: RateLimit): LimitFigures {
+	const measured = operations.filter(operation => operation.measured);
+	const expected = measured.filter(({allowedByOracle}) => allowedByOracle).length;
+	const allowedCount = measured.filter(({allowed}) => allowed).length;
+	const times = operations.filter(({allowed}) => allowed).map(({doneAt}) => doneAt).toSorted((left, right) => left - right);
+	const waits = measured.map(({startedAt, doneAt}) => doneAt - startedAt).toSorted((left, right) => left - right);
 	let first = 0;
-	let most = 0;
+	let maxCount = 0;
 	for (const [last, time] of times.entries()) {
 		while (times[first]! <= time - WINDOW_MS) {
 			first++;
 		}
 
-		most = Math.max(most, last - first + 1);
+		maxCount = Math.max(maxCount, last - first + 1);
 	}
 
 	return {
-		wronglyRefused: Math.max(0, owed - served) / Math.max(1, owed),
-		mostInWindow: most / ((((ratePerSecond * WINDOW_MS / 1000) + burst) * OVERAGE) + SLACK),
-		messagesPerOperation: messages / Math.max(1, asked.length),
+		wronglyRefused: Math.max(0, expected - allowedCount) / Math.max(1, expected),
+		mostInWindow: maxCount / ((((ratePerSecond * WINDOW_MS / 1000) + burst) * ALLOWED_FACTOR) + ALLOWED_EXTRA),
+		messagesPerOperation: messages / Math.max(1, operations.length),
 		waitP50Ms: waits[Math.floor(waits.length / 2)] ?? 0,
 		waitP99Ms: waits[Math.floor(waits.length * 0.99)] ?? 0,
 	};
--- a/src/bench/rate-limits/static-shares.ts
+++ b/src/bench/rate-limits/static-shares.ts
@@ -1,7 +1,7 @@
 import {createTokenBucket} from '../../workspaces/token-bucket.js';
 import type {FleetLimit, FleetLimitOptions} from './fleet-limit.js';
 
-/** Each host grants an equal part of the limit by itself. */
+/** Gives each host an equal share of the limit, which it grants on its own. */
 export function createStaticShares({clock, hosts, limit}: FleetLimitOptions): FleetLimit {
 	const getShare = ({ratePerSecond, burst}: typeof limit) => ({ratePerSecond: ratePerSecond / hosts, burst: burst / hosts});
 	const buckets = Array.from({length: hosts}, () => createTokenBucket(getShare(limit), limit.burst / hosts, clock.now()));
