--- a/src/bench/workspace-links/busy-endpoint.ts
+++ b/src/bench/workspace-links/busy-endpoint.ts
@@ -5,41 +5,41 @@
 import {AnswerCode, type EndpointAnswer} from '../../statements/statement-answer.js';
 import type {Clock} from '../../time/clock.js';
 
-/** An endpoint whose slots are taken by statements and by openings of connections alike. */
+/** A simulated endpoint whose slots serve both statements and openings of connections. */
 export type BusyEndpoint = {
 	readonly opener: LinkOpener;
-	/** Connections that were opened. */
+	/** Number of connections that were opened. */
 	readonly opened: number;
-	/** Openings that met the cap. */
+	/** Number of openings refused because of the connection cap. */
 	readonly overCap: number;
-	/** Statements that were turned away since the queue was full. */
-	readonly turnedAway: number;
+	/** Number of statements and openings rejected because the queue was full. */
+	readonly rejected: number;
 };
 
-/** What the endpoint is made of; times in milliseconds. */
+/** Settings of the endpoint; times in milliseconds. */
 export type BusyEndpointOptions = {
 	readonly clock: Clock;
 	readonly slots: number;
-	/** Statements and openings that may wait for a slot. */
+	/** Maximum number of statements and openings that wait for a slot. */
 	readonly queue: number;
 	readonly maxConnections: number;
 	readonly openMs: number;
-	/** Way there. */
-	readonly wayMs: number;
+	/** One-way latency between a host and the endpoint. */
+	readonly oneWayMs: number;
 };
 
-/** Creates an idle endpoint; the time of a statement is its text. */
-export function createBusyEndpoint({clock, slots: slotCount, queue, maxConnections, openMs, wayMs}: BusyEndpointOptions): BusyEndpoint {
+/** Creates an idle endpoint; the text of a statement is its execution time in milliseconds. */
+export function createBusyEndpoint({clock, slots: slotCount, queue, maxConnections, openMs, oneWayMs}: BusyEndpointOptions): BusyEndpoint {
 	const slots = createServiceSlots(slotCount);
 	let connections = 0;
 	let opened = 0;
 	let overCap = 0;
-	let turnedAway = 0;
+	let rejected = 0;
 
-	/** Takes a slot for so long; false where the queue is full. */
-	const occupy = async (ms: number) => {
+	/** Waits for a slot, holds it for `ms` and resolves with true; resolves with false where the queue is full. */
+	const occupySlot = async (ms: number) => {
 		if (slots.waiting >= queue) {
-			turnedAway++;
+			rejected++;
 			return false;
 		}
 
@@ -63,7 +63,7 @@
 				listener();
 			}
 
-			void clock.sleep(wayMs).then(() => {
+			void clock.sleep(oneWayMs).then(() => {
 				connections--;
 			});
 		};
@@ -77,15 +77,15 @@
 			},
 			async exchange({command}): Promise<EndpointAnswer> {
 				pending++;
-				await clock.sleep(wayMs);
-				const isRun = await occupy(command.kind === 'run' ? Number(command.text) : 1);
-				await clock.sleep(wayMs);
+				await clock.sleep(oneWayMs);
+				const hasRun = await occupySlot(command.kind === 'run' ? Number(command.text) : 1);
+				await clock.sleep(oneWayMs);
 				pending--;
-				listener.onAnswered(!isRun);
-				return {rows: [], end: isRun ? {kind: 'complete'} : {kind: 'error', code: AnswerCode.Overloaded, text: ''}, state: SessionState.Idle};
+				listener.onAnswered(!hasRun);
+				return {rows: [], end: hasRun ? {kind: 'complete'} : {kind: 'error', code: AnswerCode.Overloaded, text: ''}, state: SessionState.Idle};
 			},
 			async readStatus() {
-				throw new Error('no status here');
+				throw new Error('this endpoint does not implement readStatus');
 			},
 			cut: close,
 			close,
@@ -98,7 +98,7 @@
 	return {
 		opener: {
 			async open({address}, _timeoutMs, listener) {
-				await clock.sleep(wayMs);
+				await clock.sleep(oneWayMs);
 				if (connections >= maxConnections) {
 					overCap++;
 					throw createLinkRefused(address, AnswerCode.TooManyConnections);
@@ -106,12 +106,12 @@
 
 				connections++;
 				opened++;
-				if (!await occupy(openMs)) {
+				if (!await occupySlot(openMs)) {
 					connections--;
 					throw createLinkRefused(address, AnswerCode.Overloaded);
 				}
 
-				await clock.sleep(wayMs);
+				await clock.sleep(oneWayMs);
 				listener.onReceived();
 				return createLink(listener);
 			},
@@ -122,8 +122,8 @@
 		get overCap() {
 			return overCap;
 		},
-		get turnedAway() {
-			return turnedAway;
+		get rejected() {
+			return rejected;
 		},
 	};
 }
--- a/src/bench/workspace-links/play-keepers.ts
+++ b/src/bench/workspace-links/play-keepers.ts
@@ -6,91 +6,91 @@
 import {createVirtualClock} from '../../stand-ins/time/virtual-clock.js';
 import {createBusyEndpoint} from './busy-endpoint.js';
 
-/** How an endpoint's connections are spread, and what its callers ask for. */
+/** How an endpoint's connections are distributed over hosts, and the load of its callers. */
 export type KeepersPlay = {
-	/** Hosts that keep connections in each zone. */
+	/** Number of pool hosts in each zone. */
 	readonly keepersPerZone: number;
 	readonly zones: number;
-	/** Whether a workspace's statements meet at one of its zone's hosts; else they go to each by turns. */
+	/** Whether a zone's statements of one workspace all go to the same pool host; else they go to each of the zone's pool hosts by turns. */
 	readonly byWorkspace: boolean;
 	readonly workspaces: number;
-	/** Exponent of the workspaces' sizes. */
+	/** Exponent of the Zipf distribution of the workspaces' loads. */
 	readonly skew: number;
 	readonly statementsPerSecond: number;
-	/** The endpoint works so many times as long for the first seconds. */
+	/** Factor of the execution times in the first seconds, while the endpoint is slow. */
 	readonly slowFactor?: number;
 	readonly seed: number;
 };
 
-/** What came out. */
+/** Figures of one run. */
 export type KeepersFigures = {
 	readonly openedPerStatement: number;
 	readonly overCapPerStatement: number;
-	/** Statements that were not answered in their time, as a share. */
+	/** Share of the statements that were not answered within their timeout. */
 	readonly failed: number;
-	/** The same of those that came once the endpoint had been back to its speed for a while. */
+	/** The same share of the statements sent once the endpoint had been at normal speed for a while. */
 	readonly failedLater: number;
 	readonly p50Ms: number;
 	readonly p99Ms: number;
 };
 
-const PLAY_MS = 20_000;
+const RUN_MS = 20_000;
 
-/** The endpoint is slow until then, and some time later it should have recovered. */
+/** Time until which the endpoint is slow, and time from which it should have recovered, in milliseconds from the start. */
 const SLOW_MS = 5000;
 const RECOVERED_MS = 8000;
 
 const STATEMENT_TIMEOUT_MS = 800;
 const MEAN_WORK_MS = 14;
 const TRANSACTION_SHARE = 0.13;
-const TRANSACTION_REST_MS = 300;
-const BUSY_PAUSE_MS = 20;
+const TRANSACTION_HOLD_MS = 300;
+const RETRY_DELAY_MS = 20;
 
-/** Plays one busy endpoint. */
-export async function playKeepers({keepersPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed}: KeepersPlay): Promise<KeepersFigures> {
+/** Simulates one busy endpoint. */
+export async function playKeepers({keepersPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed}: KeepersPlay): Promise<KeepersFigures> {
 	const clock = createVirtualClock(undefined, {settleRounds: 1});
 	const random = createSeededRandom(seed);
 	const endpoint = createBusyEndpoint({
-		clock, slots: 3, queue: 24, maxConnections: 46, openMs: 12, wayMs: 1,
+		clock, slots: 3, queue: 24, maxConnections: 46, openMs: 12, oneWayMs: 1,
 	});
-	const keepers = keepersPerZone * zones;
-	const pools = Array.from({length: keepers}, () => createEndpointPool({
+	const poolHosts = hostsPerZone * zones;
+	const pools = Array.from({length: poolHosts}, () => createEndpointPool({
 		target: {address: '10.1.0.9:8080', group: 'nights', endpointId: 'i-1'},
 		opener: endpoint.opener,
 		clock,
 		log: createSilentLog(),
-		getLimits: () => ({maxConnections: 46, hosts: keepers, isPoolHost: true}),
+		getLimits: () => ({maxConnections: 46, hosts: poolHosts, isPoolHost: true}),
 		getMinPosition: () => undefined,
 	}));
 	const sizes = Array.from({length: workspaces}, (_, i) => 1 / ((i + 1) ** skew));
 	const total = sizes.reduce((sum, size) => sum + size, 0);
-	const waits: number[] = [];
-	let asked = 0;
+	const latencies: number[] = [];
+	let sent = 0;
 	let failed = 0;
 	let failedLater = 0;
-	let askedLater = 0;
+	let sentLater = 0;
 	const startedAt = clock.now();
 
-	const draw = () => {
-		let left = random.fraction() * total;
+	const drawWorkspace = () => {
+		let remaining = random.fraction() * total;
 		return sizes.findIndex(size => {
-			left -= size;
-			return left <= 0;
+			remaining -= size;
+			return remaining <= 0;
 		});
 	};
 
 	const choosePool = (workspace: string, turn: number): EndpointPool => {
 		const zone = Math.floor(random.fraction() * zones);
-		const near = pools.slice(zone * keepersPerZone, (zone + 1) * keepersPerZone);
+		const zonePools = pools.slice(zone * hostsPerZone, (zone + 1) * hostsPerZone);
 		const hash = hashName(workspace);
-		const ranked = near.map((pool, i) => ({pool, weight: getWeight(hash, hashName(`keeper ${zone} ${i}`))})).toSorted((left, right) => right.weight - left.weight);
-		return byWorkspace ? ranked[0]!.pool : near[turn % near.length]!;
+		const ranked = zonePools.map((pool, i) => ({pool, weight: getWeight(hash, hashName(`keeper ${zone} ${i}`))})).toSorted((left, right) => right.weight - left.weight);
+		return byWorkspace ? ranked[0]!.pool : zonePools[turn % zonePools.length]!;
 	};
 
 	const run = async (pool: EndpointPool, workspace: string) => {
 		const until = clock.now() + STATEMENT_TIMEOUT_MS;
-		const askedAt = clock.now();
-		askedLater += askedAt >= startedAt + RECOVERED_MS ? 1 : 0;
+		const sentAt = clock.now();
+		sentLater += sentAt >= startedAt + RECOVERED_MS ? 1 : 0;
 		const isTransaction = random.fraction() < TRANSACTION_SHARE;
 		while (clock.now() < until) {
 			const sessionLink = await pool.acquire({
@@ -104,9 +104,9 @@
 			const work = String(-Math.log(1 - random.fraction()) * MEAN_WORK_MS * factor);
 			const {end} = await sessionLink.link.exchange({id: 's', command: {kind: 'run', text: work}});
 			if (end.kind === 'complete') {
-				waits.push(clock.now() - askedAt);
+				latencies.push(clock.now() - sentAt);
 				if (isTransaction) {
-					await clock.sleep(TRANSACTION_REST_MS);
+					await clock.sleep(TRANSACTION_HOLD_MS);
 				}
 
 				pool.release(sessionLink);
@@ -114,43 +114,43 @@
 			}
 
 			pool.release(sessionLink);
-			await clock.sleep(BUSY_PAUSE_MS);
+			await clock.sleep(RETRY_DELAY_MS);
 		}
 
 		failed++;
-		failedLater += askedAt >= startedAt + RECOVERED_MS ? 1 : 0;
+		failedLater += sentAt >= startedAt + RECOVERED_MS ? 1 : 0;
 	};
 
-	const endsAt = clock.now() + PLAY_MS;
-	const keeping = setKeeping(pools, clock);
+	const endsAt = clock.now() + RUN_MS;
+	const maintenance = startMaintenance(pools, clock);
 	while (clock.now() < endsAt) {
-		const workspace = `w${draw()}`;
-		void run(choosePool(workspace, asked), workspace);
-		asked++;
+		const workspace = `w${drawWorkspace()}`;
+		void run(choosePool(workspace, sent), workspace);
+		sent++;
 		await clock.advance(-Math.log(1 - random.fraction()) * 1000 / statementsPerSecond);
 	}
 
-	keeping.stop();
+	maintenance.stop();
 	await clock.advance(2000);
-	const sorted = waits.toSorted((left, right) => left - right);
+	const sorted = latencies.toSorted((left, right) => left - right);
 	return {
-		openedPerStatement: endpoint.opened / asked,
-		overCapPerStatement: endpoint.overCap / asked,
-		failed: failed / asked,
-		failedLater: failedLater / Math.max(1, askedLater),
+		openedPerStatement: endpoint.opened / sent,
+		overCapPerStatement: endpoint.overCap / sent,
+		failed: failed / sent,
+		failedLater: failedLater / Math.max(1, sentLater),
 		p50Ms: sorted[Math.floor(sorted.length / 2)] ?? Number.NaN,
 		p99Ms: sorted[Math.floor(sorted.length * 0.99)] ?? Number.NaN,
 	};
 }
 
-const KEEP_EVERY_MS = 250;
+const MAINTENANCE_INTERVAL_MS = 250;
 
-/** Has idle connections looked after as a host does. */
-function setKeeping(pools: readonly EndpointPool[], clock: ReturnType<typeof createVirtualClock>) {
+/** Starts the periodic maintenance of the pools, which a host runs too. */
+function startMaintenance(pools: readonly EndpointPool[], clock: ReturnType<typeof createVirtualClock>) {
 	let stopped = false;
 	void (async () => {
 		while (!stopped) {
-			await clock.sleep(KEEP_EVERY_MS);
+			await clock.sleep(MAINTENANCE_INTERVAL_MS);
 			for (const pool of pools) {
 				pool.maintain();
 			}
