--- a/src/bench/pooling/pooled-server.ts
+++ b/src/bench/pooling/pooled-server.ts
@@ -6,14 +6,14 @@
 /** A database server with a cap on its connections. */
 export type PooledServer = {
 	readonly model: ServerModel;
-	/** The way to the server of one proxy, by its number. */
+	/** Returns the endpoint through which a proxy connects to the server, by the proxy's number. */
 	getEndpoint(proxy: number): Endpoint;
-	/** Forgets a dead proxy's connections, which the server holds until it notices. */
+	/** Drops a dead proxy's connections, which count until the server detects that the proxy is dead. */
 	dropConnections(proxy: number): void;
 	readonly figures: ServerFigures;
 };
 
-/** What a server saw of its connections. */
+/** Counts of a server's connections. */
 export type ServerFigures = {
 	opened: number;
 	refused: number;
@@ -26,7 +26,7 @@
 	term: 1, log: {term: 1, position: 1}, role: 'primary', leaving: false,
 };
 
-/** Creates a server of so many slots that takes at most `cap` connections. */
+/** Creates a server with a number of slots that accepts at most `cap` connections. */
 export function createPooledServer(schedule: VirtualSchedule, slots: number, cap: number): PooledServer {
 	const model = createServerModel(schedule, slots, ROUND_TRIP_MS);
 	const openByProxy = new Map<number, number>();
--- a/src/bench/pooling/pooling-scenario.ts
+++ b/src/bench/pooling/pooling-scenario.ts
@@ -11,33 +11,33 @@
 import {createPooledServer, type ServerFigures} from './pooled-server.js';
 import {createProxyModel, type ProxyModel} from './proxy-model.js';
 
-/** A way to share a server's connections: that many owners, or all nine proxies. */
+/** How a server's connections are shared: among a number of owners, or among all nine proxies. */
 export type Sharing = {
 	readonly name: string;
 	readonly sharers: number;
 };
 
-/** Nine proxies before one server. */
+/** Settings of a run with nine proxies in front of one server. */
 export type PoolingScenario = {
 	readonly seed: number;
 	readonly sharing: Sharing;
-	/** Fresh requests as a multiple of what the server can do, at one proxy. */
+	/** Returns the rate of fresh requests at a proxy, as a multiple of the server's capacity. */
 	getLoad(proxy: number, at: number): number;
-	/** When the first-ranked proxy dies with its host. */
+	/** When the first-ranked proxy crashes with its host. */
 	readonly diesAt?: number;
 };
 
-/** What became of the requests. */
+/** Results of a run. */
 export type PoolingOutcome = {
 	readonly requests: readonly RequestOutcome[];
 	readonly server: ServerFigures;
 };
 
-/** What became of one request. */
+/** Outcome of one request. */
 export type RequestOutcome = {
 	readonly at: number;
 	readonly done: boolean;
-	/** Time before the statement was sent to the server, hop included, in milliseconds. */
+	/** Time until the statement was sent to the server, including the hop between proxies, in milliseconds. */
 	readonly waitedMs: number;
 };
 
@@ -46,15 +46,15 @@
 export const CONNECTIONS = 20;
 export const LENGTH_MS = 30_000;
 
-/** A hop between proxies, there and back, in milliseconds. */
-const HOP_MS = 2;
-/** After that long a silent link is given up: `DEFAULT_PEER_LIMITS.silentAfterMs`. */
-const LINK_SILENT_MS = 2500;
-/** After that long the balancer sends callers elsewhere, and the server drops a dead host's connections. */
-const BALANCER_MS = 3000;
-const SERVER_KEEPS_MS = 10_000;
-const IDLE_STEP_MS = 100;
-const TAIL_MS = 10_000;
+/** Round trip of a hop between proxies, in milliseconds. */
+const HOP_ROUND_TRIP_MS = 2;
+/** Time after which a silent link is closed, in milliseconds: `DEFAULT_PEER_LIMITS.silentAfterMs`. */
+const LINK_TIMEOUT_MS = 2500;
+/** Times after which the load balancer sends a dead host's callers to other proxies, and the server drops its connections, in milliseconds. */
+const BALANCER_TIMEOUT_MS = 3000;
+const SERVER_TIMEOUT_MS = 10_000;
+const IDLE_POLL_MS = 100;
+const DRAIN_MS = 10_000;
 
 /** Runs a scenario in virtual time. */
 export async function runPoolingScenario(scenario: PoolingScenario): Promise<PoolingOutcome> {
@@ -67,7 +67,7 @@
 	}));
 	const requests: RequestOutcome[] = [];
 	for (let entry = 0; entry < PROXIES; entry++) {
-		void arrive(entry, {
+		void generateArrivals(entry, {
 			scenario, schedule, random, proxies, requests,
 		});
 	}
@@ -76,16 +76,16 @@
 		schedule.at(scenario.diesAt, () => {
 			proxies[0]!.die();
 		});
-		schedule.at(scenario.diesAt + SERVER_KEEPS_MS, () => {
+		schedule.at(scenario.diesAt + SERVER_TIMEOUT_MS, () => {
 			server.dropConnections(0);
 		});
 	}
 
-	await schedule.runUntil(LENGTH_MS + TAIL_MS);
+	await schedule.runUntil(LENGTH_MS + DRAIN_MS);
 	return {requests, server: server.figures};
 }
 
-type Run = {
+type RunContext = {
 	readonly scenario: PoolingScenario;
 	readonly schedule: VirtualSchedule;
 	readonly random: Random;
@@ -93,21 +93,21 @@
 	readonly requests: RequestOutcome[];
 };
 
-async function arrive(entry: number, run: Run) {
+async function generateArrivals(entry: number, run: RunContext) {
 	const {scenario, schedule, random, proxies} = run;
-	/** Owners that this entry found dead. */
-	const known = new Set<number>();
+	/** Owners that this entry found unresponsive. */
+	const knownDead = new Set<number>();
 	while (schedule.now() < LENGTH_MS) {
 		const perSecond = scenario.getLoad(entry, schedule.now()) * getCapacity(USERS_MIX, SLOTS);
-		await schedule.sleep(perSecond > 0 ? drawGapMs(perSecond, random) : IDLE_STEP_MS);
-		const isGone = proxies[entry]!.dead && schedule.now() > scenario.diesAt! + BALANCER_MS;
-		if (perSecond > 0 && !isGone) {
-			void request(entry, known, run);
+		await schedule.sleep(perSecond > 0 ? drawGapMs(perSecond, random) : IDLE_POLL_MS);
+		const isBypassed = proxies[entry]!.dead && schedule.now() > scenario.diesAt! + BALANCER_TIMEOUT_MS;
+		if (perSecond > 0 && !isBypassed) {
+			void sendRequest(entry, knownDead, run);
 		}
 	}
 }
 
-async function request(entry: number, known: Set<number>, run: Run) {
+async function sendRequest(entry: number, knownDead: Set<number>, run: RunContext) {
 	const {schedule, random, requests, proxies} = run;
 	const at = schedule.now();
 	const workClass = drawClass(USERS_MIX, random);
@@ -115,27 +115,27 @@
 	const req: ModelRequest = {
 		class: workClass, workMs: drawWorkMs(workMs, random), deadlineAt: at + (deadlineMs * (0.5 + random.fraction())), isRead, replicationMs: 0,
 	};
-	const done = proxies[entry]!.dead ? undefined : await tryOwners(entry, known, req, run);
+	const done = proxies[entry]!.dead ? undefined : await tryOwners(entry, knownDead, req, run);
 	requests.push({at, done: done?.done ?? false, waitedMs: done?.waitedMs ?? 0});
 }
 
-/** Asks one owner, and the others while it is found dead and time is left. */
-async function tryOwners(entry: number, known: Set<number>, req: ModelRequest, run: Run) {
+/** Sends a request to an owner, and again while no owner responds and the deadline has not passed. Owners that are known to be dead are left out. */
+async function tryOwners(entry: number, knownDead: Set<number>, req: ModelRequest, run: RunContext) {
 	const {schedule, random, proxies, scenario} = run;
 	const startedAt = schedule.now();
 	for (;;) {
-		const owners = getOwners(scenario.sharing, known);
+		const owners = getOwners(scenario.sharing, knownDead);
 		const number = scenario.sharing.sharers === PROXIES || owners.includes(entry) ? entry : owners[Math.floor(random.fraction() * owners.length)]!;
-		const hopMs = number === entry ? 0 : HOP_MS;
-		const askedAt = schedule.now();
+		const hopMs = number === entry ? 0 : HOP_ROUND_TRIP_MS;
+		const sentAt = schedule.now();
 		await schedule.sleep(hopMs / 2);
-		const bounded = await withinMs(schedule, Math.min(LINK_SILENT_MS, req.deadlineAt - schedule.now()), proxies[number]!.execute(req));
+		const bounded = await withinMs(schedule, Math.min(LINK_TIMEOUT_MS, req.deadlineAt - schedule.now()), proxies[number]!.execute(req));
 		if (!bounded.timedOut) {
-			return {...bounded.value, waitedMs: bounded.value.waitedMs + (askedAt - startedAt) + hopMs};
+			return {...bounded.value, waitedMs: bounded.value.waitedMs + (sentAt - startedAt) + hopMs};
 		}
 
-		if (schedule.now() - askedAt >= LINK_SILENT_MS || (proxies[number]!.dead && schedule.now() >= scenario.diesAt! + LINK_SILENT_MS)) {
-			known.add(number);
+		if (schedule.now() - sentAt >= LINK_TIMEOUT_MS || (proxies[number]!.dead && schedule.now() >= scenario.diesAt! + LINK_TIMEOUT_MS)) {
+			knownDead.add(number);
 		}
 
 		if (schedule.now() >= req.deadlineAt) {
@@ -144,12 +144,12 @@
 	}
 }
 
-/** The first usable proxies; the rank is the number. */
-function getOwners({sharers}: Sharing, known: ReadonlySet<number>): number[] {
-	return Array.from({length: PROXIES}, (_, number) => number).filter(number => !known.has(number)).slice(0, sharers);
+/** Returns the owners: the first proxies by number that are not known to be dead. */
+function getOwners({sharers}: Sharing, knownDead: ReadonlySet<number>): number[] {
+	return Array.from({length: PROXIES}, (_, number) => number).filter(number => !knownDead.has(number)).slice(0, sharers);
 }
 
-/** Connections each sharer may open; a direct split is favoured: it pays for no control connections and no reserve. */
+/** Returns the number of connections that each sharer may open. The comparison favours a direct split, which is charged for no control connections and no reserve. */
 function getLimit({sharers}: Sharing): number {
 	if (sharers === PROXIES) {
 		return Math.floor(CONNECTIONS / PROXIES);
--- a/src/bench/pooling/proxy-model.ts
+++ b/src/bench/pooling/proxy-model.ts
@@ -9,35 +9,37 @@
 import type {VirtualSchedule} from '../virtual-schedule.js';
 import type {PooledServer} from './pooled-server.js';
 
-/** A proxy that holds connections to the server: the product's admission before the product's pool. */
+/** A proxy that holds connections to the server: the product's admission in front of the product's pool. */
 export type ProxyModel = {
 	readonly dead: boolean;
-	/** Runs a request; `waitedMs` is the time until the statement was sent. */
-	execute(req: ModelRequest): Promise<ProxyAnswer>;
-	/** From then on it answers nothing. */
+	/** Runs a request; does not resolve within the run once the proxy is dead. */
+	execute(req: ModelRequest): Promise<ProxyResponse>;
+	/** Makes the proxy unresponsive from now on. */
 	die(): void;
 };
 
-/** What came of a request at a proxy. */
-export type ProxyAnswer = {
+/** Result of a request at a proxy. */
+export type ProxyResponse = {
 	readonly done: boolean;
+	/** Time until the statement was sent to the server, in milliseconds. */
 	readonly waitedMs: number;
 };
 
-/** What a proxy is made of. */
+/** Dependencies and settings of a proxy model. */
 export type ProxyModelOptions = {
 	readonly schedule: VirtualSchedule;
 	readonly random: Random;
 	readonly server: PooledServer;
 	readonly number: number;
 	readonly slots: number;
-	/** Connections it may have open. */
+	/** Maximum number of open connections. */
 	readonly poolLimit: number;
-	/** How many proxies hold connections to the server. */
+	/** Number of proxies that hold connections to the server. */
 	readonly sharers: number;
 };
 
-const NEVER = 1e9;
+/** Longer than any run, in milliseconds. */
+const NEVER_MS = 1e9;
 
 /** Creates a proxy without connections. */
 export function createProxyModel(options: ProxyModelOptions): ProxyModel {
@@ -65,7 +67,7 @@
 		}
 	};
 
-	const run = async (req: ModelRequest): Promise<ProxyAnswer> => {
+	const run = async (req: ModelRequest): Promise<ProxyResponse> => {
 		const {admission, pool} = getParts();
 		const enteredAt = schedule.now();
 		const admitted = await admission.acquire({class: req.class, deadlineAt: req.deadlineAt}, enteredAt);
@@ -93,12 +95,12 @@
 			return dead;
 		},
 		async execute(req) {
-			const answer = dead ? undefined : await run(req);
-			if (!answer || dead) {
-				await schedule.sleep(NEVER);
+			const response = dead ? undefined : await run(req);
+			if (!response || dead) {
+				await schedule.sleep(NEVER_MS);
 			}
 
-			return answer ?? {done: false, waitedMs: 0};
+			return response ?? {done: false, waitedMs: 0};
 		},
 		die() {
 			dead = true;
--- a/tests/bench/pooling/pooled-server-tests.ts
+++ b/tests/bench/pooling/pooled-server-tests.ts
@@ -3,8 +3,8 @@
 import {runPoolingScenario} from '../../../src/bench/pooling/pooling-scenario.js';
 import {createVirtualSchedule} from '../../../src/bench/virtual-schedule.js';
 
-describe('pooled server of the bench', () => {
-	it('takes no more connections than its cap, and a dead proxy\'s count until they are dropped', async () => {
+describe('pooled server', () => {
+	it('accepts no more connections than its cap, and counts a dead proxy\'s until they are dropped', async () => {
 		const schedule = createVirtualSchedule();
 		const server = createPooledServer(schedule, 3, 2);
 		const results: string[] = [];
@@ -30,7 +30,7 @@
 });
 
 describe('pooling scenario', () => {
-	it('brings the same figures for the same seed', async () => {
+	it('yields the same results for the same seed', async () => {
 		const run = async () => runPoolingScenario({seed: 1, sharing: {name: '2 owners', sharers: 2}, getLoad: (entry, at) => entry === 0 && at < 2000 ? 0.5 : 0});
 		const [first, second] = [await run(), await run()];
 		expect(first).to.deep.equal(second);
