--- a/src/bench/replica-share/lag-model.ts
+++ b/src/bench/replica-share/lag-model.ts
@@ -2,38 +2,38 @@
 import type {DatabaseServer} from '../../stand-ins/database/database-server.js';
 import type {VirtualSchedule} from '../virtual-schedule.js';
 
-/** How a replica lags. */
+/** Parameters of a replica's replication lag. */
 export type ReplicaLag = {
-	/** Middle of the lag, in milliseconds. */
+	/** Median lag, in milliseconds. */
 	readonly medianMs: number;
-	/** Mean time between two stalls, in milliseconds; 0 for none. */
+	/** Mean time between two stalls, in milliseconds; 0 for no stalls. */
 	readonly stallEveryMs: number;
-	/** Longest stall, in milliseconds. */
+	/** Maximum length of a stall, in milliseconds. */
 	readonly stallMs: number;
 };
 
-/** How long one lag lasts before the next is drawn, in milliseconds. */
-const JITTER_EVERY_MS = 250;
+/** Interval between changes of the lag, in milliseconds. */
+const JITTER_INTERVAL_MS = 250;
 
-/** The lag is drawn between the median divided and multiplied by this. */
-const JITTER = 1.6;
+/** The lag is drawn between the median divided by this factor and the median multiplied by it. */
+const JITTER_FACTOR = 1.6;
 
-/** Gives a replica a lag with jitter, and stalls in which it pulls nothing. */
+/** Gives a replica a lag with jitter, and stalls during which it receives nothing. */
 export function startLag(server: DatabaseServer, lag: ReplicaLag, schedule: VirtualSchedule, random: Random): void {
-	void vary(server, lag, schedule, random);
+	void runJitter(server, lag, schedule, random);
 	if (lag.stallEveryMs > 0) {
-		void stall(server, lag, schedule, random);
+		void runStalls(server, lag, schedule, random);
 	}
 }
 
-async function vary(server: DatabaseServer, {medianMs}: ReplicaLag, schedule: VirtualSchedule, random: Random): Promise<void> {
+async function runJitter(server: DatabaseServer, {medianMs}: ReplicaLag, schedule: VirtualSchedule, random: Random): Promise<void> {
 	for (;;) {
-		server.setReplicationLag(medianMs * (JITTER ** ((2 * random.fraction()) - 1)));
-		await schedule.sleep(JITTER_EVERY_MS);
+		server.setReplicationLag(medianMs * (JITTER_FACTOR ** ((2 * random.fraction()) - 1)));
+		await schedule.sleep(JITTER_INTERVAL_MS);
 	}
 }
 
-async function stall(server: DatabaseServer, {stallEveryMs, stallMs}: ReplicaLag, schedule: VirtualSchedule, random: Random): Promise<void> {
+async function runStalls(server: DatabaseServer, {stallEveryMs, stallMs}: ReplicaLag, schedule: VirtualSchedule, random: Random): Promise<void> {
 	for (;;) {
 		await schedule.sleep(-Math.log(1 - random.fraction()) * stallEveryMs);
 		server.setReplicationStalled(true);
--- a/src/bench/replica-share/placements.ts
+++ b/src/bench/replica-share/placements.ts
@@ -7,7 +7,7 @@
 } from '../../owners/read-placement.js';
 import type {Random} from '../../random/random.js';
 import type {ShareSystem} from './share-system.js';
-import {getTrueAgeMs} from './truth.js';
+import {getTrueAgeMs} from './true-age.js';
 
 /** Sends every read to the primary. */
 export class PrimaryOnlyPlacement implements ReadPlacement {
@@ -16,7 +16,7 @@
 	}
 }
 
-/** Holds every read back for a fixed time, then tries a replica by chance, then the primary. */
+/** Delays every read for a fixed time, then tries a random replica, then the primary. */
 export class FixedWaitPlacement implements ReadPlacement {
 	constructor(private readonly random: Random, private readonly waitMs: number) {}
 
@@ -28,28 +28,28 @@
 	}
 }
 
-/** Knows what every server holds at the moment, and never waits. */
+/** Knows the current log of every server, and never delays a read. */
 export class OraclePlacement implements ReadPlacement {
 	constructor(private readonly system: ShareSystem, private readonly random: Random) {}
 
 	choose(group: PlacementGroup, need: ReadNeed): readonly ReadChoice[] {
 		const replicas = getReplicaCandidates(group, need)
-			.filter(({endpoint}) => this.#isFit(endpoint.name, need))
+			.filter(({endpoint}) => this.#meetsNeed(endpoint.name, need))
 			.sort((left, right) => left.queueMs - right.queueMs || this.random.fraction() - 0.5);
 		return [...replicas.flatMap(replica => toChoices(replica)), ...toChoices(getPrimaryCandidate(group, need))];
 	}
 
-	#isFit(endpoint: string, need: ReadNeed): boolean {
+	#meetsNeed(endpoint: string, need: ReadNeed): boolean {
 		const {end} = this.system.getServerOrThrow(endpoint).member.log;
 		return holdsLogPosition(end, need.floor) && getTrueAgeMs(this.system, end, need.now) <= need.maxAgeMs;
 	}
 }
 
-/** An owner's parts with the true age of every log in place of what the owner knows of it. */
+/** Returns an owner's parts with the true age of every log in place of the owner's estimate. */
 export function withTrueAges(parts: GroupParts, system: ShareSystem): GroupParts {
 	const {knowledge} = parts;
 	const getLogAgeMs = (log: LogPosition, now: number) => getTrueAgeMs(system, log, now);
-	const truthful: GroupKnowledge = {
+	const trueKnowledge: GroupKnowledge = {
 		...knowledge,
 		get highestTerm() {
 			return knowledge.highestTerm;
@@ -57,7 +57,7 @@
 		getLogAgeMs,
 		getAgeMs: (endpoint, now) => getLogAgeMs(system.getServerOrThrow(endpoint).member.log.end, now),
 	};
-	return {...parts, knowledge: truthful};
+	return {...parts, knowledge: trueKnowledge};
 }
 
 function toChoices(candidate: ReadCandidate | undefined): readonly ReadChoice[] {
--- a/src/bench/replica-share/scenario.ts
+++ b/src/bench/replica-share/scenario.ts
@@ -6,44 +6,45 @@
 import {createShareSystem, type ShareSystem} from './share-system.js';
 import {createWorkload, type ReadResult, type Traffic} from './workload.js';
 
-/** How the two replicas lag. */
+/** The lags of the two replicas. */
 export type Lags = {
 	readonly name: string;
 	readonly replicas: readonly [ReplicaLag, ReplicaLag];
 };
 
-/** A way to place reads. */
+/** A policy for placing reads. */
 export type Policy = {
 	readonly name: string;
-	/** Whether sessions raise their floors by reads. */
+	/** Whether reads raise the floors of their sessions. */
 	readonly monotonicReads?: boolean;
 	createPlacement(system: ShareSystem, seed: number): ReadPlacement;
 };
 
-/** What one run is made of. */
+/** Settings of one run. */
 export type Scenario = {
 	readonly policy: Policy;
 	readonly lags: Lags;
 	readonly traffic: Traffic;
 };
 
-/** What one run gave. */
+/** Results of one run. */
 export type RunResult = {
-	/** Of the reads asked within the measured time. */
+	/** Results of the reads sent within the measured time. */
 	readonly reads: readonly ReadResult[];
+	/** Number of syncs that were not acknowledged. */
 	readonly failedSyncs: number;
 };
 
 const MEASURED_MS = 8000;
 
-/** Reads flow for this long before they are counted, in milliseconds. */
-const SETTLE_MS = 2000;
+/** Time for which reads are sent before they are measured, in milliseconds. */
+const WARM_UP_MS = 2000;
 
-/** Time for the last answers, in milliseconds. */
-const END_MS = 6000;
+/** Time after the last read in which outstanding responses may arrive, in milliseconds. */
+const DRAIN_MS = 6000;
 
-/** Syncs flow for this part of the longest lag before, so that the replica is as far behind as it will be. */
-const LAGS_BEFORE = 1.7;
+/** Syncs are sent for this multiple of the longest median lag before the reads, so that the replica has reached its full lag. */
+const LAG_BUILD_UP_FACTOR = 1.7;
 
 /** Runs a scenario in virtual time. */
 export async function runScenario({policy, lags, ...scenario}: Scenario, seed: number): Promise<RunResult> {
@@ -61,13 +62,13 @@
 		startLag(system.servers[i + 1]!, lag, schedule, createSeededRandom(seed + 3000 + i));
 	}
 
-	const readsFrom = schedule.now() + (Math.max(...lags.replicas.map(({medianMs}) => medianMs)) * LAGS_BEFORE);
-	const measuredFrom = readsFrom + SETTLE_MS;
+	const readsFrom = schedule.now() + (Math.max(...lags.replicas.map(({medianMs}) => medianMs)) * LAG_BUILD_UP_FACTOR);
+	const measuredFrom = readsFrom + WARM_UP_MS;
 	const until = measuredFrom + MEASURED_MS;
 	void workload.sendSyncs(traffic, until);
 	await schedule.runUntil(readsFrom);
 	void workload.sendReads(traffic, until);
-	await schedule.runUntil(until + END_MS);
+	await schedule.runUntil(until + DRAIN_MS);
 	system.stop();
-	return {reads: workload.results.filter(({askedAt}) => askedAt >= measuredFrom), failedSyncs: workload.failedSyncs};
+	return {reads: workload.results.filter(({sentAt}) => sentAt >= measuredFrom), failedSyncs: workload.failedSyncs};
 }
--- a/src/bench/replica-share/settings.ts
+++ b/src/bench/replica-share/settings.ts
@@ -6,16 +6,16 @@
 import type {Lags, Policy} from './scenario.js';
 import type {Traffic} from './workload.js';
 
-/** Longest wait of the fixed-wait baseline, in milliseconds. */
+/** Delay of every read in the fixed-wait baseline, in milliseconds. */
 export const FIXED_WAIT_MS = 20;
 
-/** The product's way. */
+/** The product's placement. */
 export const PRODUCT: Policy = {
 	name: 'product: predicted',
 	createPlacement: (_, seed) => new PredictedPlacement(createSeededRandom(seed + 4000)),
 };
 
-/** The product's way where a session's reads raise its floor as well. */
+/** The product's placement where a session's reads raise its floor too. */
 const MONOTONIC: Policy = {...PRODUCT, name: 'product with monotonic reads', monotonicReads: true};
 
 export const BASELINES: readonly Policy[] = [
@@ -28,7 +28,7 @@
 
 const lag = (medianMs: number): ReplicaLag => ({medianMs, stallEveryMs: 4000, stallMs: 600});
 
-/** From replicas close by to replicas far behind. */
+/** Lags from short to long. */
 export const LAGS: readonly Lags[] = [
 	{name: 'lags 5 and 20 ms', replicas: [lag(5), lag(20)]},
 	{name: 'lags 50 and 200 ms', replicas: [lag(50), lag(200)]},
@@ -40,14 +40,14 @@
 /** The lags at which the share of sessions that just wrote is varied. */
 export const SWEPT_LAGS = LAGS[1]!;
 
-/** Parts of the reads that come from sessions that just wrote. */
+/** Parts of the reads that are sent by sessions that just wrote. */
 export const JUST_WROTE_PARTS = [0, 0.3, 0.9];
 
-/** Parts of reads without a token and of those that ask for the latest. */
+/** Parts of the reads without a token, and of those that request the latest data. */
 const NO_TOKEN_PART = 0.05;
 const LATEST_PART = 0.05;
 
-/** The morning's reads during the sync peak. */
+/** Creates the traffic of the morning, when reads coincide with the sync peak. */
 export function createTraffic(justWrotePart: number): Traffic {
 	return {
 		readsPerSecond: 400,
@@ -62,5 +62,5 @@
 	};
 }
 
-/** The usual part of sessions that just wrote. */
+/** Part of the reads sent by sessions that just wrote, where it is not varied. */
 export const USUAL_JUST_WROTE = 0.3;
--- a/src/bench/replica-share/share-figures.ts
+++ b/src/bench/replica-share/share-figures.ts
@@ -2,10 +2,10 @@
 import type {RunResult} from './scenario.js';
 import {SessionKind, type ReadResult, type Traffic} from './workload.js';
 
-/** Figures of one run by name, with the unit in brackets at the end. */
+/** Figures of one run, by name; each name ends with the unit in parentheses. */
 export type Figures = Readonly<Record<string, number>>;
 
-/** Takes the figures of a run; `at` names its setting. */
+/** Returns the figures of a run; `at` names its setting. */
 export function getFigures({reads, failedSyncs}: RunResult, traffic: Traffic, at: string): Figures {
 	const latencies = reads.filter(({done}) => done).map(({latencyMs}) => latencyMs);
 	return {
--- a/src/bench/replica-share/share-system.ts
+++ b/src/bench/replica-share/share-system.ts
@@ -15,33 +15,33 @@
 import type {Clock} from '../../time/clock.js';
 import {createVirtualSchedule, type VirtualSchedule} from '../virtual-schedule.js';
 
-/** One database group with its real owners, on a virtual schedule. */
+/** One simulated database group with the product's owners, on a virtual schedule. */
 export type ShareSystem = {
 	readonly schedule: VirtualSchedule;
 	readonly random: Random;
-	/** The first is primary. */
+	/** The servers; the first is the primary. */
 	readonly servers: readonly [DatabaseServer, DatabaseServer, DatabaseServer];
 	readonly owners: readonly GroupOwner[];
-	/** Address of an endpoint by its name. */
+	/** Returns the server of an endpoint, by the endpoint's name. */
 	getServerOrThrow(endpoint: string): DatabaseServer;
 	stop(): void;
 };
 
-/** Time a message takes one way between hosts, in milliseconds. */
+/** One-way latency between hosts, in milliseconds. */
 export const HOP_MS = 1;
 
 export const SLOTS = 3;
 export const CONNECTIONS = 20;
 export const OWNERS = 2;
 
-/** Mean time a statement holds a slot, in milliseconds. */
+/** Mean time for which a statement holds a slot, in milliseconds. */
 export const SERVICE_MS = 4;
 
 const ENDPOINTS = ['hall-a', 'hall-b', 'hall-c'].map((availabilityZone, i) => ({
 	name: `sleep-logs-${i + 1}`, address: `10.1.0.${i + 1}:5432`, availabilityZone, connections: CONNECTIONS, slots: SLOTS,
 }));
 
-/** Creates and starts the group and its owners; nothing fails over, since nothing fails. */
+/** Creates and starts the group and its owners; there is no failover, since no server fails. */
 export function createShareSystem(seed: number): ShareSystem {
 	const schedule = createVirtualSchedule();
 	const random = createSeededRandom(seed);
@@ -62,7 +62,7 @@
 		createAdmission: (endpoint, cfg) => createAdmission({
 			endpoint: endpoint.name, slots: endpoint.slots, owners: cfg.owners, shares: cfg.classShares, clock: schedule,
 		}),
-		createFailover: context => createStatusPolls(context, schedule),
+		createFailover: context => createStatusPolling(context, schedule),
 	}));
 	for (const owner of owners) {
 		void owner.start();
@@ -80,8 +80,8 @@
 	};
 }
 
-/** The part of failover that keeps knowledge fresh, with the times that ship. */
-function createStatusPolls(context: GroupFailoverContext, clock: Clock): GroupFailover {
+/** Creates the part of failover that polls the endpoints' status, with the default settings; it never replaces the primary. */
+function createStatusPolling(context: GroupFailoverContext, clock: Clock): GroupFailover {
 	const settings = DEFAULT_FAILOVER_SETTINGS;
 	const stopping = new AbortController();
 	const control = createGroupControl({clock, context});
@@ -121,14 +121,14 @@
 			stopping.abort();
 		},
 		suspect() {
-			// Nothing is ever promoted here.
+			// No server is promoted in this experiment.
 		},
 		async switchTo() {
-			// Nothing is ever promoted here.
+			// No server is promoted in this experiment.
 		},
 	};
 }
 
 function ignore() {
-	// This experiment loses no primary.
+	// The primary never fails in this experiment.
 }
--- a/src/bench/replica-share/workload.ts
+++ b/src/bench/replica-share/workload.ts
@@ -6,63 +6,63 @@
 import {getLaterLogPosition, LOG_START, type LogPosition} from '../../terms/log-position.js';
 import {HOP_MS, type ShareSystem} from './share-system.js';
 
-/** Whose floor a read carries. */
+/** The kind of session that sends a read, which determines the read's floor. */
 export const SessionKind = {
-	/** Of a write acknowledged within the last {@link JUST_MS}. */
+	/** The floor is that of a write acknowledged within the last {@link JUST_WROTE_MS}. */
 	JustWrote: 'just wrote',
-	/** Of some earlier write. */
+	/** The floor is that of an earlier write. */
 	WroteBefore: 'wrote before',
-	/** No token came with the read. */
+	/** The read carries no token. */
 	NoToken: 'no token',
-	/** The read asks for the latest. */
+	/** The read requests the latest data. */
 	Latest: 'latest',
 } as const;
 
 /** One of the kinds in {@link SessionKind}. */
 export type SessionKind = typeof SessionKind[keyof typeof SessionKind];
 
-/** What is sent. */
+/** Rates and composition of the reads and syncs. */
 export type Traffic = {
 	readonly readsPerSecond: number;
 	readonly syncsPerSecond: number;
-	/** Parts of the reads by kind of session; they make 1. */
+	/** Parts of the reads by kind of session; their sum is 1. */
 	readonly parts: Readonly<Record<SessionKind, number>>;
-	/** Stated ages, equally often, in milliseconds. */
+	/** Maximum ages that reads state, in milliseconds; each is equally frequent. */
 	readonly agesMs: readonly number[];
-	/** Whether a session's reads raise its floor too, so that none goes back behind an earlier one. */
+	/** Whether a session's reads raise its floor too, so that no read returns older data than an earlier one. */
 	readonly monotonicReads?: boolean;
 };
 
-/** How one read ended. */
+/** Result of one read. */
 export type ReadResult = {
-	readonly askedAt: number;
+	readonly sentAt: number;
 	readonly kind: SessionKind;
 	readonly maxAgeMs: number;
-	/** From the entry proxy and back to it, in milliseconds. */
+	/** Time from sending at the entry proxy until the response is back there, in milliseconds. */
 	readonly latencyMs: number;
 	readonly done: boolean;
 	readonly byReplica: boolean;
-	/** The rows lack a write that the session or the stated age demands. */
+	/** Whether the rows lack a write that the session or the stated age requires. */
 	readonly stale: boolean;
 };
 
 /** A write that was acknowledged. */
-type Ack = {readonly at: number; readonly log: LogPosition};
+type AcknowledgedWrite = {readonly at: number; readonly log: LogPosition};
 
-/** A session that wrote within this time just wrote, in milliseconds. */
-export const JUST_MS = 200;
+/** Time after a write in which its session counts as having just written, in milliseconds. */
+export const JUST_WROTE_MS = 200;
 
 const READ_DEADLINE_MS = 5000;
 const SYNC_DEADLINE_MS = 15_000;
 const MEMBERS = 500;
 
-/** Sessions among which the reads are spread. */
+/** Number of sessions that send the reads. */
 export const SESSIONS = 500;
 
-/** Sends reads and syncs through the owners' paths. */
+/** Sends reads and syncs through the owners' read and write paths. */
 export type Workload = {
 	readonly results: readonly ReadResult[];
-	/** Syncs that were not acknowledged. */
+	/** Number of syncs that were not acknowledged. */
 	readonly failedSyncs: number;
 	/** Creates the table. */
 	prepare(): Promise<void>;
@@ -73,10 +73,10 @@
 /** Creates a workload over the owners' write paths and the given read paths, one for each owner. */
 export function createWorkload(system: ShareSystem, reads: readonly ReadPath[]): Workload {
 	const {schedule, random, owners} = system;
-	const acks: Ack[] = [{at: 0, log: LOG_START}];
+	const acknowledgedWrites: AcknowledgedWrite[] = [{at: 0, log: LOG_START}];
 	const results: ReadResult[] = [];
 	const readFloors = new Map<number, LogPosition>();
-	let latestAck: LogPosition = LOG_START;
+	let latestAcknowledged: LogPosition = LOG_START;
 	let failedSyncs = 0;
 
 	const pickOwner = () => Math.floor(random.fraction() * owners.length);
@@ -100,16 +100,16 @@
 	const write = async (statement: string, values: readonly unknown[]): Promise<OwnerResponse> => {
 		const req = createRequest('write', statement, values, {class: 'deadline'});
 		await schedule.sleep(HOP_MS);
-		const answer = await owners[pickOwner()]!.writes.write(req, schedule.now() + SYNC_DEADLINE_MS);
+		const response = await owners[pickOwner()]!.writes.write(req, schedule.now() + SYNC_DEADLINE_MS);
 		await schedule.sleep(HOP_MS);
-		return answer;
+		return response;
 	};
 
 	const sync = async () => {
-		const answer = await write('INSERT INTO nights (member, score) VALUES ($1, $2)', [pickMember(), 80]);
-		if (answer.outcome === Outcome.Done) {
-			acks.push({at: schedule.now(), log: answer.log!});
-			latestAck = getLaterLogPosition(latestAck, answer.log!);
+		const response = await write('INSERT INTO nights (member, score) VALUES ($1, $2)', [pickMember(), 80]);
+		if (response.outcome === Outcome.Done) {
+			acknowledgedWrites.push({at: schedule.now(), log: response.log!});
+			latestAcknowledged = getLaterLogPosition(latestAcknowledged, response.log!);
 		} else {
 			failedSyncs++;
 		}
@@ -117,10 +117,10 @@
 
 	const findFirstSince = (at: number) => {
 		let low = 0;
-		let high = acks.length;
+		let high = acknowledgedWrites.length;
 		while (low < high) {
 			const middle = (low + high) >>> 1;
-			if (acks[middle]!.at < at) {
+			if (acknowledgedWrites[middle]!.at < at) {
 				low = middle + 1;
 			} else {
 				high = middle;
@@ -131,9 +131,9 @@
 	};
 
 	const pickFloor = (kind: SessionKind): LogPosition => {
-		const recent = findFirstSince(schedule.now() - JUST_MS);
-		const [from, to] = kind === SessionKind.JustWrote ? [Math.min(recent, acks.length - 1), acks.length] : [0, Math.max(1, recent)];
-		return acks[from + Math.floor(random.fraction() * (to - from))]!.log;
+		const recent = findFirstSince(schedule.now() - JUST_WROTE_MS);
+		const [from, to] = kind === SessionKind.JustWrote ? [Math.min(recent, acknowledgedWrites.length - 1), acknowledgedWrites.length] : [0, Math.max(1, recent)];
+		return acknowledgedWrites[from + Math.floor(random.fraction() * (to - from))]!.log;
 	};
 
 	const pickKind = (parts: Traffic['parts']): SessionKind => {
@@ -148,34 +148,34 @@
 		return SessionKind.WroteBefore;
 	};
 
-	// A row younger than the stated age at the moment of the answer, or one that the session wrote, must be there.
-	const isStale = (answer: OwnerResponse, mustHold: LogPosition, maxAgeMs: number, now: number) => {
-		const missing = system.servers[0].member.log.get(answer.log!.position + 1);
+	// Rows may lack only writes that are younger than the stated age at the time of the response, and none up to the required position.
+	const isStale = (response: OwnerResponse, requiredPosition: LogPosition, maxAgeMs: number, now: number) => {
+		const missing = system.servers[0].member.log.get(response.log!.position + 1);
 		const isTooOld = missing !== undefined && now - missing.writtenAt > maxAgeMs;
-		return answer.log!.position < mustHold.position || isTooOld;
+		return response.log!.position < requiredPosition.position || isTooOld;
 	};
 
 	const read = async (traffic: Traffic) => {
-		const askedAt = schedule.now();
+		const sentAt = schedule.now();
 		const kind = pickKind(traffic.parts);
 		const hasFloor = kind === SessionKind.JustWrote || kind === SessionKind.WroteBefore;
 		const session = Math.floor(random.fraction() * SESSIONS);
 		const readFloor = (traffic.monotonicReads ? readFloors.get(session) : undefined) ?? LOG_START;
 		const floor = hasFloor ? getLaterLogPosition(pickFloor(kind), readFloor) : undefined;
-		const mustHold = floor ?? latestAck;
+		const requiredPosition = floor ?? latestAcknowledged;
 		const maxAgeMs = kind === SessionKind.Latest ? 60_000 : traffic.agesMs[Math.floor(random.fraction() * traffic.agesMs.length)]!;
 		const req = createRequest('read', 'SELECT score FROM nights WHERE member = $1', [pickMember()], {floor, maxAgeMs});
 		await schedule.sleep(HOP_MS);
-		const answer = await reads[pickOwner()]!.read(req, schedule.now() + READ_DEADLINE_MS);
-		const done = answer.outcome === Outcome.Done;
-		const stale = done && isStale(answer, mustHold, maxAgeMs, schedule.now());
+		const response = await reads[pickOwner()]!.read(req, schedule.now() + READ_DEADLINE_MS);
+		const done = response.outcome === Outcome.Done;
+		const stale = done && isStale(response, requiredPosition, maxAgeMs, schedule.now());
 		await schedule.sleep(HOP_MS);
 		if (done) {
-			readFloors.set(session, getLaterLogPosition(readFloor, answer.log!));
+			readFloors.set(session, getLaterLogPosition(readFloor, response.log!));
 		}
 
 		results.push({
-			askedAt, kind, maxAgeMs, latencyMs: schedule.now() - askedAt, done, byReplica: answer.role === EndpointRole.Replica, stale,
+			sentAt, kind, maxAgeMs, latencyMs: schedule.now() - sentAt, done, byReplica: response.role === EndpointRole.Replica, stale,
 		});
 	};
 
