--- a/src/bench/store-restore/play-return.ts
+++ b/src/bench/store-restore/play-return.ts
@@ -6,63 +6,64 @@
 import type {StoreCopy} from '../../stand-ins/metadata-store/in-memory-metadata-store.js';
 import {createVirtualClock} from '../../stand-ins/time/virtual-clock.js';
 
-/** When a primary is lost around the return. */
+/** When a primary is lost relative to the restore. */
 export const PrimaryLoss = {
 	Never: 'never',
-	/** Between the copy and the outage: the store forgets who was promoted. */
-	BeforeReturn: 'before the return',
-	AfterReturn: 'after the return',
+	/** Between the backup and the outage: the restored store lacks the promotion of the primary's successor. */
+	BeforeRestore: 'before the return',
+	AfterRestore: 'after the return',
 } as const;
 
 /** One of the losses in {@link PrimaryLoss}. */
 export type PrimaryLoss = typeof PrimaryLoss[keyof typeof PrimaryLoss];
 
-/** How a return is played. */
-export type ReturnOptions = {
+/** Settings of a simulated restore. */
+export type RestoreOptions = {
 	readonly hosts: number;
-	/** Changes of the operator that the store loses. */
+	/** Number of the operator's changes after the backup, which the store loses. */
 	readonly lostChanges: number;
 	readonly primaryLoss: PrimaryLoss;
 	readonly seed: number;
 };
 
-/** What callers and the operator got. */
+/** What callers and the operator experience. */
 export type ReturnFigures = {
-	/** Time from the acknowledgement of a configuration, one second after the return, until the last host has it, in milliseconds. */
+	/** Time from the acknowledgement of a configuration, one second after the restore, until the last host has it, in milliseconds. */
 	readonly applyMs: number;
-	/** Longest time without an acknowledged write from the return on, in milliseconds. */
+	/** Longest time without an acknowledged write from the restore on, in milliseconds. */
 	readonly writeGapMs: number;
-	/** Writes from the return on that were refused or left unknown. */
+	/** Number of writes from the restore on that were refused or whose outcome is unknown. */
 	readonly refused: number;
-	/** Calls of all hosts to the store in the first five seconds after the return. */
+	/** Calls of all hosts to the store in the first five seconds after the restore. */
 	readonly storeCalls: number;
 };
 
-const AWAY_MS = 1000;
-const PLAY_MS = 12_000;
-const STEP_MS = 20;
-const SETTLE_MS = 10_000;
+const OUTAGE_MS = 1000;
+const RUN_MS = 12_000;
+/** Pause between writes, and between checks for the new configuration, in milliseconds. */
+const POLL_INTERVAL_MS = 20;
+const WARM_UP_MS = 10_000;
 
-/** Time for which hosts have each change before the next. */
-const CHANGE_MS = 100;
+/** Interval between the lost changes, in which hosts receive each of them, in milliseconds. */
+const CHANGE_INTERVAL_MS = 100;
 
-/** Time between the loss of a primary and the outage, in which it is replaced. */
-const REPLACED_MS = 3000;
+/** Time between the loss of a primary and the outage, in which it is replaced, in milliseconds. */
+const REPLACEMENT_MS = 3000;
 
 const PROMOTE_MS = 600;
 
-/** Time after the return at which the primary is lost, or the configuration changes. */
-const AFTER_MS = 1000;
+/** Time after the restore at which the primary is lost and the configuration changes, in milliseconds. */
+const EVENT_DELAY_MS = 1000;
 
-/** Time after the return in which calls are counted. */
-const CALLS_MS = 5000;
+/** Time after the restore in which calls are counted, in milliseconds. */
+const CALL_COUNT_MS = 5000;
 
 const ROUTE: Route = {
 	name: 'sync', database: 'sync', group: 'nights', policy: ReadPolicy.Primary, maxReadAgeMs: 0, statementTimeoutMs: 1000, targetLatencyMs: 200, priority: 1,
 };
 
-/** Plays one return of the store from a copy, with a caller that writes at a host all along. */
-export async function playReturn({hosts, lostChanges, primaryLoss, seed}: ReturnOptions): Promise<ReturnFigures> {
+/** Simulates one restore of the store from a backup, with a caller that writes at one host from the restore on. */
+export async function playReturn({hosts, lostChanges, primaryLoss, seed}: RestoreOptions): Promise<ReturnFigures> {
 	const clock = createVirtualClock();
 	const random = createSeededRandom(seed);
 	const system = createSimulatedProxies({
@@ -77,45 +78,45 @@
 		await clock.runUntil(system.startProxy(`entry-${i}`));
 	}
 
-	await clock.advance(SETTLE_MS);
-	const copy = system.store.takeCopy();
+	await clock.advance(WARM_UP_MS);
+	const backup = system.store.takeCopy();
 	for (let i = 0; i < lostChanges; i++) {
 		changeRouting(system);
-		await clock.advance(CHANGE_MS);
+		await clock.advance(CHANGE_INTERVAL_MS);
 	}
 
-	await clock.advance(random.fraction() * AFTER_MS);
-	if (primaryLoss === PrimaryLoss.BeforeReturn) {
+	await clock.advance(random.fraction() * EVENT_DELAY_MS);
+	if (primaryLoss === PrimaryLoss.BeforeRestore) {
 		await losePrimary(system);
 	}
 
-	await comeBack(system, copy);
+	await restoreStore(system, backup);
 	const callsBefore = system.store.calls;
 	const writer = startWriter(system);
-	await clock.advance(AFTER_MS);
-	if (primaryLoss === PrimaryLoss.AfterReturn) {
+	await clock.advance(EVENT_DELAY_MS);
+	if (primaryLoss === PrimaryLoss.AfterRestore) {
 		system.groups[0]!.crash(system.groups[0]!.leader);
 	}
 
-	const applyMs = await measureApply(system);
-	await clock.advance(Math.max(0, CALLS_MS - AFTER_MS - applyMs));
+	const applyMs = await measureApplyMs(system);
+	await clock.advance(Math.max(0, CALL_COUNT_MS - EVENT_DELAY_MS - applyMs));
 	const storeCalls = system.store.calls - callsBefore;
-	await clock.advance(PLAY_MS - CALLS_MS);
+	await clock.advance(RUN_MS - CALL_COUNT_MS);
 	system.stop();
 	return {applyMs, storeCalls, ...writer.finish()};
 }
 
-/** Has the operator change the configuration; milliseconds until the last host has it. */
-async function measureApply(system: SimulatedProxies): Promise<number> {
+/** Changes the configuration as the operator does; resolves with the time until the last host has it, in milliseconds, or with Infinity. */
+async function measureApplyMs(system: SimulatedProxies): Promise<number> {
 	const {clock, proxies} = system;
 	const version = changeRouting(system);
 	const changedAt = clock.now();
-	while (clock.now() < changedAt + PLAY_MS) {
+	while (clock.now() < changedAt + RUN_MS) {
 		if (proxies.every(proxy => getVersion(proxy) >= version)) {
 			return clock.now() - changedAt;
 		}
 
-		await clock.advance(STEP_MS);
+		await clock.advance(POLL_INTERVAL_MS);
 	}
 
 	return Number.POSITIVE_INFINITY;
@@ -125,7 +126,7 @@
 	return kernel.getOrThrow('storeMirror').state.routing?.version ?? 0;
 }
 
-/** Has the operator change the configuration; its new version. */
+/** Changes the configuration as the operator does; returns the new version. */
 function changeRouting({store, proxies}: SimulatedProxies): number {
 	const {routing} = proxies[0]!.kernel.getOrThrow('storeMirror').state;
 	const version = Math.max(routing!.version, store.takeCopy().routing?.version ?? 0) + 1;
@@ -137,18 +138,18 @@
 	const group = groups[0]!;
 	const former = group.leader;
 	group.crash(former);
-	await clock.advance(REPLACED_MS);
+	await clock.advance(REPLACEMENT_MS);
 	group.restart(former);
 }
 
-async function comeBack({clock, store}: SimulatedProxies, copy: StoreCopy) {
+async function restoreStore({clock, store}: SimulatedProxies, backup: StoreCopy) {
 	store.setTrouble(undefined, {silent: true});
-	await clock.advance(AWAY_MS);
+	await clock.advance(OUTAGE_MS);
 	store.heal();
-	store.restore(copy);
+	store.restore(backup);
 }
 
-/** Writes over and over at the last host, in one session. */
+/** Starts a caller that writes repeatedly at the last host, in one session. */
 function startWriter({clock, proxies}: SimulatedProxies) {
 	let stopped = false;
 	let [acknowledgedAt, writeGapMs, refused] = [clock.now(), 0, 0];
@@ -161,15 +162,15 @@
 		void proxies.at(-1)!.kernel.getOrThrow('gateway').serve(caller.channel);
 		await caller.open('sync');
 		for (let i = 0; !stopped; i++) {
-			const answer = await caller.ask(`w${i}`, parseStatement(`WRITE item ${i}`));
-			if (answer?.end.kind === 'complete') {
+			const response = await caller.ask(`w${i}`, parseStatement(`WRITE item ${i}`));
+			if (response?.end.kind === 'complete') {
 				noteGap();
 				acknowledgedAt = clock.now();
 			} else {
 				refused++;
 			}
 
-			await clock.sleep(STEP_MS);
+			await clock.sleep(POLL_INTERVAL_MS);
 		}
 	};
 
