--- a/src/bench/overload/caller-model.ts
+++ b/src/bench/overload/caller-model.ts
@@ -10,7 +10,7 @@
 	Single: 'single',
 	/** Retries after a short delay and ignores the retry-after that it is given. */
 	Impatient: 'impatient',
-	/** Retries after the retry-after that it is given. */
+	/** Retries after the retry-after that it is given, or after one second where none is given. */
 	Polite: 'polite',
 } as const;
 
--- a/src/bench/overload/figures.ts
+++ b/src/bench/overload/figures.ts
@@ -27,13 +27,13 @@
 /** Returns the `part` quantile of the response times of the class's requests that were answered in time, in milliseconds. */
 export function getResponseMs(outcomes: readonly CallerOutcome[], window: Window, workClass: WorkClass, part: number): number {
 	const answered = getSent(outcomes, window).filter(outcome => outcome.inTime && outcome.class === workClass);
-	return getPercentile(answered.map(({responseMs: answerMs}) => answerMs), part);
+	return getPercentile(answered.map(({responseMs}) => responseMs), part);
 }
 
 /** Returns the `part` quantile of the times from the last attempt to its refusal or deadline, of requests that were not answered in time, in milliseconds. */
 export function getFailedMs(outcomes: readonly CallerOutcome[], window: Window, part: number): number {
 	const failed = getSent(outcomes, window).filter(outcome => !outcome.inTime);
-	return getPercentile(failed.map(({responseMs: answerMs}) => answerMs), part);
+	return getPercentile(failed.map(({responseMs}) => responseMs), part);
 }
 
 const STEP_MS = 500;
--- a/src/bench/overload/hot-group.ts
+++ b/src/bench/overload/hot-group.ts
@@ -17,7 +17,7 @@
 	faults: createCrashes(50),
 };
 
-/** Groups whose server crashes every 500 ms, so that some of their requests need a retry. */
+/** Groups whose server crashes and cuts its connections every 500 ms, so that some of their requests need a retry. */
 const calm: GroupPlan = {
 	getLoad: () => 0.6,
 	faults: createCrashes(500),
--- a/src/bench/overload/queue-orders.ts
+++ b/src/bench/overload/queue-orders.ts
@@ -13,7 +13,7 @@
 const LENGTH_MS = 25_000;
 const WINDOW = {from: 5000, to: LENGTH_MS};
 
-/** The users' mix with replication waits of at least the mean execution time. */
+/** The users' mix with waits for replication whose mean is that of the execution time. */
 const REPLICATED_MIX: Mix = {
 	deadline: {...USERS_MIX.deadline, replicationMs: 10},
 	interactive: {...USERS_MIX.interactive, replicationMs: 10},
--- a/src/bench/site-load/placements.ts
+++ b/src/bench/site-load/placements.ts
@@ -18,7 +18,7 @@
 	}
 }
 
-/** Places reads at the replicas by turns, regardless of their load and lag. */
+/** Places reads at the replicas by turns, regardless of their load and lag, and at the other candidates where there is no replica. */
 class RoundRobinPlacement implements ReadPlacement {
 	private reads = 0;
 
--- a/src/bench/site-load/site-callers.ts
+++ b/src/bench/site-load/site-callers.ts
@@ -68,12 +68,12 @@
 		idle.set(key, [...idle.get(key) ?? [], caller]);
 	};
 
-	const classify = (answer: ScriptedAnswer | undefined, mayRepeat: boolean): AttemptResult => {
-		if (answer?.end.kind === 'complete') {
+	const classify = (response: ScriptedAnswer | undefined, mayRepeat: boolean): AttemptResult => {
+		if (response?.end.kind === 'complete') {
 			return 'done';
 		}
 
-		const didNotRun = answer?.end.kind === 'error' && answer.end.code !== AnswerCode.OutcomeUnknown;
+		const didNotRun = response?.end.kind === 'error' && response.end.code !== AnswerCode.OutcomeUnknown;
 		return didNotRun || mayRepeat ? 'refused' : 'failed';
 	};
 
@@ -87,10 +87,10 @@
 			{kind: 'commit'},
 		];
 		for (const statement of statements) {
-			const answer = await caller.ask(createId(), statement);
-			const end = classify(answer, statement.kind !== 'commit' || readOnly);
+			const response = await caller.ask(createId(), statement);
+			const end = classify(response, statement.kind !== 'commit' || readOnly);
 			if (end !== 'done') {
-				if (answer && answer.state !== SessionState.Idle) {
+				if (response && response.state !== SessionState.Idle) {
 					await caller.ask(createId(), {kind: 'rollback'});
 				}
 
--- a/src/bench/workspace-links/play-keepers.ts
+++ b/src/bench/workspace-links/play-keepers.ts
@@ -47,7 +47,9 @@
 const RETRY_DELAY_MS = 20;
 
 /** Simulates one busy endpoint. */
-export async function playKeepers({keepersPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed}: KeepersPlay): Promise<KeepersFigures> {
+export async function playKeepers({
+	keepersPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
+}: KeepersPlay): Promise<KeepersFigures> {
 	const clock = createVirtualClock(undefined, {settleRounds: 1});
 	const random = createSeededRandom(seed);
 	const endpoint = createBusyEndpoint({
--- a/tests/bench/overload-tests.ts
+++ b/tests/bench/overload-tests.ts
@@ -18,7 +18,7 @@
 		expect(await run(1)).to.deep.equal(await run(1));
 	});
 
-	it('keeps the useful work, the deadline class\'s latency and every class\'s share at twice the capacity', async () => {
+	it('keeps the useful work and the deadline class\'s latency at twice the capacity, and answers at least a tenth of every class in time', async () => {
 		const [quiet, full, twice] = [await run(0.5), await run(1), await run(2)];
 		expect(getUsefulWork(twice, WINDOW, SLOTS)).to.be.at.least(0.95 * getUsefulWork(full, WINDOW, SLOTS));
 		expect(getResponseMs(twice, WINDOW, 'deadline', 0.99)).to.be.at.most(2 * getResponseMs(quiet, WINDOW, 'deadline', 0.99));
