--- a/src/bench/lead-changes.ts
+++ b/src/bench/lead-changes.ts
@@ -1,31 +1,31 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
-import {LEAD_LOSSES, type LeadLoss} from './lead-changes/losses.js';
+import {LEAD_LOSSES, type PrimaryLossScenario} from './lead-changes/losses.js';
 import {
-	getLongestPause, openLeadStage, PROXIES, WRITE_EVERY_MS, type LeadStage,
+	getLongestPause, openLeadStage, PROXIES, WRITE_INTERVAL_MS, type PrimaryLossTestbed,
 } from './lead-changes/stage.js';
-import {ONE_READS, WAYS, type EvidenceWay} from './lead-changes/ways.js';
+import {ONE_READS, LEASE_STRATEGIES, type LeaseStrategy} from './lead-changes/ways.js';
 import {createMeasure} from './statistics.js';
 
-/** Loses the primary of a group without a binding fence in every way, by each way of coming by evidence, in virtual time. */
+/** Runs every scenario of a primary loss with each lease strategy, on a group without a binding fence, in virtual time. */
 export const leadChanges: Experiment = {
 	name: 'lead-changes',
 	description: 'Time without an acknowledged write after a loss of the primary, its parts, calls to the store and outages, by ways of evidence',
 	run,
 };
 
-/** How long is looked for the gap, in milliseconds. */
-const WATCH_MS = 14_000;
+/** Time for which the gap is measured after a loss, in milliseconds. */
+const OBSERVATION_MS = 14_000;
 
-const CALM_MS = 30_000;
+const STEADY_STATE_MS = 30_000;
 
-/** An outage of the store in calm times, in milliseconds: ordinary ones last 3 to 9 s. */
+/** Duration of a store outage without a loss of the primary, in milliseconds: ordinary outages last 3 to 9 s. */
 const OUTAGE_MS = 9000;
 
 const PROMOTE_MS = 600;
 
-/** Fields of the line that ends a replacement. */
+/** Fields of the log line that reports a replacement; each is the duration of a step in milliseconds. */
 const PARTS = ['markMs', 'revokeMs', 'chooseMs', 'promoteMs', 'settleMs'] as const;
 
 type LossFigures = {
@@ -37,8 +37,8 @@
 
 async function run(options: ExperimentOptions): Promise<ExperimentResult> {
 	const variants: Variant[] = [];
-	for (const way of WAYS) {
-		variants.push({name: way.name, measures: await measureWay(options, way)});
+	for (const strategy of LEASE_STRATEGIES) {
+		variants.push({name: strategy.name, measures: await measureStrategy(options, strategy)});
 	}
 
 	return {
@@ -46,7 +46,7 @@
 		description: leadChanges.description,
 		seeds: options.seeds,
 		setting: {
-			proxies: PROXIES, servers: 3, 'promotion (ms)': PROMOTE_MS, 'writes/s': 1000 / WRITE_EVERY_MS,
+			proxies: PROXIES, servers: 3, 'promotion (ms)': PROMOTE_MS, 'writes/s': 1000 / WRITE_INTERVAL_MS,
 		},
 		measures: variants[0]!.measures,
 		baselines: variants.slice(1),
@@ -54,20 +54,20 @@
 	};
 }
 
-async function measureWay(options: ExperimentOptions, way: EvidenceWay): Promise<readonly Measure[]> {
-	const measures = [...await measureCalm(options, way)];
+async function measureStrategy(options: ExperimentOptions, strategy: LeaseStrategy): Promise<readonly Measure[]> {
+	const measures = [...await measureSteadyState(options, strategy)];
 	for (const loss of LEAD_LOSSES) {
 		const figures: LossFigures[] = [];
 		for (const seed of options.seeds) {
-			figures.push(await runLoss(seed, way, loss));
+			figures.push(await runLoss(seed, strategy, loss));
 		}
 
-		options.report(`${way.name}: ${loss.name}: ${figures.map(each => describeGap(each)).join('; ')} ms`);
+		options.report(`${strategy.name}: ${loss.name}: ${figures.map(each => describeGap(each)).join('; ')} ms`);
 		measures.push(
 			createMeasure(`${loss.name}: gap`, 'ms', figures.map(({gapMs}) => gapMs)),
 			createMeasure(`${loss.name}: orders`, 'orders', figures.map(({orders}) => orders)),
 		);
-		if (way === ONE_READS) {
+		if (strategy === ONE_READS) {
 			measures.push(createMeasure(`${loss.name}: detection`, 'ms', figures.map(({detectMs}) => detectMs)));
 			for (const part of PARTS) {
 				measures.push(createMeasure(`${loss.name}: ${part}`, 'ms', figures.map(({parts}) => parts[part] ?? Number.NaN)));
@@ -82,40 +82,40 @@
 	return `${Math.round(gapMs)} (${[Math.round(detectMs), ...PARTS.map(part => parts[part])].join(' ')})`;
 }
 
-async function runLoss(seed: number, way: EvidenceWay, loss: LeadLoss): Promise<LossFigures> {
-	const stage = await openLeadStage(seed, way, PROMOTE_MS);
-	const {clock, lines, system, acknowledgedAt} = stage;
-	await loss.begin(stage);
+async function runLoss(seed: number, strategy: LeaseStrategy, loss: PrimaryLossScenario): Promise<LossFigures> {
+	const testbed = await openLeadStage(seed, strategy, PROMOTE_MS);
+	const {clock, lines, system, acknowledgedAt} = testbed;
+	await loss.begin(testbed);
 	const lostAt = clock.now();
-	await clock.advance(WATCH_MS);
+	await clock.advance(OBSERVATION_MS);
 	const gapMs = getLongestPause(acknowledgedAt, lostAt, clock.now());
-	const begun = lines.find(({at, sentence}) => at >= lostAt && sentence.includes('a primary is replaced'));
+	const started = lines.find(({at, sentence}) => at >= lostAt && sentence.includes('a primary is replaced'));
 	const ended = lines.find(({at, sentence}) => at >= lostAt && sentence.includes('a group has a primary again'));
 	const orders = system.orders.length;
-	stage.stop();
+	testbed.stop();
 	return {
-		gapMs, detectMs: begun ? begun.at - lostAt : Number.NaN, parts: ended?.fields ?? {}, orders,
+		gapMs, detectMs: started ? started.at - lostAt : Number.NaN, parts: ended?.fields ?? {}, orders,
 	};
 }
 
-async function measureCalm({seeds, report}: ExperimentOptions, way: EvidenceWay): Promise<readonly Measure[]> {
+async function measureSteadyState({seeds, report}: ExperimentOptions, strategy: LeaseStrategy): Promise<readonly Measure[]> {
 	const calls: number[] = [];
 	const pauses: number[] = [];
 	const failed: number[] = [];
 	const orders: number[] = [];
 	for (const seed of seeds) {
-		const stage = await openLeadStage(seed, way, PROMOTE_MS);
-		const before = stage.system.store.calls;
-		await stage.clock.advance(CALM_MS);
-		calls.push((stage.system.store.calls - before) * 1000 / CALM_MS);
-		const outage = await runOutage(stage);
+		const testbed = await openLeadStage(seed, strategy, PROMOTE_MS);
+		const callsBefore = testbed.system.store.calls;
+		await testbed.clock.advance(STEADY_STATE_MS);
+		calls.push((testbed.system.store.calls - callsBefore) * 1000 / STEADY_STATE_MS);
+		const outage = await runOutage(testbed);
 		pauses.push(outage.pauseMs);
 		failed.push(outage.failed);
-		orders.push(stage.system.orders.length);
-		stage.stop();
+		orders.push(testbed.system.orders.length);
+		testbed.stop();
 	}
 
-	report(`${way.name}: ${calls.map(each => each.toFixed(2)).join(' ')} calls/s; outage: ${pauses.join(' ')} ms, ${failed.join(' ')} failed`);
+	report(`${strategy.name}: ${calls.map(each => each.toFixed(2)).join(' ')} calls/s; outage: ${pauses.join(' ')} ms, ${failed.join(' ')} failed`);
 	return [
 		createMeasure('calm: calls to the store', 'calls/s', calls),
 		createMeasure('calm, the store down for 9 s: longest pause', 'ms', pauses),
@@ -124,8 +124,8 @@
 	];
 }
 
-/** The store is down, and a host was killed just before: the word of all hosts is not to be had. */
-async function runOutage({clock, system, acknowledgedAt, failedAt}: LeadStage): Promise<{readonly pauseMs: number; readonly failed: number}> {
+/** Takes the store down just after one host was killed, so that the other hosts cannot receive responses from all hosts. */
+async function runOutage({clock, system, acknowledgedAt, failedAt}: PrimaryLossTestbed): Promise<{readonly pauseMs: number; readonly failed: number}> {
 	system.kill(system.proxies[8]!);
 	system.store.setTrouble(undefined, {silent: true});
 	const since = clock.now();
--- a/src/bench/lead-changes/losses.ts
+++ b/src/bench/lead-changes/losses.ts
@@ -1,27 +1,27 @@
-import type {LeadStage} from './stage.js';
+import type {PrimaryLossTestbed} from './stage.js';
 
-/** A way to lose a primary, or to change it. */
-export type LeadLoss = {
+/** A scenario in which a group loses its primary, or its primary has to be replaced. */
+export type PrimaryLossScenario = {
 	readonly name: string;
-	/** Begins the loss; what must come before it comes now as well. */
-	begin(stage: LeadStage): Promise<void>;
+	/** Causes the loss, after the faults that precede it, and resolves once it has happened. */
+	begin(testbed: PrimaryLossTestbed): Promise<void>;
 };
 
-/** A store outage begins so long before the primary crashes, in milliseconds. */
-const OUTAGE_BEFORE_MS = 500;
+/** Time from the start of a store outage to the crash of the primary, in milliseconds. */
+const OUTAGE_BEFORE_CRASH_MS = 500;
 
 const OUTAGE_MS = 6000;
 
-const crash = ({group, getPrimary}: LeadStage) => {
+const crash = ({group, getPrimary}: PrimaryLossTestbed) => {
 	group.crash(getPrimary());
 };
 
-/** Every way, the plain ones first. */
-export const LEAD_LOSSES: readonly LeadLoss[] = [
+/** All scenarios: first those with a single fault, then those with several. */
+export const LEAD_LOSSES: readonly PrimaryLossScenario[] = [
 	{
 		name: 'crashed',
-		async begin(stage) {
-			crash(stage);
+		async begin(testbed) {
+			crash(testbed);
 		},
 	},
 	{
@@ -52,41 +52,41 @@
 	},
 	{
 		name: 'crashed, with the host that reads for all killed at that moment',
-		async begin(stage) {
-			stage.system.kill(stage.system.proxies[0]!);
-			crash(stage);
+		async begin(testbed) {
+			testbed.system.kill(testbed.system.proxies[0]!);
+			crash(testbed);
 		},
 	},
 	{
 		name: 'crashed, with another host killed at that moment',
-		async begin(stage) {
-			stage.system.kill(stage.system.proxies[8]!);
-			crash(stage);
+		async begin(testbed) {
+			testbed.system.kill(testbed.system.proxies[8]!);
+			crash(testbed);
 		},
 	},
 	{
 		name: 'crashed, with one host cut off from the others and the store',
-		async begin(stage) {
-			const {system} = stage;
-			const alone = system.proxies[8]!;
-			system.store.setTrouble(alone.name, {silent: true});
+		async begin(testbed) {
+			const {system} = testbed;
+			const isolated = system.proxies[8]!;
+			system.store.setTrouble(isolated.name, {silent: true});
 			for (const other of system.proxies.slice(0, 8)) {
-				system.network.setFaultsBetween(alone.peerAddress, other.peerAddress, {cut: true});
+				system.network.setFaultsBetween(isolated.peerAddress, other.peerAddress, {cut: true});
 			}
 
-			crash(stage);
+			crash(testbed);
 		},
 	},
 	{
 		name: 'crashed, 0.5 s into an outage of the store of 6 s',
-		async begin(stage) {
-			const {system, clock} = stage;
+		async begin(testbed) {
+			const {system, clock} = testbed;
 			system.store.setTrouble(undefined, {silent: true});
 			void clock.sleep(OUTAGE_MS).then(() => {
 				system.store.heal();
 			});
-			await clock.advance(OUTAGE_BEFORE_MS);
-			crash(stage);
+			await clock.advance(OUTAGE_BEFORE_CRASH_MS);
+			crash(testbed);
 		},
 	},
 ];
--- a/src/bench/lead-changes/stage.ts
+++ b/src/bench/lead-changes/stage.ts
@@ -7,49 +7,48 @@
 import {createSimulatedProxies, type SimulatedProxies, type SimulatedProxy} from '../../stand-ins/proxies/simulated-proxies.js';
 import {createVirtualClock, type VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 import {Access} from '../../statements/statement.js';
-import type {EvidenceWay} from './ways.js';
+import type {LeaseStrategy} from './ways.js';
 
-/** A line of the proxies' logs. */
-export type CapturedLine = {
+/** A line that a proxy logged, with the time in milliseconds. */
+export type CapturedLogLine = {
 	readonly at: number;
 	readonly sentence: string;
 	readonly fields: LogFields;
 };
 
-/** Nine proxies before one group, with writes going in. */
-export type LeadStage = {
+/** Nine simulated proxies in front of one group, with a steady stream of writes. */
+export type PrimaryLossTestbed = {
 	readonly clock: VirtualClock;
 	readonly system: SimulatedProxies;
 	readonly group: PlainGroup;
-	readonly lines: CapturedLine[];
-	/** Times at which a write was acknowledged. */
+	readonly lines: CapturedLogLine[];
+	/** Times at which writes were acknowledged, in milliseconds. */
 	readonly acknowledgedAt: readonly number[];
-	/** Writes that were not done. */
+	/** Times at which writes ended without an acknowledgement, in milliseconds. */
 	readonly failedAt: readonly number[];
 	getPrimary(): PlainServer;
 	stop(): void;
 };
 
-/** Availability zones of hosts and endpoints. */
 const ZONES = ['zone-0', 'zone-1', 'zone-2'];
 
 export const PROXIES = 9;
 
-/** A write goes in so often, in milliseconds, at one proxy after the other. */
-export const WRITE_EVERY_MS = 10;
+/** Interval between writes, in milliseconds; each goes to the next proxy in turn. */
+export const WRITE_INTERVAL_MS = 10;
 
-/** Longest write, in milliseconds. */
+/** Maximum duration of a write, in milliseconds. */
 const WRITE_TIMEOUT_MS = 1000;
 
-/** Hosts that have just registered replace nothing for 9 s. */
+/** Time before the writes start, in milliseconds: a host replaces no primary for 9 s after it has registered. */
 const WARM_UP_MS = 10_000;
 
 const GROUP = 'filings';
 
-/** Opens a stage on which primaries may be lost; promoting takes `promoteMs`. */
-export async function openLeadStage(seed: number, way: EvidenceWay, promoteMs: number): Promise<LeadStage> {
+/** Starts the proxies and the writes, and resolves after 1 s of writes. A promotion takes `promoteMs` milliseconds. */
+export async function openLeadStage(seed: number, strategy: LeaseStrategy, promoteMs: number): Promise<PrimaryLossTestbed> {
 	const clock = createVirtualClock();
-	const lines: CapturedLine[] = [];
+	const lines: CapturedLogLine[] = [];
 	const system = createSimulatedProxies({
 		clock,
 		seed,
@@ -62,26 +61,26 @@
 		log: createLineLog((sentence, fields) => {
 			lines.push({at: clock.now(), sentence, fields});
 		}),
-		wrapStore: way.wrapStore,
-		wrapPeers: way.wrapPeers,
+		wrapStore: strategy.wrapStore,
+		wrapPeers: strategy.wrapPeers,
 	});
 	for (let i = 1; i <= PROXIES; i++) {
 		await clock.runUntil(system.startProxy(`entry-${i}`));
 	}
 
-	void way.run?.(system.proxies, clock);
+	void strategy.run?.(system.proxies, clock);
 	await clock.advance(WARM_UP_MS);
 	const group = system.groups[0]!;
 	const acknowledgedAt: number[] = [];
 	const failedAt: number[] = [];
 	let stopped = false;
 
-	const idle = new Map<SimulatedProxy, ScriptedCaller[]>();
+	const idleCallers = new Map<SimulatedProxy, ScriptedCaller[]>();
 
 	const getCaller = async (proxy: SimulatedProxy) => {
-		const known = idle.get(proxy)?.pop();
-		if (known && !known.closed) {
-			return known;
+		const idleCaller = idleCallers.get(proxy)?.pop();
+		if (idleCaller && !idleCaller.closed) {
+			return idleCaller;
 		}
 
 		const caller = createScriptedCaller();
@@ -91,27 +90,27 @@
 
 	const write = async (proxy: SimulatedProxy, id: string) => {
 		const caller = await getCaller(proxy);
-		const answer = await caller?.ask(id, {kind: 'run', access: Access.Write, text: `WRITE filing ${id}`});
-		if (answer?.end.kind === 'complete') {
+		const response = await caller?.ask(id, {kind: 'run', access: Access.Write, text: `WRITE filing ${id}`});
+		if (response?.end.kind === 'complete') {
 			acknowledgedAt.push(clock.now());
 		} else {
 			failedAt.push(clock.now());
 		}
 
 		if (caller) {
-			idle.set(proxy, [...idle.get(proxy) ?? [], caller]);
+			idleCallers.set(proxy, [...idleCallers.get(proxy) ?? [], caller]);
 		}
 	};
 
-	const writeOn = async () => {
+	const writeContinuously = async () => {
 		for (let i = 0; !stopped; i++) {
-			const living = system.proxies.filter(({killed}) => !killed);
-			void write(living[i % living.length]!, `w${i}`);
-			await clock.sleep(WRITE_EVERY_MS);
+			const liveProxies = system.proxies.filter(({killed}) => !killed);
+			void write(liveProxies[i % liveProxies.length]!, `w${i}`);
+			await clock.sleep(WRITE_INTERVAL_MS);
 		}
 	};
 
-	void writeOn();
+	void writeContinuously();
 	await clock.advance(1000);
 	return {
 		clock,
@@ -128,7 +127,7 @@
 	};
 }
 
-/** Longest time between two neighbours, from `since` on, in milliseconds; to `until` where none follows. */
+/** Returns the longest time between two consecutive `times` within `since` and `until`, which count as the first and the last; in milliseconds. */
 export function getLongestPause(times: readonly number[], since: number, until: number): number {
 	const inside = [since, ...times.filter(at => at >= since && at <= until), until];
 	return Math.max(...inside.slice(1).map((at, i) => at - inside[i]!));
--- a/src/bench/lead-changes/ways.ts
+++ b/src/bench/lead-changes/ways.ts
@@ -4,26 +4,26 @@
 import type {SimulatedProxiesOptions, SimulatedProxy} from '../../stand-ins/proxies/simulated-proxies.js';
 import type {VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 
-/** A way in which hosts come by the evidence that a primary leads. */
-export type EvidenceWay = {
+/** A way in which hosts obtain primary leases. */
+export type LeaseStrategy = {
 	readonly name: string;
 	readonly wrapStore?: SimulatedProxiesOptions['wrapStore'];
 	readonly wrapPeers?: SimulatedProxiesOptions['wrapPeers'];
-	/** What goes on beside the proxies. */
+	/** Runs beside the proxies for the whole experiment. */
 	run?(proxies: readonly SimulatedProxy[], clock: VirtualClock): Promise<void>;
 };
 
-/** How often the holder of the duty renews it, in milliseconds: three tries within the lease. */
-const RENEW_MS = 1000;
+/** Interval at which the failover coordinator renews the failover lease, in milliseconds: three attempts within the lease. */
+const RENEWAL_INTERVAL_MS = 1000;
 
-/** A holder reads the store itself so often, in milliseconds, for configurations must be in force within 6 s. */
-const OWN_READ_MS = 2000;
+/** Interval at which the failover coordinator reads the store, in milliseconds: configurations must take effect within 6 s. */
+const COORDINATOR_READ_INTERVAL_MS = 2000;
 
-/** The product: the first host by name reads the store, and the others ask it. */
-export const ONE_READS: EvidenceWay = {name: 'one host reads for all'};
+/** The product's strategy: the first host by name reads the store, and the others poll it. */
+export const ONE_READS: LeaseStrategy = {name: 'one host reads for all'};
 
-/** Nobody reads for others. */
-export const EACH_READS: EvidenceWay = {
+/** Every host reads the store itself: its polls of other hosts fail, apart from urgent ones. */
+export const EVERY_HOST_READS: LeaseStrategy = {
 	name: 'every host reads',
 	wrapPeers: (peers): LivePeers => ({
 		...peers,
@@ -38,27 +38,27 @@
 };
 
 /**
- * The host that others ask holds the duty at all times, and answers by that alone: nobody else can be changing a primary. Nothing
- * of this is in the product.
+ * The host that others poll holds the failover lease at all times, and confirms their copies because of that lease alone: while it
+ * holds the lease, no other host can be replacing a primary. It reads the store only at an interval. The product does not do this.
  */
-export const HOLDER_GRANTS: EvidenceWay = {
+export const COORDINATOR_GRANTS: LeaseStrategy = {
 	name: 'the holder of the duty grants',
 	wrapStore(store, proxy): MetadataStore {
-		let known: {readonly revision: number; readonly at: number} | undefined;
+		let lastRead: {readonly revision: number; readonly at: number} | undefined;
 		return {
 			...store,
 			async getRevision(timeoutMs) {
 				const now = proxy.clock.elapsed();
-				const holds = proxy.kernel.getOrThrow('failoverLease').getToken(0) !== undefined;
-				if (holds && known && now - known.at < OWN_READ_MS) {
-					return known.revision;
+				const isCoordinator = proxy.kernel.getOrThrow('failoverLease').getToken(0) !== undefined;
+				if (isCoordinator && lastRead && now - lastRead.at < COORDINATOR_READ_INTERVAL_MS) {
+					return lastRead.revision;
 				}
 
-				known = {revision: await store.getRevision(timeoutMs), at: now};
-				return known.revision;
+				lastRead = {revision: await store.getRevision(timeoutMs), at: now};
+				return lastRead.revision;
 			},
 			async putRecord(kind, record, timeoutMs) {
-				known = undefined;
+				lastRead = undefined;
 				return store.putRecord(kind, record, timeoutMs);
 			},
 		};
@@ -71,10 +71,10 @@
 				}
 			}
 
-			await clock.sleep(RENEW_MS);
+			await clock.sleep(RENEWAL_INTERVAL_MS);
 		}
 	},
 };
 
-/** All ways, the product's first. */
-export const WAYS: readonly EvidenceWay[] = [ONE_READS, EACH_READS, HOLDER_GRANTS];
+/** All strategies, the product's first. */
+export const LEASE_STRATEGIES: readonly LeaseStrategy[] = [ONE_READS, EVERY_HOST_READS, COORDINATOR_GRANTS];
