--- a/src/bench/news-spread.ts
+++ b/src/bench/news-spread.ts
@@ -4,17 +4,17 @@
 import {createNewsFleet, createRouting, type NewsFleet} from './news-spread/news-fleet.js';
 import {createMeasure} from './statistics.js';
 
-/** Spreads news of the store over fleets of several sizes, in virtual time. */
+/** Sends store updates to fleets of several sizes, in virtual time. */
 export const newsSpread: Experiment = {
 	name: 'news-spread',
 	description: 'Bytes and calls to the store that news of it costs, and the time until the last host has it, by the size of the fleet',
 	run,
 };
 
-/** Hosts and availability zones: those of the users' deployments, and of the size that the design is for. */
+/** Numbers of hosts and availability zones: those of the users' deployments, and the size for which the system is designed. */
 const SIZES = [[9, 4], [68, 3], [195, 6], [900, 7]] as const;
 
-const CALM_MS = 7000;
+const STEADY_STATE_MS = 7000;
 
 const ROUTES = 34;
 const MANY_ROUTES = 1852;
@@ -42,33 +42,33 @@
 	fleet.store.setRouting(createRouting(1, ROUTES));
 	await fleet.settle();
 	const {calls} = fleet.store;
-	await fleet.clock.advance(CALM_MS);
+	await fleet.clock.advance(STEADY_STATE_MS);
 	const measures = [
-		createMeasure('calm: calls to the store', 'calls/s', [(fleet.store.calls - calls) * 1000 / CALM_MS]),
-		createMeasure('calm: sent by a host, mean', 'B/s', [getMeanSent(fleet) * 1000 / CALM_MS]),
-		createMeasure('calm: sent by a host, most', 'B/s', [getMostSent(fleet) * 1000 / CALM_MS]),
-		createMeasure('calm: between zones', 'B/s', [fleet.crossBytes * 1000 / CALM_MS]),
+		createMeasure('calm: calls to the store', 'calls/s', [(fleet.store.calls - calls) * 1000 / STEADY_STATE_MS]),
+		createMeasure('calm: sent by a host, mean', 'B/s', [getMeanSentBytes(fleet) * 1000 / STEADY_STATE_MS]),
+		createMeasure('calm: sent by a host, most', 'B/s', [getMaxSentBytes(fleet) * 1000 / STEADY_STATE_MS]),
+		createMeasure('calm: between zones', 'B/s', [fleet.crossBytes * 1000 / STEADY_STATE_MS]),
 		...await measureChange(fleet, 'one setting', createRouting(2, ROUTES, 900)),
 		...await measureChange(fleet, 'many routes', createRouting(3, MANY_ROUTES)),
-		...await measureLoss(fleet),
+		...await measureReaderFrozen(fleet),
 	];
 	fleet.stop();
 	return measures;
 }
 
-async function measureChange(fleet: NewsFleet, what: string, routing: ReturnType<typeof createRouting>): Promise<readonly Measure[]> {
+async function measureChange(fleet: NewsFleet, name: string, routing: ReturnType<typeof createRouting>): Promise<readonly Measure[]> {
 	fleet.resetFigures();
 	fleet.store.setRouting(routing);
 	const ms = await fleet.awaitVersion(fleet.hosts, routing.version);
 	return [
-		createMeasure(`${what}: everywhere after`, 'ms', [ms ?? Number.NaN]),
-		createMeasure(`${what}: sent by a host, most`, 'B', [getMostSent(fleet)]),
-		createMeasure(`${what}: between zones`, 'B', [fleet.crossBytes]),
+		createMeasure(`${name}: everywhere after`, 'ms', [ms ?? Number.NaN]),
+		createMeasure(`${name}: sent by a host, most`, 'B', [getMaxSentBytes(fleet)]),
+		createMeasure(`${name}: between zones`, 'B', [fleet.crossBytes]),
 	];
 }
 
-/** The host that reads for all stops answering; what the others need until a change is everywhere again. */
-async function measureLoss(fleet: NewsFleet): Promise<readonly Measure[]> {
+/** Freezes the host that reads the store for all, and measures the time and the store calls until the others have the next change. */
+async function measureReaderFrozen(fleet: NewsFleet): Promise<readonly Measure[]> {
 	const {calls} = fleet.store;
 	fleet.network.pause(fleet.hosts[0]!.address);
 	fleet.store.setRouting(createRouting(4, ROUTES));
@@ -79,10 +79,10 @@
 	];
 }
 
-function getMeanSent({hosts}: NewsFleet): number {
+function getMeanSentBytes({hosts}: NewsFleet): number {
 	return hosts.reduce((sum, {sentBytes}) => sum + sentBytes, 0) / hosts.length;
 }
 
-function getMostSent({hosts}: NewsFleet): number {
+function getMaxSentBytes({hosts}: NewsFleet): number {
 	return Math.max(...hosts.map(({sentBytes}) => sentBytes));
 }
--- a/src/bench/news-spread/news-fleet.ts
+++ b/src/bench/news-spread/news-fleet.ts
@@ -9,49 +9,49 @@
 import {createPeerNetwork, type PeerNetwork} from '../../stand-ins/peers/in-memory-peers.js';
 import {createVirtualClock, type VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 
-/** One host of a fleet, with what it sent. */
+/** One host of a fleet, with the number of bytes that it sent. */
 export type NewsHost = {
 	readonly name: string;
 	readonly address: string;
 	readonly zone: string;
 	readonly mirror: StoreMirror;
-	/** Bytes of questions and answers that it sent to other hosts. */
+	/** Bytes of requests and responses that it sent to other hosts. */
 	sentBytes: number;
 };
 
-/** Mirrors of a whole fleet on one virtual clock. */
+/** The mirrors of a whole fleet on one virtual clock. */
 export type NewsFleet = {
 	readonly clock: VirtualClock;
 	readonly store: InMemoryMetadataStore;
 	readonly network: PeerNetwork;
 	readonly hosts: readonly NewsHost[];
-	/** Bytes that crossed from zone to zone. */
+	/** Bytes that were sent from one availability zone to another. */
 	readonly crossBytes: number;
-	/** Begins to count anew. */
+	/** Resets the counts of bytes to zero. */
 	resetFigures(): void;
 	/** Registers a host in the store. */
 	register(host: NewsHost): Promise<void>;
-	/** Registers and starts all hosts, and waits until they have news. */
+	/** Registers and starts all hosts, gives them time to receive a store update, and resets the counts. */
 	settle(): Promise<void>;
-	/** Milliseconds until each of the hosts has a version of the configuration; undefined where some has not within 10 s. */
+	/** Resolves with the milliseconds until each of `hosts` has this version of the configuration; undefined if one of them lacks it after 10 s. */
 	awaitVersion(hosts: readonly NewsHost[], version: number): Promise<number | undefined>;
 	stop(): void;
 };
 
-/** What a fleet is made of. */
+/** Size of a fleet, and how many of its hosts the others know as seeds. */
 export type NewsFleetOptions = {
 	readonly hostCount: number;
 	readonly zoneCount: number;
 	readonly seeds?: number;
 };
 
-/** Time that hosts are given after their start, in milliseconds. */
-const SETTLE_MS = 4000;
+/** Time from the start of the hosts to the first measurement, in milliseconds. */
+const START_UP_MS = 4000;
 
-const LONGEST_WAIT_MS = 10_000;
-const STEP_MS = 20;
+const MAX_WAIT_MS = 10_000;
+const CHECK_INTERVAL_MS = 20;
 
-/** A configuration of some routes. */
+/** Creates a configuration with `routeCount` routes. */
 export function createRouting(version: number, routeCount: number, statementTimeoutMs = 1000): Routing {
 	const routes = Array.from({length: routeCount}, (_, i): Route => ({
 		name: `route-${i}`, database: `db${i}`, group: `g${i % 14}`, policy: ReadPolicy.OwnWrites, maxReadAgeMs: 2500, statementTimeoutMs, targetLatencyMs: 400, priority: 2,
@@ -65,7 +65,7 @@
 	};
 }
 
-/** Creates a fleet that is not started. */
+/** Creates a fleet without starting it. */
 export function createNewsFleet({hostCount, zoneCount, seeds: seedCount = 0}: NewsFleetOptions): NewsFleet {
 	const clock = createVirtualClock(undefined, {settleRounds: 2});
 	const startedAt = clock.now();
@@ -75,8 +75,8 @@
 	const byAddress = new Map<string, NewsHost>();
 	let crossBytes = 0;
 
-	const noteSent = (from: NewsHost, to: string, content: unknown) => {
-		const bytes = pack(content).length;
+	const countSent = (from: NewsHost, to: string, message: unknown) => {
+		const bytes = pack(message).length;
 		from.sentBytes += bytes;
 		crossBytes += byAddress.get(to)?.zone === from.zone ? 0 : bytes;
 	};
@@ -87,11 +87,11 @@
 	const countBytes = (peers: LivePeers, getHost: () => NewsHost): LivePeers => ({
 		...peers,
 		async call(address, kind, req, timeoutMs) {
-			noteSent(getHost(), address, req);
+			countSent(getHost(), address, req);
 			const res = await peers.call(address, kind, req, timeoutMs);
-			const answering = byAddress.get(address);
-			if (answering) {
-				noteSent(answering, getHost().address, res);
+			const responder = byAddress.get(address);
+			if (responder) {
+				countSent(responder, getHost().address, res);
 			}
 
 			return res;
@@ -146,17 +146,17 @@
 				void mirror.start();
 			}
 
-			await clock.advance(SETTLE_MS);
+			await clock.advance(START_UP_MS);
 			resetFigures();
 		},
-		async awaitVersion(asked, version) {
+		async awaitVersion(observed, version) {
 			const since = clock.now();
-			while (asked.some(({mirror}) => mirror.state.routing?.version !== version)) {
-				if (clock.now() - since > LONGEST_WAIT_MS) {
+			while (observed.some(({mirror}) => mirror.state.routing?.version !== version)) {
+				if (clock.now() - since > MAX_WAIT_MS) {
 					return undefined;
 				}
 
-				await clock.advance(STEP_MS);
+				await clock.advance(CHECK_INTERVAL_MS);
 			}
 
 			return clock.now() - since;
