--- a/src/bench/failover-gap.ts
+++ b/src/bench/failover-gap.ts
@@ -1,32 +1,32 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
-import {runCalm} from './failover-gap/calm-run.js';
-import {STEP_MS} from './failover-gap/filings.js';
+import {runWithoutLoss} from './failover-gap/no-loss-run.js';
+import {FILING_INTERVAL_MS} from './failover-gap/filings.js';
 import {
 	GAP_PARTS, LOSS_MS, runLoss, type GapPolicy, type LossFigures,
 } from './failover-gap/loss-run.js';
-import {LOSSES, type LossPlan, type PlatformState} from './failover-gap/losses.js';
+import {LOSS_SCENARIOS, type LossScenario, type PlatformState} from './failover-gap/losses.js';
 import {
-	CLAIM_REQUIRED, NO_SECOND_OPINION, POLLS_ALONE, PRODUCT,
+	CLAIM_REQUIRED, NO_REACHABILITY_REPORTS, POLLS_ONLY, PRODUCT,
 } from './failover-gap/policies.js';
-import {runSwitch} from './failover-gap/switch-run.js';
+import {runPlannedChange} from './failover-gap/planned-change-run.js';
 import {createMeasure, getPercentile} from './statistics.js';
 
-/** Loses the primary of the users' busiest group in every way, with filings going in, on the whole system in virtual time. */
+/** Runs every loss scenario with a stream of filings, on a simulated system with a group like the users' busiest one, in virtual time. */
 export const failoverGap: Experiment = {
 	name: 'failover-gap',
 	description: 'Time without an acknowledged filing after a loss of the primary, its parts, needless promotions and planned changes',
 	run,
 };
 
-const CALM_MS = 720_000;
+const NO_LOSS_MS = 720_000;
 const PLATFORMS: readonly PlatformState[] = ['up', 'slow', 'silent'];
 
 async function run(options: ExperimentOptions): Promise<ExperimentResult> {
 	const gaps: number[] = [];
 	const measures: Measure[] = [];
-	for (const loss of LOSSES) {
+	for (const loss of LOSS_SCENARIOS) {
 		for (const platform of PLATFORMS) {
 			const figures = await runSeeds(options, PRODUCT, loss, platform);
 			gaps.push(...figures.map(({gapMs}) => gapMs));
@@ -38,14 +38,14 @@
 		createMeasure('gap, median over all losses', 'ms', [getPercentile(gaps, 0.5)]),
 		createMeasure('gap, longest of all losses', 'ms', [Math.max(...gaps)]),
 	);
-	measures.push(...await measureSwitch(options), ...await measureCalm(options, PRODUCT));
+	measures.push(...await measurePlannedChange(options), ...await measureWithoutLoss(options, PRODUCT));
 
 	return {
 		name: failoverGap.name,
 		description: failoverGap.description,
 		seeds: options.seeds,
 		setting: {
-			proxies: 9, servers: 3, connections: 35, slots: 2, 'one way (ms)': 1.5, 'filings/s': 1000 / STEP_MS, 'loss lasts (ms)': LOSS_MS, 'calm time a seed (s)': CALM_MS / 1000,
+			proxies: 9, servers: 3, connections: 35, slots: 2, 'one way (ms)': 1.5, 'filings/s': 1000 / FILING_INTERVAL_MS, 'loss lasts (ms)': LOSS_MS, 'calm time a seed (s)': NO_LOSS_MS / 1000,
 		},
 		measures,
 		baselines: await runBaselines(options),
@@ -55,14 +55,14 @@
 
 async function runBaselines(options: ExperimentOptions): Promise<readonly Variant[]> {
 	const baselines: Variant[] = [];
-	for (const [policy, platform] of [[CLAIM_REQUIRED, 'slow'], [CLAIM_REQUIRED, 'silent'], [POLLS_ALONE, 'up'], [NO_SECOND_OPINION, 'up']] as const) {
+	for (const [policy, platform] of [[CLAIM_REQUIRED, 'slow'], [CLAIM_REQUIRED, 'silent'], [POLLS_ONLY, 'up'], [NO_REACHABILITY_REPORTS, 'up']] as const) {
 		const measures: Measure[] = [];
-		for (const loss of LOSSES.filter(({name}) => name === 'killed' || name === 'frozen')) {
+		for (const loss of LOSS_SCENARIOS.filter(({name}) => name === 'killed' || name === 'frozen')) {
 			measures.push(...describeLoss(`${loss.name}, platform ${platform}`, await runSeeds(options, policy, loss, platform), false));
 		}
 
-		if (policy === NO_SECOND_OPINION) {
-			measures.push(...await measureCalm(options, policy));
+		if (policy === NO_REACHABILITY_REPORTS) {
+			measures.push(...await measureWithoutLoss(options, policy));
 		}
 
 		baselines.push({name: policy.name, measures});
@@ -71,7 +71,7 @@
 	return baselines;
 }
 
-async function runSeeds({seeds, report}: ExperimentOptions, policy: GapPolicy, loss: LossPlan, platform: PlatformState): Promise<readonly LossFigures[]> {
+async function runSeeds({seeds, report}: ExperimentOptions, policy: GapPolicy, loss: LossScenario, platform: PlatformState): Promise<readonly LossFigures[]> {
 	const figures: LossFigures[] = [];
 	for (const seed of seeds) {
 		figures.push(await runLoss(seed, policy, loss, platform));
@@ -93,21 +93,21 @@
 	];
 }
 
-async function measureSwitch({seeds, report}: ExperimentOptions): Promise<readonly Measure[]> {
+async function measurePlannedChange({seeds, report}: ExperimentOptions): Promise<readonly Measure[]> {
 	const figures: LossFigures[] = [];
 	for (const seed of seeds) {
-		figures.push(await runSwitch(seed, PRODUCT));
+		figures.push(await runPlannedChange(seed, PRODUCT));
 	}
 
 	report(`planned change: ${figures.map(({gapMs, failed}) => `${Math.round(gapMs)} ms, ${failed} failed`).join('; ')}`);
 	return describeLoss('planned change', figures, false);
 }
 
-async function measureCalm({seeds, report}: ExperimentOptions, policy: GapPolicy): Promise<readonly Measure[]> {
+async function measureWithoutLoss({seeds, report}: ExperimentOptions, policy: GapPolicy): Promise<readonly Measure[]> {
 	const promotions: number[] = [];
 	for (const seed of seeds) {
-		const calm = await runCalm(seed, policy, CALM_MS);
-		promotions.push(calm.promotions);
+		const figures = await runWithoutLoss(seed, policy, NO_LOSS_MS);
+		promotions.push(figures.promotions);
 	}
 
 	report(`${policy.name}: needless promotions ${promotions.join(' ')}`);
--- a/src/bench/failover-gap/filings.ts
+++ b/src/bench/failover-gap/filings.ts
@@ -2,38 +2,38 @@
 import {callerRequestSchema} from '../../callers/caller-request.js';
 import type {SimulatedSystem} from '../../stand-ins/system/simulated-system.js';
 
-/** A filing and what became of it. */
+/** A filing with its times, in milliseconds, and its response. */
 export type Filing = {
 	readonly id: number;
 	readonly entry: string;
-	readonly askedAt: number;
+	readonly sentAt: number;
 	endedAt?: number;
 	answer?: CallerResponse;
 };
 
-/** A steady stream of filings through all entries. */
+/** A steady stream of filings through all proxies. */
 export type FilingStream = {
 	readonly filings: readonly Filing[];
-	/** Leaves out an entry from now on: its callers went elsewhere. */
-	leaveOut(entry: string): void;
-	/** Sends no more and resolves once every filing, but those of entries left out, was answered. */
+	/** Sends no more filings through an entry, as its callers use other entries from now on. */
+	exclude(entry: string): void;
+	/** Stops the stream and resolves once every filing has a response, except for those of excluded entries. */
 	end(): Promise<void>;
 };
 
 export const GROUP = 'filings';
 
-/** Time between two filings, in milliseconds. */
-export const STEP_MS = 10;
+/** Interval between filings, in milliseconds. */
+export const FILING_INTERVAL_MS = 10;
 
 const DEADLINE_MS = 10_000;
 
-/** Starts the stream: a filing every {@link STEP_MS}, through one entry after the other. */
+/** Starts the stream: it sends a filing every {@link FILING_INTERVAL_MS}, through each entry in turn. */
 export function startFilings(system: SimulatedSystem): FilingStream {
 	const {clock} = system;
 	const filings: Filing[] = [];
-	const answering = new Map<Filing, Promise<void>>();
-	const leftOut = new Set<string>();
-	const ending = new AbortController();
+	const pending = new Map<Filing, Promise<void>>();
+	const excluded = new Set<string>();
+	const stopping = new AbortController();
 
 	const send = async (filing: Filing) => {
 		const body = callerRequestSchema.parse({
@@ -41,51 +41,51 @@
 		});
 		filing.answer = await system.getProxyOrThrow(filing.entry).kernel.getOrThrow('entry').execute(GROUP, body, undefined);
 		filing.endedAt = clock.now();
-		answering.delete(filing);
+		pending.delete(filing);
 	};
 
-	const sendOn = async () => {
-		while (!ending.signal.aborted) {
-			const entries = system.proxies.filter(({name}) => !leftOut.has(name));
-			const filing: Filing = {id: filings.length, entry: entries[filings.length % entries.length]!.name, askedAt: clock.now()};
+	const sendContinuously = async () => {
+		while (!stopping.signal.aborted) {
+			const entries = system.proxies.filter(({name}) => !excluded.has(name));
+			const filing: Filing = {id: filings.length, entry: entries[filings.length % entries.length]!.name, sentAt: clock.now()};
 			filings.push(filing);
-			answering.set(filing, send(filing));
-			await clock.sleep(STEP_MS, ending.signal);
+			pending.set(filing, send(filing));
+			await clock.sleep(FILING_INTERVAL_MS, stopping.signal);
 		}
 	};
 
-	const sending = sendOn();
+	const sending = sendContinuously();
 
 	return {
 		filings,
-		leaveOut(entry) {
-			leftOut.add(entry);
+		exclude(entry) {
+			excluded.add(entry);
 		},
 		async end() {
-			ending.abort();
+			stopping.abort();
 			await sending;
-			await Promise.all([...answering].filter(([{entry}]) => !leftOut.has(entry)).map(async ([, answered]) => answered));
+			await Promise.all([...pending].filter(([{entry}]) => !excluded.has(entry)).map(async ([, completed]) => completed));
 		},
 	};
 }
 
-/** Fails the run where an acknowledged filing is not there exactly once, or one said not to have run is there. */
+/** Throws unless each acknowledged filing is stored exactly once, each one reported as not run is not stored, and each other one is stored at most once. */
 export function checkFilings(system: SimulatedSystem, filings: readonly Filing[]): void {
 	const {servers} = system.getGroupOrThrow(GROUP);
 	const newest = servers.toSorted((left, right) => right.member.getStatus().term - left.member.getStatus().term);
-	const primary = newest.find(({member}) => member.isPrimaryAt(member.getStatus().term)) ?? throwWrong('no server is primary at the end');
-	for (const {id, answer} of filings) {
+	const primary = newest.find(({member}) => member.isPrimaryAt(member.getStatus().term)) ?? throwCheckFailure('the group has no primary at the end');
+	for (const {id, answer: response} of filings) {
 		const {length: count} = primary.member.state.findRows('filings', [{column: 'id', value: id}]);
-		const right = answer?.outcome === Outcome.Done ? count === 1 : count <= (answer?.outcome === Outcome.NotRun ? 0 : 1);
-		if (!right) {
-			throwWrong(`filing ${id} was answered ${answer?.outcome ?? 'nothing'} and is there ${count} times`);
+		const isCorrect = response?.outcome === Outcome.Done ? count === 1 : count <= (response?.outcome === Outcome.NotRun ? 0 : 1);
+		if (!isCorrect) {
+			throwCheckFailure(`filing ${id} has the outcome ${response?.outcome ?? 'unknown'} and is stored ${count} times`);
 		}
 	}
 }
 
-/** Longest time from one acknowledgement to the next that ended after `since`, in milliseconds; one that none ended lasts to `until`. */
+/** Returns the longest time from one acknowledgement to the next, in milliseconds, of those that end after `since`; a gap without an end lasts until `until`. */
 export function getLongestGap(filings: readonly Filing[], since: number, until: number): {readonly ms: number; readonly endedAt: number} {
-	const done = filings.filter(({answer}) => answer?.outcome === Outcome.Done).map(({endedAt}) => endedAt!);
+	const done = filings.filter(({answer: response}) => response?.outcome === Outcome.Done).map(({endedAt}) => endedAt!);
 	const times = [...done, until].toSorted((left, right) => left - right);
 	let longest = {ms: 0, endedAt: since};
 	for (const [index, endedAt] of times.entries()) {
@@ -98,11 +98,11 @@
 	return longest;
 }
 
-/** Longest time that any answered filing took, in milliseconds. */
+/** Returns the longest response time of any filing, in milliseconds. */
 export function getLongestFiling(filings: readonly Filing[]): number {
-	return Math.max(0, ...filings.map(({askedAt, endedAt}) => endedAt === undefined ? 0 : endedAt - askedAt));
+	return Math.max(0, ...filings.map(({sentAt, endedAt}) => endedAt === undefined ? 0 : endedAt - sentAt));
 }
 
-function throwWrong(what: string): never {
-	throw new Error(`failover-gap: ${what}`);
+function throwCheckFailure(message: string): never {
+	throw new Error(`failover-gap: ${message}`);
 }
--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -6,49 +6,49 @@
 	checkFilings, getLongestFiling, getLongestGap, GROUP, startFilings, type FilingStream,
 } from './filings.js';
 import {
-	healAll, PLATFORM_STATES, type LossPlan, type LossScene, type PlatformState,
+	healAll, PLATFORM_STATES, type LossScenario, type LossTargets, type PlatformState,
 } from './losses.js';
 
-/** A way of doing it: the product, or what it is measured against. */
+/** A variant of failover that is measured: the product's, or a baseline. */
 export type GapPolicy = {
 	readonly name: string;
 	readonly hooks?: FailoverHooks;
 	readonly wrapPeers?: SimulatedSystemOptions['wrapPeers'];
 };
 
-/** What one loss cost. */
+/** Figures of one run. */
 export type LossFigures = {
 	/** Longest time without an acknowledgement, in milliseconds. */
 	readonly gapMs: number;
-	/** Longest time that a filing took, in milliseconds. */
+	/** Longest response time of a filing, in milliseconds. */
 	readonly longestMs: number;
-	/** Filings that were not done. */
+	/** Filings with a response other than `done`. */
 	readonly failed: number;
 	readonly promotions: number;
-	/** The parts of the gap; undefined where nothing was promoted. */
+	/** Durations of the gap's parts, in milliseconds; undefined if no unplanned promotion took place. */
 	readonly parts?: Readonly<Record<GapPart, number>>;
 };
 
-/** The parts of a gap in their order. */
+/** The parts of a gap in chronological order. */
 export const GAP_PARTS = ['detect', 'claim', 'fence', 'promote', 'learn', 'first filing'] as const;
 
 /** One of {@link GAP_PARTS}. */
 export type GapPart = typeof GAP_PARTS[number];
 
-/** A system with filings going in, and the promotions so far with their times. */
-export type Stage = LossScene & {
+/** A system with a stream of filings, and the promotions so far with their times. */
+export type Testbed = LossTargets & {
 	readonly promotions: ReadonlyArray<Promotion & {readonly at: number}>;
 };
 
 const ZONES = ['lozenets', 'mladost', 'druzhba'];
 const PROXIES = 9;
 const WARM_UP_MS = 1500;
-/** How long a loss lasts; a gap that nobody ends lasts as long. */
+/** Duration of a loss, in milliseconds; a gap during which no primary is promoted lasts as long. */
 export const LOSS_MS = 6000;
 const RECOVERY_MS = 8000;
 
-/** Starts the users' system with its stream of filings. */
-export async function openStage(seed: number, policy: GapPolicy): Promise<Stage> {
+/** Starts nine proxies, one group of three servers and the stream of filings. */
+export async function startTestbed(seed: number, policy: GapPolicy): Promise<Testbed> {
 	const promotions: Array<Promotion & {at: number}> = [];
 	const system: SimulatedSystem = createSimulatedSystem({
 		proxies: PROXIES,
@@ -72,29 +72,29 @@
 	};
 }
 
-/** Ends the stream, checks every filing and ends the system. */
-export async function closeStage({system, stream}: {readonly system: SimulatedSystem; readonly stream: FilingStream}): Promise<void> {
+/** Stops the stream, waits for the system to recover, checks every filing and stops the system. */
+export async function stopTestbed({system, stream}: {readonly system: SimulatedSystem; readonly stream: FilingStream}): Promise<void> {
 	await system.clock.runUntil(stream.end());
 	await system.clock.advance(RECOVERY_MS);
 	checkFilings(system, stream.filings);
 	await system.stop();
 }
 
-/** Loses the primary once and tells what that cost. */
-export async function runLoss(seed: number, policy: GapPolicy, loss: LossPlan, platform: PlatformState): Promise<LossFigures> {
-	const stage = await openStage(seed, policy);
-	const {system, stream, promotions} = stage;
+/** Runs one loss of the primary and returns its figures. */
+export async function runLoss(seed: number, policy: GapPolicy, loss: LossScenario, platform: PlatformState): Promise<LossFigures> {
+	const testbed = await startTestbed(seed, policy);
+	const {system, stream, promotions} = testbed;
 	PLATFORM_STATES[platform](system);
-	// Losses meet the polls at different phases.
+	// Varies the phase of the polls at which the loss happens.
 	await system.clock.advance(WARM_UP_MS + ((seed * 137) % 500));
 	const lostAt = system.clock.now();
-	await loss.apply(stage);
+	await loss.apply(testbed);
 	await system.clock.advance(LOSS_MS);
 	const endedAt = system.clock.now();
-	healAll(stage);
+	healAll(testbed);
 	const promotion = promotions.find(({cause}) => cause !== 'planned');
 	const count = promotions.length;
-	await closeStage(stage);
+	await stopTestbed(testbed);
 
 	const gap = getLongestGap(stream.filings, lostAt, endedAt);
 	return {
@@ -106,12 +106,12 @@
 	};
 }
 
-/** Filings that were answered, and not with `done`. */
+/** Counts the filings with a response other than `done`. */
 export function countFailed({filings}: FilingStream): number {
-	return filings.filter(({answer}) => answer !== undefined && answer.outcome !== Outcome.Done).length;
+	return filings.filter(({answer: response}) => response !== undefined && response.outcome !== Outcome.Done).length;
 }
 
-function getParts({stepDurations: parts, at}: Stage['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
+function getParts({stepDurations: parts, at}: Testbed['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
 	const {claimMs, fenceMs, promoteMs, learnMs} = parts;
 	return {
 		detect: at - lostAt - claimMs - fenceMs - promoteMs - learnMs,
--- a/src/bench/failover-gap/losses.ts
+++ b/src/bench/failover-gap/losses.ts
@@ -3,8 +3,8 @@
 import type {SimulatedProxy, SimulatedSystem} from '../../stand-ins/system/simulated-system.js';
 import type {FilingStream} from './filings.js';
 
-/** What a loss acts on. */
-export type LossScene = {
+/** The parts of a system on which a loss acts. */
+export type LossTargets = {
 	readonly system: SimulatedSystem;
 	readonly primary: DatabaseServer;
 	readonly replicas: readonly DatabaseServer[];
@@ -13,18 +13,18 @@
 	readonly stream: FilingStream;
 };
 
-/** A way to lose the primary. */
-export type LossPlan = {
+/** A scenario in which the primary is lost. */
+export type LossScenario = {
 	readonly name: string;
-	apply(scene: LossScene): void | Promise<void>;
+	apply(targets: LossTargets): void | Promise<void>;
 };
 
-const FLAPS = 5;
-const CUT_MS = 500;
-const HEALED_MS = 300;
+const FLAP_COUNT = 5;
+const FLAP_DOWN_MS = 500;
+const FLAP_UP_MS = 300;
 
-/** Every way that is measured. */
-export const LOSSES: readonly LossPlan[] = [
+/** All scenarios that are measured. */
+export const LOSS_SCENARIOS: readonly LossScenario[] = [
 	{
 		name: 'killed',
 		apply({primary}) {
@@ -51,35 +51,35 @@
 	},
 	{
 		name: 'frozen, first owner paused',
-		apply(scene) {
-			scene.primary.faults.freeze();
-			pauseOwner(scene);
+		apply(targets) {
+			targets.primary.faults.freeze();
+			pauseFirstOwner(targets);
 		},
 	},
 	{
 		name: 'frozen, first owner dead',
 		apply({primary, owner, system, stream}) {
 			primary.faults.freeze();
-			stream.leaveOut(owner.name);
+			stream.exclude(owner.name);
 			system.kill(owner.name);
 		},
 	},
 	{
 		name: 'flapping',
 		async apply({primary, system}) {
-			for (let flap = 0; flap < FLAPS; flap++) {
+			for (let flap = 0; flap < FLAP_COUNT; flap++) {
 				primary.faults.cut();
-				await system.clock.advance(CUT_MS);
+				await system.clock.advance(FLAP_DOWN_MS);
 				primary.faults.heal();
-				await system.clock.advance(HEALED_MS);
+				await system.clock.advance(FLAP_UP_MS);
 			}
 		},
 	},
 ];
 
-/** Whatever a paused process sends or is sent waits; its callers go elsewhere. */
-function pauseOwner({system, owner, primary, replicas, stream}: LossScene): void {
-	stream.leaveOut(owner.name);
+/** Holds back everything that the first-ranked owner sends or receives, as if its process were paused; its callers use other entries. */
+function pauseFirstOwner({system, owner, primary, replicas, stream}: LossTargets): void {
+	stream.exclude(owner.name);
 	system.network.pause(owner.address);
 	for (const {address} of [primary, ...replicas]) {
 		owner.endpoints.getLink(address).cut();
@@ -88,8 +88,8 @@
 	owner.platform.gate.faults.outage = Outage.Silent;
 }
 
-/** Ends what any loss began. */
-export function healAll({system, owner, primary, replicas}: LossScene): void {
+/** Ends the faults of every scenario. */
+export function healAll({system, owner, primary, replicas}: LossTargets): void {
 	primary.faults.thaw();
 	primary.restart();
 	primary.faults.heal();
@@ -99,7 +99,7 @@
 	}
 }
 
-/** States of the platform during a loss. */
+/** States of the platform's store during a loss. */
 export const PLATFORM_STATES = {
 	up() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	slow(system: SimulatedSystem) {
--- a/src/bench/failover-gap/policies.ts
+++ b/src/bench/failover-gap/policies.ts
@@ -1,14 +1,14 @@
 import type {ConfirmSuspicionResponse} from '../../failover/failover-calls.js';
 import type {GapPolicy} from './loss-run.js';
 
-/** The failover as it ships. */
+/** Failover with the product's default settings. */
 export const PRODUCT: GapPolicy = {name: 'failover-gap'};
 
-/** Waits for the claim in the platform's store for half a minute, longer than any loss here lasts. */
+/** Waits up to 30 s for the claim in the platform's store, which is longer than any loss in this experiment. */
 export const CLAIM_REQUIRED: GapPolicy = {name: 'claim required', hooks: {settings: {claimMs: 30_000}}};
 
-/** Learns nothing from traffic: polls alone find a loss. */
-export const POLLS_ALONE: GapPolicy = {
+/** Ignores failed requests as a sign of a loss, so that only polls detect it. */
+export const POLLS_ONLY: GapPolicy = {
 	name: 'polls alone',
 	hooks: {
 		wrap: failover => ({
@@ -18,17 +18,17 @@
 	},
 };
 
-const NOTHING_SEEN: ConfirmSuspicionResponse = {seen: []};
+const LOSS_CONFIRMED: ConfirmSuspicionResponse = {seen: []};
 
-/** Takes its own word for a loss. */
-export const NO_SECOND_OPINION: GapPolicy = {
+/** Requires no reachability report of another host before a promotion. */
+export const NO_REACHABILITY_REPORTS: GapPolicy = {
 	name: 'no second opinion',
 	wrapPeers: peers => ({
 		...peers,
 		get address() {
 			return peers.address;
 		},
-		// Another host always confirms at once: what is asked is left out of the way.
-		call: async (address, kind, req, timeoutMs) => kind === 'confirm-suspicion' ? NOTHING_SEEN : peers.call(address, kind, req, timeoutMs),
+		// Stands for another host that confirms every loss at once, without sending it the request.
+		call: async (address, kind, req, timeoutMs) => kind === 'confirm-suspicion' ? LOSS_CONFIRMED : peers.call(address, kind, req, timeoutMs),
 	}),
 };
