--- a/src/bench/control.ts
+++ b/src/bench/control.ts
@@ -1,39 +1,40 @@
 import type {Experiment, ExperimentOptions, Measure} from './experiment.js';
-import {measureInside} from './control/inside-one-node.js';
+import {measureSingleNode} from './control/single-node.js';
 import {fitSlopes} from './control/least-squares.js';
-import {measureQuietFleet, type FleetFigures, type QuietFleet} from './control/quiet-fleet.js';
+import {measureIdleFleet, type FleetFigures, type IdleFleet} from './control/idle-fleet.js';
 import {createMeasure} from './statistics.js';
 
-const PLAIN: QuietFleet = {
+/** The fleet from which the others differ. */
+const BASE_FLEET: IdleFleet = {
 	nodes: 2, groups: 0, owners: 0, changesPerSecond: 0, absentHosts: 0, idleCallers: 0,
 };
 
-const FLEETS: readonly QuietFleet[] = [
-	PLAIN,
-	{...PLAIN, nodes: 12},
-	{...PLAIN, groups: 8, owners: 1},
-	{...PLAIN, groups: 8, owners: 2},
+const FLEETS: readonly IdleFleet[] = [
+	BASE_FLEET,
+	{...BASE_FLEET, nodes: 12},
+	{...BASE_FLEET, groups: 8, owners: 1},
+	{...BASE_FLEET, groups: 8, owners: 2},
 	{
-		...PLAIN, nodes: 6, groups: 8, owners: 3,
+		...BASE_FLEET, nodes: 6, groups: 8, owners: 3,
 	},
 	{
-		...PLAIN, nodes: 6, groups: 4, owners: 1, changesPerSecond: 1,
+		...BASE_FLEET, nodes: 6, groups: 4, owners: 1, changesPerSecond: 1,
 	},
 	{
-		...PLAIN, nodes: 6, groups: 4, owners: 1, changesPerSecond: 4,
+		...BASE_FLEET, nodes: 6, groups: 4, owners: 1, changesPerSecond: 4,
 	},
-	{...PLAIN, absentHosts: 900},
-	{...PLAIN, idleCallers: 1000},
+	{...BASE_FLEET, absentHosts: 900},
+	{...BASE_FLEET, idleCallers: 1000},
 ];
 
-/** What each factor's slope is told per. */
+/** The factors of a fleet's cost, by the name of the unit for which each slope is reported. */
 const FACTORS = {
-	node: ({nodes}: QuietFleet) => nodes,
-	'group at its first owner': ({groups}: QuietFleet) => groups,
-	'group at a further owner': ({groups, owners}: QuietFleet) => groups * Math.max(0, owners - 1),
-	'change a second at a node': ({nodes, changesPerSecond}: QuietFleet) => nodes * changesPerSecond,
-	'listed host at a node': ({nodes, absentHosts}: QuietFleet) => nodes * absentHosts,
-	'idle caller connection': ({nodes, idleCallers}: QuietFleet) => nodes * idleCallers,
+	node: ({nodes}: IdleFleet) => nodes,
+	'group at its first owner': ({groups}: IdleFleet) => groups,
+	'group at a further owner': ({groups, owners}: IdleFleet) => groups * Math.max(0, owners - 1),
+	'change a second at a node': ({nodes, changesPerSecond}: IdleFleet) => nodes * changesPerSecond,
+	'listed host at a node': ({nodes, absentHosts}: IdleFleet) => nodes * absentHosts,
+	'idle caller connection': ({nodes, idleCallers}: IdleFleet) => nodes * idleCallers,
 };
 
 type Factor = keyof typeof FACTORS;
@@ -44,19 +45,19 @@
 	milliCores: 'thousandths of a core', bytesPerSecond: 'B/s', residentMegabytes: 'MB resident', privateMegabytes: 'MB private', platformCallsPerSecond: 'calls/s',
 };
 
-/** What control costs a node: slopes over real processes without callers' requests, and parts of one process at the size designed for. */
+/** Measures what a node costs without callers' requests: slopes over fleets of real processes, and parts of one process at the design size. */
 export const control: Experiment = {
 	name: 'control',
 	description: 'Processor time, bytes, memory and platform calls of quiet daemons, as slopes over nodes, groups and changes',
 	async run(options) {
-		const inside = await measureInside(options);
+		const singleNode = await measureSingleNode(options);
 		const slopes = await measureSlopes(options);
 		return {
 			name: control.name,
 			description: control.description,
 			seeds: options.seeds,
 			setting: {fleets: FLEETS.length, serversPerGroup: 3},
-			measures: [...slopes, ...inside],
+			measures: [...slopes, ...singleNode],
 			baselines: [],
 			plots: [],
 		};
@@ -71,9 +72,9 @@
 			const slopes = fitSlopes(FACTOR_NAMES, rounds.map(({fleet, figures}) => ({factors: getFactors(fleet), value: figures[figure]})));
 			for (const factor of FACTOR_NAMES) {
 				const name = `${UNITS[figure]} for each ${factor}`;
-				const known = values.get(name) ?? {unit: UNITS[figure], values: []};
-				known.values.push(slopes[factor]);
-				values.set(name, known);
+				const entry = values.get(name) ?? {unit: UNITS[figure], values: []};
+				entry.values.push(slopes[factor]);
+				values.set(name, entry);
 			}
 		}
 	}
@@ -82,9 +83,9 @@
 }
 
 async function measureRound(round: number, {report}: ExperimentOptions) {
-	const measured: Array<{fleet: QuietFleet; figures: FleetFigures}> = [];
+	const measured: Array<{fleet: IdleFleet; figures: FleetFigures}> = [];
 	for (const fleet of FLEETS) {
-		const figures = await measureQuietFleet(fleet);
+		const figures = await measureIdleFleet(fleet);
 		report(`control: round ${round}, ${JSON.stringify(fleet)}: ${JSON.stringify(figures)}`);
 		measured.push({fleet, figures});
 	}
@@ -92,6 +93,6 @@
 	return measured;
 }
 
-function getFactors(fleet: QuietFleet): Record<Factor, number> {
+function getFactors(fleet: IdleFleet): Record<Factor, number> {
 	return Object.fromEntries(FACTOR_NAMES.map(name => [name, FACTORS[name](fleet)])) as Record<Factor, number>;
 }
--- a/src/bench/control/least-squares.ts
+++ b/src/bench/control/least-squares.ts
@@ -1,10 +1,10 @@
-/** One observation: what was set, by name, and what was measured under it. */
+/** One observation: the value of each factor by its name, and the value measured with them. */
 export type Observation<Name extends string> = {
 	readonly factors: Readonly<Record<Name, number>>;
 	readonly value: number;
 };
 
-/** Fits `value` as a sum of `slope * factor`, without a constant; throws where the observations do not tell the factors apart. */
+/** Fits `value` as a sum of `slope * factor` without a constant term, and returns the slopes; throws if the factors are linearly dependent. */
 export function fitSlopes<Name extends string>(names: readonly Name[], observations: ReadonlyArray<Observation<Name>>): Readonly<Record<Name, number>> {
 	const rows = names.map(row => [
 		...names.map(column => sum(observations, ({factors}) => factors[row] * factors[column])),
@@ -14,16 +14,16 @@
 	return Object.fromEntries(names.map((name, index) => [name, slopes[index]!])) as Record<Name, number>;
 }
 
-const SINGULAR = 1e-9;
+const MIN_PIVOT = 1e-9;
 
-/** Solves linear equations, the right side being each row's last number, by elimination with the largest pivot. */
+/** Solves linear equations by Gaussian elimination with partial pivoting; the last number of each row is its right-hand side. */
 function solve(rows: number[][]): number[] {
 	for (let column = 0; column < rows.length; column++) {
 		const pivotAt = findPivot(rows, column);
 		[rows[column], rows[pivotAt]] = [rows[pivotAt]!, rows[column]!];
 		const pivot = rows[column]!;
-		if (Math.abs(pivot[column]!) < SINGULAR) {
-			throw new Error('the observations do not tell the factors apart');
+		if (Math.abs(pivot[column]!) < MIN_PIVOT) {
+			throw new Error('the factors are linearly dependent in these observations');
 		}
 
 		for (const row of rows) {
--- a/src/bench/control/ownership-at-size.ts
+++ b/src/bench/control/ownership.ts
@@ -5,17 +5,17 @@
 import type {Random} from '../../random/random.js';
 import {
 	createGroups, createHostList, createProxy, REGIONS,
-} from './sized-fleet.js';
+} from './design-size-fleet.js';
 
 type Figures = Readonly<Record<string, readonly [value: number, unit: string]>>;
 
 /** Owners of each group, in order of rank, by the group's name. */
 type Owners = ReadonlyMap<string, readonly string[]>;
 
-const OWNERS = 2;
-const REPLACED = 52;
+const OWNERS_PER_GROUP = 2;
+const REPLACED_PROXY_INDEX = 52;
 
-/** Measures who owns what at the size designed for, and what moves when hosts come and go. */
+/** Measures how groups are distributed over owners at the design size, and how many ownerships move when hosts leave or are replaced. */
 export function measureOwnership(random: Random): Figures {
 	const groups = createGroups(random);
 	const proxies = createHostList([]);
@@ -23,19 +23,19 @@
 	const owners = getAllOwners(proxies, groups);
 	const rankMs = performance.now() - startedAt;
 
-	const replaced = getAllOwners(proxies.with(REPLACED, createProxy(REPLACED, 'entry-new')), groups);
+	const replaced = getAllOwners(proxies.with(REPLACED_PROXY_INDEX, createProxy(REPLACED_PROXY_INDEX, 'entry-new')), groups);
 	const [lostZone] = REGIONS[0]!;
 	const withoutZone = getAllOwners(proxies.filter(({availabilityZone}) => availabilityZone !== lostZone), groups);
 	const withoutRegion = getAllOwners(proxies.filter(({availabilityZone}) => !REGIONS[1]!.includes(availabilityZone)), groups);
 	return {
 		'ranking of 1,100 groups after a change of the host list': [rankMs, 'ms'],
-		'groups owned by the busiest node': [getMostOwned(owners), 'groups'],
-		'groups owned by the busiest node, a zone lost': [getMostOwned(withoutZone), 'groups'],
+		'groups owned by the busiest node': [getMaxOwned(owners), 'groups'],
+		'groups owned by the busiest node, a zone lost': [getMaxOwned(withoutZone), 'groups'],
 		'owners that move when one node is replaced': [countMoved(owners, replaced), 'owners'],
 		'owners that move when a zone is lost': [countMoved(owners, withoutZone), 'owners'],
-		'groups owned outside their own zones': [countFar(owners, groups, proxies), 'groups'],
+		'groups owned outside their own zones': [countOwnedOutsideZones(owners, groups, proxies), 'groups'],
 		'groups that the other region owns while regions are apart': [
-			countFar(withoutRegion, groups.filter(group => REGIONS[1]!.includes(group.endpoints[0]!.availabilityZone)), proxies), 'groups',
+			countOwnedOutsideZones(withoutRegion, groups.filter(group => REGIONS[1]!.includes(group.endpoints[0]!.availabilityZone)), proxies), 'groups',
 		],
 	};
 }
@@ -44,7 +44,7 @@
 	const ranking = createHostRanking(proxies);
 	return new Map(groups.map(group => [
 		group.name,
-		ranking.getOwners(group.name, OWNERS, {isUsable: () => true, nearZones: getZones(group)}).map(({name}) => name),
+		ranking.getOwners(group.name, OWNERS_PER_GROUP, {isUsable: () => true, nearZones: getZones(group)}).map(({name}) => name),
 	]));
 }
 
@@ -52,7 +52,7 @@
 	return endpoints.map(({availabilityZone}) => availabilityZone);
 }
 
-function getMostOwned(owners: Owners): number {
+function getMaxOwned(owners: Owners): number {
 	const counts = new Map<string, number>();
 	for (const name of [...owners.values()].flat()) {
 		counts.set(name, (counts.get(name) ?? 0) + 1);
@@ -70,7 +70,7 @@
 	return moved;
 }
 
-function countFar(owners: Owners, groups: readonly GroupConfig[], proxies: readonly PlatformHost[]): number {
-	const zoneOf = new Map(proxies.map(({name, availabilityZone}) => [name, availabilityZone]));
-	return groups.filter(group => owners.get(group.name)!.some(owner => !getZones(group).includes(zoneOf.get(owner)!))).length;
+function countOwnedOutsideZones(owners: Owners, groups: readonly GroupConfig[], proxies: readonly PlatformHost[]): number {
+	const zones = new Map(proxies.map(({name, availabilityZone}) => [name, availabilityZone]));
+	return groups.filter(group => owners.get(group.name)!.some(owner => !getZones(group).includes(zones.get(owner)!))).length;
 }
--- a/src/bench/control/inside-one-node.ts
+++ b/src/bench/control/single-node.ts
@@ -16,14 +16,14 @@
 import type {Experiment, Measure} from '../experiment.js';
 import {measureHeapBytes} from '../load/heap-figures.js';
 import {createMeasure} from '../statistics.js';
-import {measureOwnership} from './ownership-at-size.js';
+import {measureOwnership} from './ownership.js';
 import {measureStoreLoad} from './store-load.js';
-import {createGroups, createHostList, createStoredList} from './sized-fleet.js';
+import {createGroups, createHostList, createStoredList} from './design-size-fleet.js';
 
 type Figures = Readonly<Record<string, readonly [value: number, unit: string]>>;
 
-/** Measures the parts of one node at the size designed for, in this process. */
-export async function measureInside({seeds, report}: Parameters<Experiment['run']>[0]): Promise<Measure[]> {
+/** Measures memory and processor time of the parts of one node at the design size, in this process. */
+export async function measureSingleNode({seeds, report}: Parameters<Experiment['run']>[0]): Promise<Measure[]> {
 	const runs: Figures[] = [];
 	for (const seed of seeds) {
 		report(`control: inside one node, seed ${seed}`);
@@ -42,24 +42,24 @@
 
 async function measureConfiguration(random: Random): Promise<Figures> {
 	const text = createStoredText(random);
-	let takeMs = 0;
+	let applyMs = 0;
 	const bytes = await measureHeapBytes(() => {
 		const configuration = createConfiguration({log: createSilentLog()});
-		takeMs = timeMs(() => {
+		applyMs = timeMs(() => {
 			configuration.applyList(platformListSchema.parse(JSON.parse(text)), 0);
 		});
 		return configuration;
 	});
 	return {
 		'configuration, 1,100 groups: heap': [bytes / 1000, 'KB'],
-		'configuration, 1,100 groups: parse, check and take': [takeMs, 'ms'],
+		'configuration, 1,100 groups: parse, check and take': [applyMs, 'ms'],
 		'configuration, 1,100 groups: list, plain': [Buffer.byteLength(text) / 1000, 'KB'],
 		'configuration, 1,100 groups: list, gzipped': [gzipSync(text).length / 1000, 'KB'],
 		'configuration, one group: object': [Buffer.byteLength(text) / 1100, 'B'],
 	};
 }
 
-/** Apart, so that the list that was written is collected before anything is measured. */
+/** Creates the list in a function of its own, so that its objects are garbage before anything is measured. */
 function createStoredText(random: Random): string {
 	return JSON.stringify(createStoredList(createGroups(random)));
 }
@@ -79,11 +79,11 @@
 		'host list, 900 nodes and 3,300 servers: heap': [bytes / 1000, 'KB'],
 		'host list, 900 nodes and 3,300 servers: parse and check': [parseMs, 'ms'],
 		'host list, 900 nodes and 3,300 servers: gzipped': [gzipSync(text).length / 1000, 'KB'],
-		'ranking of 1,100 groups: heap': [await measureHeapBytes(() => rankAll(random, hosts)) / 1000, 'KB'],
+		'ranking of 1,100 groups: heap': [await measureHeapBytes(() => rankAllGroups(random, hosts)) / 1000, 'KB'],
 	};
 }
 
-function rankAll(random: Random, hosts: ReturnType<typeof createHostList>) {
+function rankAllGroups(random: Random, hosts: ReturnType<typeof createHostList>) {
 	const ranking = createHostRanking(hosts.filter(({role}) => role === 'proxy'));
 	for (const {name, endpoints} of createGroups(random)) {
 		ranking.getOwners(name, 2, {isUsable: () => true, nearZones: endpoints.map(({availabilityZone}) => availabilityZone)});
@@ -93,13 +93,13 @@
 }
 
 async function measureRecords(random: Random): Promise<Figures> {
-	const ring = await measureHeapBytes(() => fillRing(random));
-	const sightings = await measureHeapBytes(() => fillSightings(random));
-	const retries = await measureHeapBytes(() => fillRetries());
+	const ringBytes = await measureHeapBytes(() => fillRing(random));
+	const recentSessionsBytes = await measureHeapBytes(() => fillRecentSessions(random));
+	const retriesBytes = await measureHeapBytes(() => fillRetries());
 	return {
-		'ring of 10,000 refusal records: heap': [ring / 1000, 'KB'],
-		'5,000 sightings of sessions: heap': [sightings / 1000, 'KB'],
-		'retry budgets of 1,100 groups: heap': [retries / 1000, 'KB'],
+		'ring of 10,000 refusal records: heap': [ringBytes / 1000, 'KB'],
+		'5,000 sightings of sessions: heap': [recentSessionsBytes / 1000, 'KB'],
+		'retry budgets of 1,100 groups: heap': [retriesBytes / 1000, 'KB'],
 	};
 }
 
@@ -127,11 +127,11 @@
 	return ring;
 }
 
-function fillSightings(random: Random) {
-	const sightings = createRecentSessions();
+function fillRecentSessions(random: Random) {
+	const recentSessions = createRecentSessions();
 	for (let index = 0; index < MAX_RECENT_SESSIONS; index++) {
 		const id = createRequestId(index, random);
-		sightings.note({
+		recentSessions.note({
 			session: {
 				id, issuedAt: index, floors: {[`group-${index % 1100}`]: {term: 1, position: index}, [`group-${(index + 1) % 1100}`]: {term: 1, position: index}},
 			},
@@ -141,7 +141,7 @@
 		});
 	}
 
-	return sightings;
+	return recentSessions;
 }
 
 function fillRetries() {
--- a/src/bench/control/store-load.ts
+++ b/src/bench/control/store-load.ts
@@ -8,44 +8,45 @@
 import {createObjectStore, type ObjectStore} from '../../stand-ins/platform/object-store.js';
 import {createFaultGate, Outage, type FaultGate} from '../../stand-ins/platform/platform-faults.js';
 import {createVirtualSchedule, type VirtualSchedule} from '../virtual-schedule.js';
-import {createHostList, SIZE} from './sized-fleet.js';
+import {createHostList, DESIGN_SIZE} from './design-size-fleet.js';
 
 type Figures = Readonly<Record<string, readonly [value: number, unit: string]>>;
 
-const STARTED_OVER_MS = 10_000;
-const CALM = {from: 20_000, to: 50_000};
-const CHANGE_AT = 60_000;
-const ZONE_RETURNS_AT = 70_000;
+const START_PERIOD_MS = 10_000;
+/** Period without changes, in milliseconds of virtual time, as are the other times. */
+const STEADY_STATE = {from: 20_000, to: 50_000};
+const CHANGE_AT_MS = 60_000;
+const ZONE_RETURNS_AT_MS = 70_000;
 const ZONE_NODES = 129;
 const OUTAGE = {from: 100_000, to: 160_000};
-const END = 180_000;
-/** One way to the store and back, in milliseconds. */
-const STORE_MS = 2;
-const SECOND = 1000;
+const END_MS = 180_000;
+/** Round-trip time to the store, in milliseconds. */
+const STORE_ROUND_TRIP_MS = 2;
+const SECOND_MS = 1000;
 
-/** Measures the calls to the store of a whole fleet's watches and host lists, in virtual time. */
+/** Measures the calls that the configuration watches and host lists of a whole fleet make to the store, in virtual time. */
 export async function measureStoreLoad(seed: number): Promise<Figures> {
 	const schedule = createVirtualSchedule();
 	const store = createObjectStore({clock: schedule});
 	const gate = createFaultGate({clock: schedule});
-	gate.faults.requestDelayMs = STORE_MS / 2;
-	gate.faults.answerDelayMs = STORE_MS / 2;
+	gate.faults.requestDelayMs = STORE_ROUND_TRIP_MS / 2;
+	gate.faults.answerDelayMs = STORE_ROUND_TRIP_MS / 2;
 	store.setHosts(createHostList([]));
 	const random = createSeededRandom(seed);
 	for (const [index, self] of createHostList([]).entries()) {
-		schedule.at(random.fraction() * STARTED_OVER_MS, () => {
+		schedule.at(random.fraction() * START_PERIOD_MS, () => {
 			startNode({
-				schedule, store, gate, self, seed: (seed * SIZE.nodes) + index,
+				schedule, store, gate, self, seed: (seed * DESIGN_SIZE.nodes) + index,
 			});
 		});
 	}
 
-	schedule.at(CHANGE_AT, () => {
+	schedule.at(CHANGE_AT_MS, () => {
 		store.put({
 			kind: ObjectKind.Group, name: 'changed', value: {}, expectedVersion: 0,
 		});
 	});
-	schedule.at(ZONE_RETURNS_AT, () => {
+	schedule.at(ZONE_RETURNS_AT_MS, () => {
 		for (const [index, self] of createHostList([]).slice(0, ZONE_NODES).entries()) {
 			startNode({
 				schedule, store, gate, seed: -index - 1, self: {...self, name: `returned-${index}`},
@@ -61,11 +62,11 @@
 
 	const counts = await countCalls(schedule, gate);
 	return {
-		'store calls, 900 nodes, calm': [getMean(counts, CALM.from, CALM.to), 'calls/s'],
-		'store calls, 900 nodes, most in a second after a change': [getMost(counts, CHANGE_AT, CHANGE_AT + 5000), 'calls/s'],
-		'store calls, 129 nodes return at once, most in a second': [getMost(counts, ZONE_RETURNS_AT, ZONE_RETURNS_AT + 10_000), 'calls/s'],
+		'store calls, 900 nodes, calm': [getMean(counts, STEADY_STATE.from, STEADY_STATE.to), 'calls/s'],
+		'store calls, 900 nodes, most in a second after a change': [getMax(counts, CHANGE_AT_MS, CHANGE_AT_MS + 5000), 'calls/s'],
+		'store calls, 129 nodes return at once, most in a second': [getMax(counts, ZONE_RETURNS_AT_MS, ZONE_RETURNS_AT_MS + 10_000), 'calls/s'],
 		'store calls, 1,029 nodes, silent outage': [getMean(counts, OUTAGE.from + 20_000, OUTAGE.to), 'calls/s'],
-		'store calls, 1,029 nodes, most in a second after an outage': [getMost(counts, OUTAGE.to, OUTAGE.to + 10_000), 'calls/s'],
+		'store calls, 1,029 nodes, most in a second after an outage': [getMax(counts, OUTAGE.to, OUTAGE.to + 10_000), 'calls/s'],
 	};
 }
 
@@ -88,10 +89,10 @@
 	void createHosts({...common, self}).start();
 }
 
-/** Calls in each second. */
+/** Runs the schedule and returns the number of calls to the store in each second. */
 async function countCalls(schedule: VirtualSchedule, gate: FaultGate): Promise<number[]> {
 	const counts: number[] = [];
-	for (let until = SECOND; until <= END; until += SECOND) {
+	for (let until = SECOND_MS; until <= END_MS; until += SECOND_MS) {
 		const before = gate.passed;
 		await schedule.runUntil(until);
 		counts.push(gate.passed - before);
@@ -101,7 +102,7 @@
 }
 
 function getSeconds(counts: readonly number[], from: number, to: number): readonly number[] {
-	return counts.slice(from / SECOND, to / SECOND);
+	return counts.slice(from / SECOND_MS, to / SECOND_MS);
 }
 
 function getMean(counts: readonly number[], from: number, to: number): number {
@@ -109,6 +110,6 @@
 	return seconds.reduce((sum, count) => sum + count, 0) / seconds.length;
 }
 
-function getMost(counts: readonly number[], from: number, to: number): number {
+function getMax(counts: readonly number[], from: number, to: number): number {
 	return Math.max(...getSeconds(counts, from, to));
 }
--- a/src/bench/hop.ts
+++ b/src/bench/hop.ts
@@ -1,13 +1,13 @@
 import {createOwning} from '../membership/create-owning.js';
 import {startLocalSystem, type LocalProxy, type LocalSystem} from '../stand-ins/processes/local-system.js';
 import type {Experiment, ExperimentOptions, Measure} from './experiment.js';
-import {askOnce, runCallerLoad} from './load/caller-load.js';
-import {getProcessorSeconds} from './load/daemon-figures.js';
+import {runCallerLoad, sendRequest} from './load/caller-load.js';
+import {getProcessorSeconds} from './load/daemon-metrics.js';
 import {createMeasure, getPercentile} from './statistics.js';
 
 const GROUP = 'sleep-logs';
 const ZONES = ['hall-a', 'hall-b', 'hall-c'];
-/** Wide servers, so that the daemons and not the stand-in's slots set the figures. */
+/** Servers with spare capacity, so that the daemons limit the throughput and not the stand-in's slots. */
 const SERVERS = {connections: 200, slots: 64, serviceMs: 0};
 const WARM_UP_MS = 3000;
 const LATENCY_CALLERS = 2;
@@ -15,7 +15,7 @@
 const THROUGHPUT_CALLERS = 64;
 const THROUGHPUT_MS = 3000;
 
-/** A read and a write, each straight at the owner and through one hop, side by side in each round. */
+/** Measures reads and writes sent directly to the owner and through another entry, both in each round. */
 export const hop: Experiment = {
 	name: 'hop',
 	description: 'Cost of the second hop, and requests a second that one daemon core carries; real processes on loopback.',
@@ -45,7 +45,7 @@
 	},
 };
 
-type Way = {
+type RequestPath = {
 	readonly name: 'owner' | 'hop';
 	readonly entry: LocalProxy;
 };
@@ -55,55 +55,55 @@
 async function measureRounds(system: LocalSystem, options: ExperimentOptions): Promise<Measure[]> {
 	const owner = findOwner(system);
 	const other = system.proxies.find(proxy => proxy !== owner)!;
-	const ways: Way[] = [{name: 'owner', entry: owner}, {name: 'hop', entry: other}];
-	const written = await askOnce({callerUrl: owner.callerUrl, group: GROUP, session: 'new'}, createWrite(0));
+	const paths: RequestPath[] = [{name: 'owner', entry: owner}, {name: 'hop', entry: other}];
+	const written = await sendRequest({callerUrl: owner.callerUrl, group: GROUP, session: 'new'}, createWrite(0));
 	const session = String(written.session);
 	const figures: Figures = new Map();
-	for (const way of ways) {
-		await load(way, session, 'read', THROUGHPUT_CALLERS, WARM_UP_MS);
-		await load(way, session, 'write', THROUGHPUT_CALLERS, WARM_UP_MS);
+	for (const path of paths) {
+		await runLoad(path, session, 'read', THROUGHPUT_CALLERS, WARM_UP_MS);
+		await runLoad(path, session, 'write', THROUGHPUT_CALLERS, WARM_UP_MS);
 	}
 
 	for (const round of options.seeds) {
 		options.report(`hop: round ${round}`);
 		for (const kind of ['read', 'write'] as const) {
-			await measureLatency(ways, session, kind, figures);
-			await measureThroughput(ways, owner, session, kind, figures);
+			await measureLatency(paths, session, kind, figures);
+			await measureThroughput(paths, owner, session, kind, figures);
 		}
 	}
 
 	return [...figures].map(([name, values]) => createMeasure(name, getUnit(name), values));
 }
 
-async function measureLatency(ways: readonly Way[], session: string, kind: 'read' | 'write', figures: Figures) {
+async function measureLatency(paths: readonly RequestPath[], session: string, kind: 'read' | 'write', figures: Figures) {
 	const medians: number[] = [];
-	for (const way of ways) {
-		const {latenciesMs} = await load(way, session, kind, LATENCY_CALLERS, LATENCY_MS);
+	for (const path of paths) {
+		const {latenciesMs} = await runLoad(path, session, kind, LATENCY_CALLERS, LATENCY_MS);
 		medians.push(getPercentile(latenciesMs, 0.5));
-		note(figures, `${kind} at ${way.name}, p50`, getPercentile(latenciesMs, 0.5));
-		note(figures, `${kind} at ${way.name}, p99`, getPercentile(latenciesMs, 0.99));
+		record(figures, `${kind} at ${path.name}, p50`, getPercentile(latenciesMs, 0.5));
+		record(figures, `${kind} at ${path.name}, p99`, getPercentile(latenciesMs, 0.99));
 	}
 
-	note(figures, `${kind}, the hop adds at p50`, medians[1]! - medians[0]!);
+	record(figures, `${kind}, the hop adds at p50`, medians[1]! - medians[0]!);
 }
 
-async function measureThroughput(ways: readonly Way[], owner: LocalProxy, session: string, kind: 'read' | 'write', figures: Figures) {
-	for (const way of ways) {
-		const daemons = way.entry === owner ? [owner] : [way.entry, owner];
+async function measureThroughput(paths: readonly RequestPath[], owner: LocalProxy, session: string, kind: 'read' | 'write', figures: Figures) {
+	for (const path of paths) {
+		const daemons = path.entry === owner ? [owner] : [path.entry, owner];
 		const before = await Promise.all(daemons.map(async daemon => getProcessorSeconds(daemon)));
-		const {requestsPerSecond, latenciesMs, others} = await load(way, session, kind, THROUGHPUT_CALLERS, THROUGHPUT_MS);
+		const {requestsPerSecond, latenciesMs, others} = await runLoad(path, session, kind, THROUGHPUT_CALLERS, THROUGHPUT_MS);
 		const after = await Promise.all(daemons.map(async daemon => getProcessorSeconds(daemon)));
-		const answered = latenciesMs.length;
-		note(figures, `${kind} at ${way.name}, requests/s`, requestsPerSecond);
-		note(figures, `${kind} at ${way.name}, answers other than 200`, Object.values(others).length === 0 ? 0 : Math.max(...Object.values(others)));
+		const successful = latenciesMs.length;
+		record(figures, `${kind} at ${path.name}, requests/s`, requestsPerSecond);
+		record(figures, `${kind} at ${path.name}, answers other than 200`, Object.values(others).length === 0 ? 0 : Math.max(...Object.values(others)));
 		for (const [index, daemon] of daemons.entries()) {
 			const role = daemon === owner ? 'owner' : 'entry';
-			note(figures, `${kind} at ${way.name}, requests per core second of the ${role}`, answered / (after[index]! - before[index]!));
+			record(figures, `${kind} at ${path.name}, requests per core second of the ${role}`, successful / (after[index]! - before[index]!));
 		}
 	}
 }
 
-async function load({entry}: Way, session: string, kind: 'read' | 'write', callers: number, durationMs: number) {
+async function runLoad({entry}: RequestPath, session: string, kind: 'read' | 'write', callers: number, durationMs: number) {
 	return runCallerLoad({
 		callerUrl: entry.callerUrl, group: GROUP, callers, durationMs, session, createBody: kind === 'read' ? createRead : createWrite,
 	});
@@ -130,7 +130,7 @@
 }
 
 function ignore() {
-	// The list of this experiment never changes.
+	// The host list of this experiment never changes.
 }
 
 function getUnit(name: string): string {
@@ -141,7 +141,7 @@
 	return name.includes('core second') ? 'requests/core-s' : 'requests/s';
 }
 
-function note(figures: Figures, name: string, value: number) {
+function record(figures: Figures, name: string, value: number) {
 	const values = figures.get(name) ?? [];
 	figures.set(name, [...values, value]);
 }
--- a/src/bench/load/caller-load.ts
+++ b/src/bench/load/caller-load.ts
@@ -2,28 +2,28 @@
 import {Agent, request} from 'node:http';
 import {performance} from 'node:perf_hooks';
 
-/** Closed-loop load on one daemon: each caller sends its next request when it has its answer. */
+/** Closed-loop load on one daemon: each caller sends its next request once it has the response to the last. */
 export type CallerLoad = {
 	readonly callerUrl: string;
 	readonly group: string;
 	readonly callers: number;
-	/** How long, in milliseconds. */
+	/** Duration in milliseconds. */
 	readonly durationMs: number;
 	readonly session: string;
-	/** Makes the body of the request number `index`. */
+	/** Creates the body of the request with the number `index`. */
 	createBody(index: number): Record<string, unknown>;
 };
 
-/** What a load saw. */
+/** Results of a load. */
 export type CallerLoadResult = {
-	/** Time from request to answer of those answered 200, in milliseconds. */
+	/** Response times of the requests with status 200, in milliseconds. */
 	readonly latenciesMs: readonly number[];
 	readonly requestsPerSecond: number;
-	/** Answers other than 200, by status. */
+	/** Number of responses with another status than 200, by status. */
 	readonly others: Readonly<Record<string, number>>;
 };
 
-/** Puts the load on and waits for the last answer. */
+/** Runs the load and resolves once the last response has arrived. */
 export async function runCallerLoad(load: CallerLoad): Promise<CallerLoadResult> {
 	const agent = new Agent({keepAlive: true, maxSockets: load.callers});
 	const latenciesMs: number[] = [];
@@ -48,13 +48,13 @@
 	return {latenciesMs, requestsPerSecond: latenciesMs.length / ((performance.now() - startedAt) / 1000), others};
 }
 
-/** An answer as far as a load looks at it. */
-export type PostAnswer = {
+/** Status and body of a response. */
+export type PostResponse = {
 	readonly status: number;
 	readonly body: string;
 };
 
-async function post(agent: Agent, load: Pick<CallerLoad, 'callerUrl' | 'group' | 'session'>, body: string): Promise<PostAnswer> {
+async function post(agent: Agent, load: Pick<CallerLoad, 'callerUrl' | 'group' | 'session'>, body: string): Promise<PostResponse> {
 	return new Promise((resolve, reject) => {
 		const req = request(`${load.callerUrl}/v1/groups/${load.group}/requests`, {
 			method: 'POST',
@@ -78,10 +78,10 @@
 	});
 }
 
-/** Sends one request and answers with its parsed body. */
-export async function askOnce(load: Pick<CallerLoad, 'callerUrl' | 'group' | 'session'>, body: Record<string, unknown>): Promise<Record<string, unknown>> {
+/** Sends one request and resolves with the parsed body of the response. */
+export async function sendRequest(load: Pick<CallerLoad, 'callerUrl' | 'group' | 'session'>, body: Record<string, unknown>): Promise<Record<string, unknown>> {
 	const agent = new Agent();
-	const answer = await post(agent, load, JSON.stringify(body));
+	const response = await post(agent, load, JSON.stringify(body));
 	agent.destroy();
-	return JSON.parse(answer.body) as Record<string, unknown>;
+	return JSON.parse(response.body) as Record<string, unknown>;
 }
--- a/src/bench/load/heap-figures.ts
+++ b/src/bench/load/heap-figures.ts
@@ -2,28 +2,28 @@
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-let collect: (() => void) | undefined;
+let collectGarbage: (() => void) | undefined;
 
-/** Holds what is being measured: a local variable that is not read again may be collected before its function ends. */
-let measured: unknown;
+/** Keeps the measured value alive: the value of a local variable that is not read again may be collected before its function ends. */
+let retained: unknown;
 
-/** Bytes of heap that what `create` returns keeps alive, after a full collection before and after. */
+/** Resolves with the bytes of heap that the value returned by `create` keeps alive; runs a full garbage collection before and after. */
 export async function measureHeapBytes(create: () => unknown): Promise<number> {
 	const before = getLiveBytes();
-	measured = await create();
+	retained = await create();
 	const bytes = getLiveBytes() - before;
-	measured = undefined;
+	retained = undefined;
 	return bytes;
 }
 
 function getLiveBytes(): number {
-	collect ??= createCollector();
-	collect();
-	collect();
+	collectGarbage ??= createGarbageCollector();
+	collectGarbage();
+	collectGarbage();
 	return process.memoryUsage().heapUsed;
 }
 
-function createCollector(): () => void {
+function createGarbageCollector(): () => void {
 	setFlagsFromString('--expose-gc');
 	return runInNewContext('gc') as () => void;
 }
--- a/tests/bench/control/least-squares-tests.ts
+++ b/tests/bench/control/least-squares-tests.ts
@@ -15,10 +15,10 @@
 	};
 
 	doTest('finds exact slopes', [observe(2, 0, 20), observe(2, 8, 60), observe(12, 0, 120)], {node: 10, group: 5});
-	doTest('takes the middle of two that contradict', [observe(1, 0, 9), observe(1, 0, 11), observe(0, 1, 3)], {node: 10, group: 3});
-	doTest('takes a first factor that is zero at first', [observe(0, 2, 4), observe(1, 2, 5)], {node: 1, group: 2});
+	doTest('fits the mean of two observations that contradict each other', [observe(1, 0, 9), observe(1, 0, 11), observe(0, 1, 3)], {node: 10, group: 3});
+	doTest('finds slopes where the first factor is zero in the first observation', [observe(0, 2, 4), observe(1, 2, 5)], {node: 1, group: 2});
 
-	it('refuses factors that always move together', () => {
-		expect(() => fitSlopes<Factor>(['node', 'group'], [observe(1, 2, 1), observe(2, 4, 2)])).to.throw('do not tell the factors apart');
+	it('throws for factors that always change together', () => {
+		expect(() => fitSlopes<Factor>(['node', 'group'], [observe(1, 2, 1), observe(2, 4, 2)])).to.throw('the factors are linearly dependent in these observations');
 	});
 });
