--- a/src/bench/news-spread.ts
+++ b/src/bench/news-spread.ts
@@ -47,7 +47,7 @@
 		createMeasure('calm: calls to the store', 'calls/s', [(fleet.store.calls - calls) * 1000 / STEADY_STATE_MS]),
 		createMeasure('calm: sent by a host, mean', 'B/s', [getMeanSentBytes(fleet) * 1000 / STEADY_STATE_MS]),
 		createMeasure('calm: sent by a host, most', 'B/s', [getMaxSentBytes(fleet) * 1000 / STEADY_STATE_MS]),
-		createMeasure('calm: between zones', 'B/s', [fleet.crossBytes * 1000 / STEADY_STATE_MS]),
+		createMeasure('calm: between zones', 'B/s', [fleet.crossZoneBytes * 1000 / STEADY_STATE_MS]),
 		...await measureChange(fleet, 'one setting', createRouting(2, ROUTES, 900)),
 		...await measureChange(fleet, 'many routes', createRouting(3, MANY_ROUTES)),
 		...await measureReaderFrozen(fleet),
@@ -63,7 +63,7 @@
 	return [
 		createMeasure(`${name}: everywhere after`, 'ms', [ms ?? Number.NaN]),
 		createMeasure(`${name}: sent by a host, most`, 'B', [getMaxSentBytes(fleet)]),
-		createMeasure(`${name}: between zones`, 'B', [fleet.crossBytes]),
+		createMeasure(`${name}: between zones`, 'B', [fleet.crossZoneBytes]),
 	];
 }
 
--- a/src/bench/news-spread/news-fleet.ts
+++ b/src/bench/news-spread/news-fleet.ts
@@ -26,7 +26,7 @@
 	readonly network: PeerNetwork;
 	readonly hosts: readonly NewsHost[];
 	/** Bytes that were sent from one availability zone to another. */
-	readonly crossBytes: number;
+	readonly crossZoneBytes: number;
 	/** Resets the counts of bytes to zero. */
 	resetFigures(): void;
 	/** Registers a host in the store. */
@@ -73,12 +73,12 @@
 	const network = createPeerNetwork(clock);
 	const hosts: NewsHost[] = [];
 	const byAddress = new Map<string, NewsHost>();
-	let crossBytes = 0;
+	let crossZoneBytes = 0;
 
 	const countSent = (from: NewsHost, to: string, message: unknown) => {
 		const bytes = pack(message).length;
 		from.sentBytes += bytes;
-		crossBytes += byAddress.get(to)?.zone === from.zone ? 0 : bytes;
+		crossZoneBytes += byAddress.get(to)?.zone === from.zone ? 0 : bytes;
 	};
 
 	const names = Array.from({length: hostCount}, (_, i) => ({name: `entry-${i}`, address: `entry-${i}:7000`, zone: `zone-${i % zoneCount}`}));
@@ -124,7 +124,7 @@
 	};
 
 	const resetFigures = () => {
-		crossBytes = 0;
+		crossZoneBytes = 0;
 		for (const host of hosts) {
 			host.sentBytes = 0;
 		}
@@ -135,8 +135,8 @@
 		store,
 		network,
 		hosts,
-		get crossBytes() {
-			return crossBytes;
+		get crossZoneBytes() {
+			return crossZoneBytes;
 		},
 		resetFigures,
 		register,
--- a/src/bench/site-load.ts
+++ b/src/bench/site-load.ts
@@ -9,14 +9,14 @@
 import {SITE_DAY} from './site-load/site-troubles.js';
 import {createMeasure} from './statistics.js';
 
-/** Plays the requests of both sites through bursts, slow, lagging and crashed servers, by ways of placing reads, in virtual time. */
+/** Simulates the requests of both sites during bursts and with slow, lagging and crashed servers, for each read placement, in virtual time. */
 export const siteLoad: Experiment = {
 	name: 'site-load',
 	description: 'What callers get on a day of troubles at both sites, by ways of placing reads, against true loads known',
 	run,
 };
 
-/** Length of the window whose worst is told, in milliseconds. */
+/** Length of the windows of which the one with the lowest credit is reported, in milliseconds. */
 const WINDOW_MS = 2000;
 
 const PERCENTILES = [50, 99] as const;
@@ -26,15 +26,15 @@
 	const measures = new Map<PlacementWay, Measure[]>();
 	for (const site of [SLEEP_LOGS, FILINGS]) {
 		const series: PlotSeries[] = [];
-		for (const way of [WEIGHED, ...OTHER_PLACEMENTS]) {
-			const plays: SitePlay[] = [];
+		for (const placement of [WEIGHED, ...OTHER_PLACEMENTS]) {
+			const results: SitePlay[] = [];
 			for (const seed of options.seeds) {
-				plays.push(await playSite(site, SITE_DAY, way, seed));
+				results.push(await playSite(site, SITE_DAY, placement, seed));
 			}
 
-			measures.set(way, [...measures.get(way) ?? [], ...describePlays(site, plays)]);
-			series.push({name: way.name, points: getWindows(plays[0]!)});
-			options.report(`${site.name}: ${way.name}: credit ${plays.map(({outcomes}) => getCredit(outcomes).toFixed(3)).join(' ')}`);
+			measures.set(placement, [...measures.get(placement) ?? [], ...createMeasures(site, results)]);
+			series.push({name: placement.name, points: getCreditByWindow(results[0]!)});
+			options.report(`${site.name}: ${placement.name}: credit ${results.map(({outcomes}) => getCredit(outcomes).toFixed(3)).join(' ')}`);
 		}
 
 		plots.push({
@@ -54,31 +54,31 @@
 	};
 }
 
-/** Share of the worth that callers got, 0 to 1; 1 where nothing was asked. */
+/** Returns the credit that requests earned by their response times, as a share (0 to 1) of the maximum; 1 if there are no requests. */
 export function getCredit(outcomes: readonly RequestOutcome[]): number {
-	let got = 0;
-	let all = 0;
+	let earned = 0;
+	let total = 0;
 	for (const {shape, tookMs} of outcomes) {
-		all += shape.worth;
+		total += shape.worth;
 		if (tookMs !== undefined && tookMs <= shape.deadlineMs) {
-			got += tookMs <= shape.aimMs ? shape.worth : shape.lateWorth;
+			earned += tookMs <= shape.aimMs ? shape.worth : shape.lateWorth;
 		}
 	}
 
-	return all === 0 ? 1 : got / all;
+	return total === 0 ? 1 : earned / total;
 }
 
-function describePlays(site: SiteShape, plays: readonly SitePlay[]): readonly Measure[] {
-	const measure = (name: string, unit: string, get: (play: SitePlay) => number) => createMeasure(`${site.name}: ${name}`, unit, plays.map(play => get(play)));
+function createMeasures(site: SiteShape, results: readonly SitePlay[]): readonly Measure[] {
+	const measure = (name: string, unit: string, get: (result: SitePlay) => number) => createMeasure(`${site.name}: ${name}`, unit, results.map(result => get(result)));
 	return [
 		measure('credit', 'of 1', ({outcomes}) => getCredit(outcomes)),
-		measure(`worst ${WINDOW_MS / 1000} s`, 'of 1', play => Math.min(...getWindows(play).map(({y}) => y))),
+		measure(`worst ${WINDOW_MS / 1000} s`, 'of 1', result => Math.min(...getCreditByWindow(result).map(({y}) => y))),
 		measure('requests never done', 'requests', ({outcomes}) => outcomes.filter(({tookMs}) => tookMs === undefined).length),
 		measure('reads at replicas', '%', ({placed}) => 100 * placed.replicas / placed.reads),
 		measure('reads in the host\'s own zone', '%', ({placed}) => 100 * placed.near / placed.reads),
 		...site.requests.flatMap(shape => [
 			measure(`${shape.name}: credit`, 'of 1', ({outcomes}) => getCredit(outcomes.filter(outcome => outcome.shape === shape))),
-			...PERCENTILES.map(percentile => measure(`${shape.name}: p${percentile}`, 'ms', ({outcomes}) => getTime(outcomes.filter(outcome => outcome.shape === shape), percentile))),
+			...PERCENTILES.map(percentile => measure(`${shape.name}: p${percentile}`, 'ms', ({outcomes}) => getTimePercentile(outcomes.filter(outcome => outcome.shape === shape), percentile))),
 		]),
 		...SITE_DAY.map((stretch, i) => measure(`${stretch.name}: credit`, 'of 1', ({outcomes, begunAt}) => {
 			const from = begunAt[i]!.at;
@@ -87,8 +87,8 @@
 	];
 }
 
-/** A percentile of the times of those that were done, in milliseconds. */
-function getTime(outcomes: readonly RequestOutcome[], percentile: number): number {
+/** Returns a percentile of the response times of completed requests, in milliseconds. */
+function getTimePercentile(outcomes: readonly RequestOutcome[], percentile: number): number {
 	const histogram = buildHistogram();
 	for (const {tookMs} of outcomes) {
 		if (tookMs !== undefined) {
@@ -99,8 +99,8 @@
 	return histogram.getValueAtPercentile(percentile);
 }
 
-/** Credit of the requests sent in each window, by the second at which it begins. */
-function getWindows({outcomes, begunAt}: SitePlay) {
+/** Returns the credit of the requests sent in each window, by the second at which the window begins. */
+function getCreditByWindow({outcomes, begunAt}: SitePlay) {
 	const start = begunAt[0]!.at;
 	const lengthMs = SITE_DAY.reduce((sum, stretch) => sum + stretch.lengthMs, 0);
 	return Array.from({length: Math.floor((lengthMs - WINDOW_MS) / 1000) + 1}, (_, second) => {
