--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -1,50 +1,50 @@
-/** An experiment of `npm run bench`: one file each, listed in `experiments.ts`. */
+/** An experiment that `npm run bench` runs; each has a file of its own and is listed in `experiments.ts`. */
 export type Experiment = {
-	/** As named on the command line and in `results/`. */
+	/** Name on the command line and of the files in `results/`. */
 	readonly name: string;
-	/** One sentence. */
+	/** One sentence that says what is measured. */
 	readonly description: string;
 	run(options: ExperimentOptions): Promise<ExperimentResult>;
 };
 
-/** What an experiment is told. */
+/** Options of a run of an experiment. */
 export type ExperimentOptions = {
-	/** One run for each; figures are given as the median over them. */
+	/** The experiment runs once for each seed, and its result has the medians over these runs. */
 	readonly seeds: readonly number[];
-	/** Says how far it is. */
+	/** Reports progress. */
 	report(line: string): void;
 };
 
-/** One figure. */
+/** One figure, aggregated over the seeds. */
 export type Measure = {
-	/** What was measured, with its setting, as in `goodput at 2x`. */
+	/** What was measured, with the setting, such as `goodput at 2x`. */
 	readonly name: string;
 	readonly unit: string;
-	/** Median over the seeds; Infinity and NaN, for what was not seen, are written as null. */
+	/** Median over the seeds; Infinity and NaN, which stand for a value that was not observed, are written as null. */
 	readonly value: number;
-	/** Least and greatest over the seeds. */
+	/** Range over the seeds. */
 	readonly spread: Spread;
 };
 
-/** Least and greatest of several runs. */
+/** Least and greatest value of several runs. */
 export type Spread = {
 	readonly least: number;
 	readonly greatest: number;
 };
 
-/** The figures of one way of doing it. */
+/** The figures of one variant: the product's, or a baseline. */
 export type Variant = {
 	readonly name: string;
 	readonly measures: readonly Measure[];
 };
 
-/** A line of a plot. */
+/** One line of a plot. */
 export type PlotSeries = {
 	readonly name: string;
 	readonly points: ReadonlyArray<{readonly x: number; readonly y: number}>;
 };
 
-/** A plot of several lines. */
+/** A plot with several lines. */
 export type Plot = {
 	readonly title: string;
 	readonly xLabel: string;
@@ -52,16 +52,16 @@
 	readonly series: readonly PlotSeries[];
 };
 
-/** What an experiment found. */
+/** Result of an experiment, as it is written to its file. */
 export type ExperimentResult = {
 	readonly name: string;
 	readonly description: string;
 	readonly seeds: readonly number[];
-	/** The settings that the figures depend on. */
+	/** Settings on which the figures depend. */
 	readonly setting: Readonly<Record<string, string | number | boolean>>;
-	/** The product's own figures. */
+	/** Figures of the product. */
 	readonly measures: readonly Measure[];
-	/** Other ways, measured in the same run. */
+	/** Other variants, measured in the same run. */
 	readonly baselines: readonly Variant[];
 	readonly plots: readonly Plot[];
 };
--- a/src/bench/explanations-trial.ts
+++ b/src/bench/explanations-trial.ts
@@ -25,66 +25,66 @@
 	readonly value: number;
 };
 
-/** How long each storm lasts, in virtual milliseconds, and in which steps the clock goes. */
-const STORM_MS = 60_000;
-const STEP_MS = 100;
+/** Duration of each burst of refusals, and the steps in which the clock advances; in virtual milliseconds. */
+const BURST_MS = 60_000;
+const CLOCK_STEP_MS = 100;
 
-/** Refusals a second at one host. */
-const RATES = [10, 1000, 100_000] as const;
+/** Rates of refusals that are tried, per second at one host. */
+const REFUSALS_PER_SECOND = [10, 1000, 100_000] as const;
 
-/** Kinds of refusal in a storm: groups that are in trouble at once. */
-const GROUPS = 20;
+/** Number of groups that refuse requests during a burst. */
+const GROUP_COUNT = 20;
 
-/** Questions asked for each median. */
-const QUESTIONS = 200;
+/** Number of searches over which each median is taken. */
+const SEARCHES_PER_MEDIAN = 200;
 
-/** Hosts that wrote a full batch into the minute in which a question is looked up. */
-const WRITERS = [9, 900] as const;
+/** Numbers of hosts that each wrote a full batch in the minute that is searched. */
+const WRITER_COUNTS = [9, 900] as const;
 
-const KEYS = ['a key of the trial, thirty-two by'];
+const SIGNING_KEYS = ['a key of the trial, thirty-two by'];
 
 /**
- * Tries the recorder alone, one host at a time: what it keeps and what it costs by the rate of refusals, and how long
- * `why` takes from memory, from the ticket and from a stand-in platform over HTTP on loopback. No cluster is simulated.
+ * Measures the recorder of refusals on one host at a time, without a simulated cluster: how many records it keeps and what they cost by
+ * the rate of refusals, and how long a search for `why` takes from memory, from a ticket and from a stand-in platform over HTTP on loopback.
  */
 export async function runExplanationsTrial(seed: number): Promise<TrialFigure[]> {
 	const figures: TrialFigure[] = [];
-	for (const rate of RATES) {
-		figures.push(...await runStorm(rate, seed));
+	for (const rate of REFUSALS_PER_SECOND) {
+		figures.push(...await measureBurst(rate, seed));
 	}
 
-	for (const writers of WRITERS) {
-		figures.push(...await runQuestions(writers, seed));
+	for (const writers of WRITER_COUNTS) {
+		figures.push(...await measureSearches(writers, seed));
 	}
 
 	return figures;
 }
 
-async function runStorm(rate: number, seed: number): Promise<TrialFigure[]> {
+async function measureBurst(rate: number, seed: number): Promise<TrialFigure[]> {
 	const clock = createVirtualClock();
 	const random = createSeededRandom(seed);
 	const store = createObjectStore({clock});
 	const service = createHost(1, createInMemoryPlatform({store, clock}), clock, random);
 	await service.start!();
 
-	let micros = 0;
-	for (let elapsed = 0; elapsed < STORM_MS; elapsed += STEP_MS) {
-		const records = createRecords(rate * STEP_MS / 1000, clock.wall(), random);
+	let processorMicroseconds = 0;
+	for (let elapsed = 0; elapsed < BURST_MS; elapsed += CLOCK_STEP_MS) {
+		const records = createRecords(rate * CLOCK_STEP_MS / 1000, clock.wall(), random);
 		const before = process.cpuUsage();
 		for (const record of records) {
 			service.record(record);
 		}
 
 		const {user, system} = process.cpuUsage(before);
-		micros += user + system;
-		await clock.advance(STEP_MS);
+		processorMicroseconds += user + system;
+		await clock.advance(CLOCK_STEP_MS);
 	}
 
-	await clock.advance(STORM_MS);
+	await clock.advance(BURST_MS);
 	const {seen, kept, leftOut, lost, calls} = service.figures;
 	const bytes = store.list('explanations', '').objects.reduce((sum, {value}) => sum + JSON.stringify(value).length, 0);
 	await service.stop!();
-	const at = `at ${rate}/s for ${STORM_MS / 1000} s`;
+	const at = `at ${rate}/s for ${BURST_MS / 1000} s`;
 	return [
 		{name: `refusals ${at}`, unit: 'refusals', value: seen},
 		{name: `records kept in the platform ${at}`, unit: 'records', value: kept},
@@ -92,11 +92,11 @@
 		{name: `lost ${at}`, unit: 'records', value: lost},
 		{name: `platform writes ${at}`, unit: 'calls', value: calls},
 		{name: `bytes written ${at}`, unit: 'bytes', value: bytes},
-		{name: `processor time to record a refusal ${at}`, unit: 'µs', value: micros / seen},
+		{name: `processor time to record a refusal ${at}`, unit: 'µs', value: processorMicroseconds / seen},
 	];
 }
 
-async function runQuestions(writers: number, seed: number): Promise<TrialFigure[]> {
+async function measureSearches(writers: number, seed: number): Promise<TrialFigure[]> {
 	const clock = createSystemClock();
 	const random = createSeededRandom(seed);
 	const store = createObjectStore({clock});
@@ -106,21 +106,21 @@
 	const host = createHost(0, platform, clock, random);
 	const [record] = createRecords(1, clock.wall(), random) as [RefusalRecord];
 	const ticket = host.record(record);
-	const [wanted] = await fillMinute(writers, store, clock, random) as [RefusalRecord];
+	const [wanted] = await writeBatches(writers, store, clock, random) as [RefusalRecord];
 
-	const many = writers > 100 ? 5 : QUESTIONS;
+	const searchCount = writers > 100 ? 5 : SEARCHES_PER_MEDIAN;
 	const figures = [
-		{name: 'why from memory', unit: 'µs', value: 1000 * await getMedianMs(clock, QUESTIONS, async () => explain(host, record))},
-		{name: 'why from the ticket', unit: 'µs', value: 1000 * await getMedianMs(clock, QUESTIONS, async () => [host.openTicket(ticket)!])},
-		{name: `why from the platform, ${writers} full batches in the minute`, unit: 'ms', value: await getMedianMs(clock, many, async () => explain(host, wanted))},
+		{name: 'why from memory', unit: 'µs', value: 1000 * await getMedianMs(clock, SEARCHES_PER_MEDIAN, async () => searchFor(host, record))},
+		{name: 'why from the ticket', unit: 'µs', value: 1000 * await getMedianMs(clock, SEARCHES_PER_MEDIAN, async () => [host.openTicket(ticket)!])},
+		{name: `why from the platform, ${writers} full batches in the minute`, unit: 'ms', value: await getMedianMs(clock, searchCount, async () => searchFor(host, wanted))},
 	];
 	await platform.stop?.();
 	await front.close();
 	return figures;
 }
 
-/** Has many hosts write a full batch each, and answers the first records. */
-async function fillMinute(writers: number, store: ObjectStore, clock: Clock, random: Random): Promise<RefusalRecord[]> {
+/** Has many hosts write a full batch each, and resolves with the first record of the first host, for which the trial searches. */
+async function writeBatches(writers: number, store: ObjectStore, clock: Clock, random: Random): Promise<RefusalRecord[]> {
 	const platform = createInMemoryPlatform({store, clock});
 	const wanted = createRecords(1, clock.wall(), random);
 	for (let number = 1; number <= writers; number++) {
@@ -136,11 +136,11 @@
 	return wanted;
 }
 
-async function getMedianMs(clock: Clock, count: number, ask: () => Promise<readonly RefusalRecord[]>): Promise<number> {
+async function getMedianMs(clock: Clock, count: number, search: () => Promise<readonly RefusalRecord[]>): Promise<number> {
 	const times: number[] = [];
 	for (let index = 0; index < count; index++) {
 		const from = clock.now();
-		const records = await ask();
+		const records = await search();
 		if (records.length === 0) {
 			throw new Error('a record of the trial was not found');
 		}
@@ -151,7 +151,7 @@
 	return times.toSorted((left, right) => left - right)[Math.floor(count / 2)]!;
 }
 
-async function explain(host: ExplanationsService, {requestId}: RefusalRecord) {
+async function searchFor(host: ExplanationsService, {requestId}: RefusalRecord) {
 	const {records} = await host.search(requestId);
 	return records;
 }
@@ -174,18 +174,18 @@
 		handle() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	};
 	return createExplanations({
-		platform, peers, hosts, clock, random, log: createSilentLog(), signingKeys: KEYS,
+		platform, peers, hosts, clock, random, log: createSilentLog(), signingKeys: SIGNING_KEYS,
 	});
 }
 
-/** Refusals as an owner with a full queue decides them, of several groups. */
+/** Creates records of refusals as an owner with a full queue reports them, spread over several groups. */
 function createRecords(count: number, at: number, random: Random): RefusalRecord[] {
 	return Array.from({length: count}, (_, index) => ({
 		code: 'queue-full',
-		reason: `all 200 places in the interactive queue of nights-${index % GROUPS}-a are taken`,
+		reason: `all 200 places in the interactive queue of nights-${index % GROUP_COUNT}-a are taken`,
 		retryAfterMs: Math.floor(random.fraction() * 3000),
 		facts: {
-			endpoint: `nights-${index % GROUPS}-a`,
+			endpoint: `nights-${index % GROUP_COUNT}-a`,
 			class: 'interactive',
 			remainingMs: Math.floor(random.fraction() * 10_000),
 			predictedWaitMs: random.fraction() * 5000,
@@ -197,7 +197,7 @@
 			waitedMs: 0,
 		},
 		requestId: createRequestId(at, random),
-		group: `nights-${index % GROUPS}`,
+		group: `nights-${index % GROUP_COUNT}`,
 		asked: 'read',
 		class: 'interactive',
 		sessionId: createRequestId(at, random).slice(0, 8),
--- a/src/bench/overload.ts
+++ b/src/bench/overload.ts
@@ -9,7 +9,7 @@
 import {SHARES} from './overload/policies.js';
 import {getCapacity, USERS_MIX} from './overload/traffic.js';
 
-/** Drives the product's admission and retries against a queueing model of a server, in virtual time. */
+/** Runs the product's admission control and retries against a queueing model of a server, in virtual time. */
 export const overload: Experiment = {
 	name: 'overload',
 	description: 'Goodput, waits and recovery under 0.5 to 3 times capacity, faults and retries, with and without admission and retry budget',
--- a/src/bench/pooling.ts
+++ b/src/bench/pooling.ts
@@ -7,25 +7,25 @@
 } from './pooling/pooling-scenario.js';
 import {getPercentile} from './statistics.js';
 
-/** The default first, then what it is compared with. */
-const SHARINGS: readonly Sharing[] = [
+/** The default first, then the variants with which it is compared. */
+const SHARING_VARIANTS: readonly Sharing[] = [
 	{name: '2 owners', sharers: 2},
 	{name: '1 owner', sharers: 1},
 	{name: '3 owners', sharers: 3},
 	{name: 'direct split over 9', sharers: PROXIES},
 ];
 
-const DIES_AT = 10_000;
-/** Requests of that time after a death are judged. */
+const HOST_DIES_AT_MS = 10_000;
+/** Time after the host dies in which failed requests are counted, in milliseconds. */
 const AFTER_DEATH_MS = 5000;
 
-/** Owners against a direct split of a server's connections over all proxies, in virtual time. */
+/** Compares owners with a direct split of a server's connections over all proxies, in virtual time. */
 export const pooling: Experiment = {
 	name: 'pooling',
 	description: 'Waiting, connections and losses with 1 to 3 owners a group and with connections split over nine proxies',
 	async run({seeds, report}) {
 		const variants: Variant[] = [];
-		for (const sharing of SHARINGS) {
+		for (const sharing of SHARING_VARIANTS) {
 			report(`pooling: ${sharing.name}`);
 			variants.push({name: sharing.name, measures: await measureSeeds(seeds, async seed => measureSharing(sharing, seed))});
 		}
@@ -50,13 +50,13 @@
 		sharing, seed, getLoad: (entry, at) => entry === 4 && at % 5000 < 1000 ? 1.5 : 0.3 / PROXIES,
 	});
 	const death = await runPoolingScenario({
-		sharing, seed, getLoad: () => 0.7 / PROXIES, diesAt: DIES_AT,
+		sharing, seed, getLoad: () => 0.7 / PROXIES, diesAt: HOST_DIES_AT_MS,
 	});
 	return {
 		...describe('even load 0.7', even),
 		...describe('bursts of 1.5 at one entry', burst),
 		'connections opened at an even load (connections)': even.server.opened,
-		'a host dies: not done within 5 s after (%)': getLostShare(death),
+		'a host dies: not done within 5 s after (%)': getFailedPercent(death),
 		'a host dies: time until 99% of a half second are done again (ms)': getRecoveryMs(death),
 		'a host dies: connections refused by the cap (connections)': death.server.refused,
 		'a host is replaced: groups of 100 with another owner (groups)': countMoved(sharing, seed),
@@ -69,29 +69,29 @@
 	return {
 		[`${name}: wait p50 (ms)`]: getPercentile(waits, 0.5),
 		[`${name}: wait p99 (ms)`]: getPercentile(waits, 0.99),
-		[`${name}: not done in time (%)`]: getShare(requests.length - done.length, requests.length),
+		[`${name}: not done in time (%)`]: getPercent(requests.length - done.length, requests.length),
 		[`${name}: most connections open (connections)`]: server.mostOpen,
 	};
 }
 
-function getLostShare({requests}: PoolingOutcome): number {
-	const judged = requests.filter(({at}) => at >= DIES_AT && at < DIES_AT + AFTER_DEATH_MS);
-	return getShare(judged.filter(({done}) => !done).length, judged.length);
+function getFailedPercent({requests}: PoolingOutcome): number {
+	const counted = requests.filter(({at}) => at >= HOST_DIES_AT_MS && at < HOST_DIES_AT_MS + AFTER_DEATH_MS);
+	return getPercent(counted.filter(({done}) => !done).length, counted.length);
 }
 
 const WINDOW_MS = 500;
-const RECOVERED = 0.99;
+const RECOVERED_FRACTION = 0.99;
 
 function getRecoveryMs({requests}: PoolingOutcome): number {
-	let brokenUntil = DIES_AT;
-	for (let from = DIES_AT; from < LENGTH_MS; from += WINDOW_MS) {
-		const judged = requests.filter(({at}) => at >= from && at < from + WINDOW_MS);
-		if (judged.filter(({done}) => done).length < RECOVERED * judged.length) {
-			brokenUntil = from + WINDOW_MS;
+	let recoveredAt = HOST_DIES_AT_MS;
+	for (let from = HOST_DIES_AT_MS; from < LENGTH_MS; from += WINDOW_MS) {
+		const counted = requests.filter(({at}) => at >= from && at < from + WINDOW_MS);
+		if (counted.filter(({done}) => done).length < RECOVERED_FRACTION * counted.length) {
+			recoveredAt = from + WINDOW_MS;
 		}
 	}
 
-	return brokenUntil - DIES_AT;
+	return recoveredAt - HOST_DIES_AT_MS;
 }
 
 function countMoved({sharers}: Sharing, seed: number): number {
@@ -99,8 +99,8 @@
 	const after = createHostRanking(createHosts(seed).with(0, createHost(`new-${seed}`, 0)));
 	const options = {isUsable: () => true, nearZones: []};
 	return Array.from({length: 100}, (_, group) => `group-${group}`).filter(group => {
-		const old = new Set(before.getOwners(group, sharers, options).map(({name}) => name));
-		return after.getOwners(group, sharers, options).some(({name}) => !old.has(name));
+		const previousOwners = new Set(before.getOwners(group, sharers, options).map(({name}) => name));
+		return after.getOwners(group, sharers, options).some(({name}) => !previousOwners.has(name));
 	}).length;
 }
 
@@ -114,6 +114,6 @@
 	};
 }
 
-function getShare(part: number, whole: number): number {
+function getPercent(part: number, whole: number): number {
 	return whole === 0 ? 0 : 100 * part / whole;
 }
--- a/src/bench/rate-limits.ts
+++ b/src/bench/rate-limits.ts
@@ -9,7 +9,7 @@
 import {createStaticShares} from './rate-limits/static-shares.js';
 import {createMeasure} from './statistics.js';
 
-/** Holds fleets of several sizes to one limit in several ways, in virtual time. */
+/** Enforces one rate limit on fleets of several sizes with several limiters, in virtual time. */
 export const rateLimits: Experiment = {
 	name: 'rate-limits',
 	description: 'Operations of a workspace that are wrongly refused or wrongly run, messages and waits, by way and size of the fleet',
@@ -20,23 +20,23 @@
 
 const LIMIT = {ratePerSecond: 120, burst: 120};
 
-const WAYS: Readonly<Record<string, FleetLimitFactory>> = {
+const LIMITERS: Readonly<Record<string, FleetLimitFactory>> = {
 	'counting host': createCountingHost,
 	'shares by demand': createDemandShares,
 	'equal shares': createStaticShares,
 };
 
-const CALM: LoadStep = {ms: 3000, load: 0.5};
+const STEADY_LOAD: LoadStep = {ms: 3000, load: 0.5};
 
 const LOADS: Readonly<Record<string, readonly LoadStep[]>> = {
-	'at 0.9': [CALM, {ms: 10_000, load: 0.9, judged: true}],
-	'at 1.1': [CALM, {ms: 10_000, load: 1.1, judged: true}],
-	'at 4': [CALM, {ms: 10_000, load: 4, judged: true}],
+	'at 0.9': [STEADY_LOAD, {ms: 10_000, load: 0.9, judged: true}],
+	'at 1.1': [STEADY_LOAD, {ms: 10_000, load: 1.1, judged: true}],
+	'at 4': [STEADY_LOAD, {ms: 10_000, load: 4, judged: true}],
 	'a burst after rest': [{ms: 3000, load: 0.05}, {ms: 200, load: 4.5, judged: true}],
 	'callers that move': [{ms: 5000, load: 0.8, hosts: 'first half'}, {
 		ms: 5000, load: 0.8, hosts: 'second half', judged: true,
 	}],
-	'lowered and raised': [CALM, {ms: 6000, load: 0.5, limit: {ratePerSecond: 12, burst: 12}}, {
+	'lowered and raised': [STEADY_LOAD, {ms: 6000, load: 0.5, limit: {ratePerSecond: 12, burst: 12}}, {
 		ms: 5000, load: 0.8, limit: LIMIT, judged: true,
 	}],
 	'the coordinator dies': [{ms: 5000, load: 1.5}, {
@@ -55,9 +55,9 @@
 async function run({seeds, report}: ExperimentOptions): Promise<ExperimentResult> {
 	const variants: Variant[] = [];
 	for (const hosts of SIZES) {
-		for (const [way, factory] of Object.entries(WAYS)) {
-			report(`${way}, ${hosts} hosts`);
-			variants.push({name: `${way}, ${hosts} hosts`, measures: await measureWay(factory, hosts, seeds)});
+		for (const [limiter, factory] of Object.entries(LIMITERS)) {
+			report(`${limiter}, ${hosts} hosts`);
+			variants.push({name: `${limiter}, ${hosts} hosts`, measures: await measureLimiter(factory, hosts, seeds)});
 		}
 	}
 
@@ -72,16 +72,16 @@
 	};
 }
 
-async function measureWay(factory: FleetLimitFactory, hosts: number, seeds: readonly number[]): Promise<readonly Measure[]> {
+async function measureLimiter(factory: FleetLimitFactory, hosts: number, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const [load, steps] of Object.entries(LOADS)) {
-		const played: LimitFigures[] = [];
+		const runs: LimitFigures[] = [];
 		for (const seed of seeds) {
-			played.push(await playLimit(factory, hosts, LIMIT, steps, seed));
+			runs.push(await playLimit(factory, hosts, LIMIT, steps, seed));
 		}
 
 		for (const [name, unit, pick] of FIGURES) {
-			measures.push(createMeasure(`${load}: ${name}`, unit, played.map(figures => pick(figures))));
+			measures.push(createMeasure(`${load}: ${name}`, unit, runs.map(figures => pick(figures))));
 		}
 	}
 
--- a/src/bench/replica-share.ts
+++ b/src/bench/replica-share.ts
@@ -11,7 +11,7 @@
 } from './replica-share/share-system.js';
 import {createMeasure} from './statistics.js';
 
-/** Drives the owners' read and write paths over one group whose replicas lag, in virtual time. */
+/** Runs reads and writes through the owners of one group whose replicas lag, in virtual time. */
 export const replicaShare: Experiment = {
 	name: 'replica-share',
 	description: 'Share of reads served by replicas, waits and stale answers by lag, age and session, against an oracle',
@@ -27,7 +27,7 @@
 	const variants: Variant[] = [];
 	for (const policy of [PRODUCT, ...BASELINES]) {
 		options.report(policy.name);
-		variants.push({name: policy.name, measures: await measure(policy, options.seeds)});
+		variants.push({name: policy.name, measures: await measurePolicy(policy, options.seeds)});
 	}
 
 	const [product, ...baselines] = variants;
@@ -62,26 +62,26 @@
 	return [...byLag, ...bySession];
 }
 
-function nameSetting({lags, justWrotePart}: Setting): string {
+function getSettingName({lags, justWrotePart}: Setting): string {
 	return justWrotePart === USUAL_JUST_WROTE ? lags.name : `${lags.name}, just wrote ${justWrotePart * 100}%`;
 }
 
-async function measure(policy: Policy, seeds: readonly number[]): Promise<readonly Measure[]> {
+async function measurePolicy(policy: Policy, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const setting of getSettings()) {
 		const traffic = createTraffic(setting.justWrotePart);
 		const runs: Figures[] = [];
 		for (const seed of seeds) {
-			runs.push(getFigures(await runScenario({policy, lags: setting.lags, traffic}, seed), traffic, nameSetting(setting)));
+			runs.push(getFigures(await runScenario({policy, lags: setting.lags, traffic}, seed), traffic, getSettingName(setting)));
 		}
 
-		measures.push(...toMeasures(runs));
+		measures.push(...createMeasures(runs));
 	}
 
 	return measures;
 }
 
-function toMeasures(runs: readonly Figures[]): readonly Measure[] {
+function createMeasures(runs: readonly Figures[]): readonly Measure[] {
 	return Object.keys(runs[0]!).map(key => {
 		const {name, unit} = /^(?<name>.*) \((?<unit>[^\(]*)\)$/v.exec(key)!.groups!;
 		return createMeasure(name!, unit!, runs.map(run => run[key]!));
--- a/src/bench/statistics.ts
+++ b/src/bench/statistics.ts
@@ -1,13 +1,13 @@
 import type {Measure} from './experiment.js';
 
-/** The value below which a share `part` (0 to 1) of the samples lies; NaN for none. */
-export function getPercentile(samples: readonly number[], part: number): number {
+/** Returns the value below which the given fraction (0 to 1) of the samples lies; NaN if there are none. */
+export function getPercentile(samples: readonly number[], fraction: number): number {
 	const sorted = samples.toSorted((left, right) => left - right);
-	const place = Math.min(sorted.length - 1, Math.floor(part * sorted.length));
-	return sorted[place] ?? Number.NaN;
+	const index = Math.min(sorted.length - 1, Math.floor(fraction * sorted.length));
+	return sorted[index] ?? Number.NaN;
 }
 
-/** Makes one measure of the same figure from several seeds. */
+/** Creates a measure from the values of one figure over several seeds. */
 export function createMeasure(name: string, unit: string, values: readonly number[]): Measure {
 	return {
 		name,
--- a/src/bench/store-restore.ts
+++ b/src/bench/store-restore.ts
@@ -4,7 +4,7 @@
 import {createMeasure} from './statistics.js';
 import {playReturn, PrimaryLoss, type ReturnFigures} from './store-restore/play-return.js';
 
-/** Has the store come back from a copy before fleets of several sizes, in virtual time. */
+/** Restores the store from a backup while fleets of several sizes use it, in virtual time. */
 export const storeRestore: Experiment = {
 	name: 'store-restore',
 	description: 'What callers and the operator get while the store comes back from an older copy, by size of the fleet',
@@ -28,7 +28,7 @@
 		for (const lostChanges of LOST_CHANGES) {
 			const name = `${hosts} hosts, ${lostChanges} changes lost`;
 			report(name);
-			variants.push({name, measures: await measureReturns(hosts, lostChanges, seeds)});
+			variants.push({name, measures: await measureRestores(hosts, lostChanges, seeds)});
 		}
 	}
 
@@ -43,18 +43,18 @@
 	};
 }
 
-async function measureReturns(hosts: number, lostChanges: number, seeds: readonly number[]): Promise<readonly Measure[]> {
+async function measureRestores(hosts: number, lostChanges: number, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const primaryLoss of Object.values(PrimaryLoss)) {
-		const played: ReturnFigures[] = [];
+		const runs: ReturnFigures[] = [];
 		for (const seed of seeds) {
-			played.push(await playReturn({
+			runs.push(await playReturn({
 				hosts, lostChanges, primaryLoss, seed,
 			}));
 		}
 
 		for (const [figure, unit, pick] of FIGURES) {
-			measures.push(createMeasure(`${figure}, primary lost ${primaryLoss}`, unit, played.map(figures => pick(figures))));
+			measures.push(createMeasure(`${figure}, primary lost ${primaryLoss}`, unit, runs.map(figures => pick(figures))));
 		}
 	}
 
--- a/src/bench/svg-plot.ts
+++ b/src/bench/svg-plot.ts
@@ -9,7 +9,7 @@
 const GRID_LINES = 5;
 const COLOURS = ['#1b6ca8', '#c0392b', '#2e8b57', '#b8860b', '#6a4c93', '#555555', '#d2691e'];
 
-/** Draws plots one under another as an SVG document. */
+/** Returns an SVG document with the plots, one below the other. */
 export function drawPlots(plots: readonly Plot[]): string {
 	const drawn = plots.map((plot, i) => `<g transform="translate(0 ${i * HEIGHT})">${drawPlot(plot)}</g>`);
 	const size = `width="${WIDTH}" height="${HEIGHT * plots.length}"`;
@@ -25,15 +25,15 @@
 function drawPlot(plot: Plot): string {
 	const points = plot.series.flatMap(series => series.points).filter(point => Number.isFinite(point.y));
 	const xs = points.map(point => point.x);
-	const least = Math.min(...xs);
-	const span = (Math.max(...xs) - least) || 1;
-	const top = getRoundTop(Math.max(...points.map(point => point.y)));
-	const toX = (x: number) => LEFT + ((x - least) / span * (WIDTH - LEFT - RIGHT));
-	const toY = (y: number) => HEIGHT - BOTTOM - (y / top * (HEIGHT - TOP - BOTTOM));
+	const minX = Math.min(...xs);
+	const xSpan = (Math.max(...xs) - minX) || 1;
+	const maxY = roundUpAxisMax(Math.max(...points.map(point => point.y)));
+	const toX = (x: number) => LEFT + ((x - minX) / xSpan * (WIDTH - LEFT - RIGHT));
+	const toY = (y: number) => HEIGHT - BOTTOM - (y / maxY * (HEIGHT - TOP - BOTTOM));
 
 	const grid = Array.from({length: GRID_LINES + 1}, (_, i) => {
-		const y = top * i / GRID_LINES;
-		const x = least + (span * i / GRID_LINES);
+		const y = maxY * i / GRID_LINES;
+		const x = minX + (xSpan * i / GRID_LINES);
 		return `<line x1="${LEFT}" x2="${WIDTH - RIGHT}" y1="${toY(y)}" y2="${toY(y)}" stroke="#ddd"/>`
 			+ `<text x="${LEFT - 6}" y="${toY(y) + 4}" text-anchor="end">${formatTick(y)}</text>`
 			+ `<text x="${toX(x)}" y="${HEIGHT - BOTTOM + 16}" text-anchor="middle">${formatTick(x)}</text>`;
@@ -57,8 +57,8 @@
 		+ `<text x="${WIDTH - RIGHT + 36}" y="${labelY + 4}">${escapeText(series.name)}</text>`;
 }
 
-/** The next of 1, 2, 2.5, 5, 10 times a power of ten that is not below the value. */
-function getRoundTop(value: number): number {
+/** Returns the smallest of 1, 1.25, 1.5, 2, 2.5, 5 and 10 times a power of ten that is not below the value; 1 unless the value is positive. */
+function roundUpAxisMax(value: number): number {
 	if (!(value > 0)) {
 		return 1;
 	}
--- a/src/bench/virtual-schedule.ts
+++ b/src/bench/virtual-schedule.ts
@@ -2,11 +2,11 @@
 import {createTimedHeap, type Timed} from '../stand-ins/time/timed-heap.js';
 import type {Clock} from '../time/clock.js';
 
-/** A clock that jumps from event to event, for experiments with millions of them. */
+/** A discrete-event clock for experiments with millions of events: its time advances from event to event. */
 export type VirtualSchedule = Clock & {
-	/** Calls back at that time. */
+	/** Schedules `callback` at a time in milliseconds, or for now if that time has passed. */
 	at(time: number, callback: () => void): void;
-	/** Runs all events until that time, letting what follows from each settle. */
+	/** Runs all events up to `time`, and one turn of the event loop after each, so that the promises it resolved have their effect first. */
 	runUntil(time: number): Promise<void>;
 };
 
@@ -14,7 +14,7 @@
 	callback(): void;
 };
 
-/** Creates a schedule that begins at time 0. */
+/** Creates a schedule that starts at time 0. */
 export function createVirtualSchedule(): VirtualSchedule {
 	const heap = createTimedHeap<Event>();
 	let now = 0;
@@ -35,7 +35,7 @@
 
 			await new Promise<void>(resolve => {
 				const end = () => {
-					// A signal outlives many sleeps; each listener left on it would be kept for as long.
+					// A signal outlives many sleeps, so listeners left on it would accumulate.
 					signal?.removeEventListener('abort', end);
 					resolve();
 				};
--- a/src/bench/workspace-links.ts
+++ b/src/bench/workspace-links.ts
@@ -4,17 +4,17 @@
 import {createMeasure} from './statistics.js';
 import {playKeepers, type KeepersFigures, type KeepersPlay} from './workspace-links/play-keepers.js';
 
-/** Serves many workspaces at one busy endpoint by ways of spreading its connections, in virtual time. */
+/** Serves many workspaces at one busy endpoint with several distributions of its connections over hosts, in virtual time. */
 export const workspaceLinks: Experiment = {
 	name: 'workspace-links',
 	description: 'Connections opened for each statement, failures and times where workspaces share the connections of one busy endpoint',
 	run,
 };
 
-/** Statements a second, and how many times as long the endpoint works at first. */
+/** Statements per second, and the factor by which the endpoint is slower at first. */
 const LOADS = [[40, 1], [120, 1], [120, 5], [180, 1]] as const;
 
-const WAYS: Readonly<Record<string, Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>>> = {
+const DISTRIBUTIONS: Readonly<Record<string, Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>>> = {
 	'two hosts a zone, by workspace': {keepersPerZone: 2, byWorkspace: true},
 	'two hosts a zone, by turns': {keepersPerZone: 2, byWorkspace: false},
 	'one host a zone': {keepersPerZone: 1, byWorkspace: true},
@@ -31,9 +31,9 @@
 
 async function run({seeds, report}: ExperimentOptions): Promise<ExperimentResult> {
 	const variants: Variant[] = [];
-	for (const [name, way] of Object.entries(WAYS)) {
+	for (const [name, distribution] of Object.entries(DISTRIBUTIONS)) {
 		report(name);
-		variants.push({name, measures: await measureWay(way, seeds)});
+		variants.push({name, measures: await measureDistribution(distribution, seeds)});
 	}
 
 	return {
@@ -49,18 +49,18 @@
 	};
 }
 
-async function measureWay(way: Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>, seeds: readonly number[]): Promise<readonly Measure[]> {
+async function measureDistribution(distribution: Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const [statementsPerSecond, slowFactor] of LOADS) {
-		const played: KeepersFigures[] = [];
+		const runs: KeepersFigures[] = [];
 		for (const seed of seeds) {
-			played.push(await playKeepers({
-				...way, zones: 4, workspaces: 83, skew: 1, statementsPerSecond, slowFactor, seed,
+			runs.push(await playKeepers({
+				...distribution, zones: 4, workspaces: 83, skew: 1, statementsPerSecond, slowFactor, seed,
 			}));
 		}
 
 		for (const [name, unit, pick] of FIGURES) {
-			measures.push(createMeasure(`${statementsPerSecond}/s${slowFactor === 1 ? '' : `, slow by ${slowFactor} at first`}: ${name}`, unit, played.map(figures => pick(figures))));
+			measures.push(createMeasure(`${statementsPerSecond}/s${slowFactor === 1 ? '' : `, slow by ${slowFactor} at first`}: ${name}`, unit, runs.map(figures => pick(figures))));
 		}
 	}
 
--- a/src/bench/write-result.ts
+++ b/src/bench/write-result.ts
@@ -3,7 +3,7 @@
 import type {ExperimentResult} from './experiment.js';
 import {drawPlots} from './svg-plot.js';
 
-/** Writes a result as JSON to `file` and its plots beside it as `.svg`; returns the files written. */
+/** Writes a result as JSON to `file`, and its plots, if any, to an `.svg` file of the same name; resolves with the files written. */
 export async function writeResult(result: ExperimentResult, file: string): Promise<readonly string[]> {
 	await mkdir(path.dirname(file), {recursive: true});
 	// One figure a line, so that two results can be compared line by line.
