--- a/src/bench/failover-gap/filings.ts
+++ b/src/bench/failover-gap/filings.ts
@@ -78,7 +78,7 @@
 		const {length: count} = primary.member.state.findRows('filings', [{column: 'id', value: id}]);
 		const isCorrect = response?.outcome === Outcome.Done ? count === 1 : count <= (response?.outcome === Outcome.NotRun ? 0 : 1);
 		if (!isCorrect) {
-			throwCheckFailure(`filing ${id} has the outcome ${response?.outcome ?? 'unknown'} and is stored ${count} times`);
+			throwCheckFailure(`filing ${id} has the outcome ${response?.outcome ?? 'none'} and is stored ${count} times`);
 		}
 	}
 }
