--- a/src/bench/hop.ts
+++ b/src/bench/hop.ts
@@ -91,11 +91,11 @@
 	for (const path of paths) {
 		const daemons = path.entry === owner ? [owner] : [path.entry, owner];
 		const before = await Promise.all(daemons.map(async daemon => getProcessorSeconds(daemon)));
-		const {requestsPerSecond, latenciesMs, others} = await runLoad(path, session, kind, THROUGHPUT_CALLERS, THROUGHPUT_MS);
+		const {requestsPerSecond, latenciesMs, otherStatuses} = await runLoad(path, session, kind, THROUGHPUT_CALLERS, THROUGHPUT_MS);
 		const after = await Promise.all(daemons.map(async daemon => getProcessorSeconds(daemon)));
 		const successful = latenciesMs.length;
 		record(figures, `${kind} at ${path.name}, requests/s`, requestsPerSecond);
-		record(figures, `${kind} at ${path.name}, answers other than 200`, Object.values(others).length === 0 ? 0 : Math.max(...Object.values(others)));
+		record(figures, `${kind} at ${path.name}, answers other than 200`, Object.values(otherStatuses).length === 0 ? 0 : Math.max(...Object.values(otherStatuses)));
 		for (const [index, daemon] of daemons.entries()) {
 			const role = daemon === owner ? 'owner' : 'entry';
 			record(figures, `${kind} at ${path.name}, requests per core second of the ${role}`, successful / (after[index]! - before[index]!));
--- a/src/bench/load/caller-load.ts
+++ b/src/bench/load/caller-load.ts
@@ -20,14 +20,14 @@
 	readonly latenciesMs: readonly number[];
 	readonly requestsPerSecond: number;
 	/** Number of responses with another status than 200, by status. */
-	readonly others: Readonly<Record<string, number>>;
+	readonly otherStatuses: Readonly<Record<string, number>>;
 };
 
 /** Runs the load and resolves once the last response has arrived. */
 export async function runCallerLoad(load: CallerLoad): Promise<CallerLoadResult> {
 	const agent = new Agent({keepAlive: true, maxSockets: load.callers});
 	const latenciesMs: number[] = [];
-	const others: Record<string, number> = {};
+	const otherStatuses: Record<string, number> = {};
 	const startedAt = performance.now();
 	let index = 0;
 
@@ -38,14 +38,14 @@
 			if (status === 200) {
 				latenciesMs.push(performance.now() - sentAt);
 			} else {
-				others[status] = (others[status] ?? 0) + 1;
+				otherStatuses[status] = (otherStatuses[status] ?? 0) + 1;
 			}
 		}
 	};
 
 	await Promise.all(Array.from({length: load.callers}, call));
 	agent.destroy();
-	return {latenciesMs, requestsPerSecond: latenciesMs.length / ((performance.now() - startedAt) / 1000), others};
+	return {latenciesMs, requestsPerSecond: latenciesMs.length / ((performance.now() - startedAt) / 1000), otherStatuses};
 }
 
 /** Status and body of a response. */
--- a/tests/bench/failover-gap-tests.ts
+++ b/tests/bench/failover-gap-tests.ts
@@ -6,22 +6,22 @@
 import {runPlannedChange} from '../../src/bench/failover-gap/planned-change-run.js';
 
 describe('failover-gap', () => {
-	const lose = async (name: string) => runLoss(1, PRODUCT, LOSS_SCENARIOS.find(loss => loss.name === name)!, 'up');
+	const runScenario = async (name: string) => runLoss(1, PRODUCT, LOSS_SCENARIOS.find(loss => loss.name === name)!, 'up');
 
 	it('repeats a run of the same seed', async () => {
-		expect(await lose('killed')).to.deep.equal(await lose('killed'));
+		expect(await runScenario('killed')).to.deep.equal(await runScenario('killed'));
 	});
 
 	// The second owner, after it had been notified of the new primary, still considered the primary lost because of the old one, and
 	// replaced the new one too. Filings stalled twice.
 	it('replaces a primary that is cut off from its group only once', async () => {
-		const {promotions} = await lose('cut off from its group only');
+		const {promotions} = await runScenario('cut off from its group only');
 		expect(promotions).to.equal(1);
 	});
 
 	// The second owner queried the lost primary while it waited for its turn, and then waited another 300 ms for its response.
 	it('does not wait for a lost primary twice when the first owner is dead', async () => {
-		const {parts} = await lose('frozen, first owner dead');
+		const {parts} = await runScenario('frozen, first owner dead');
 		expect(parts?.claim).to.be.below(100);
 	});
 
