--- a/src/bench/control/store-load.ts
+++ b/src/bench/control/store-load.ts
@@ -6,7 +6,7 @@
 import {createSeededRandom} from '../../random/seeded-random.js';
 import {createInMemoryPlatform} from '../../stand-ins/platform/in-memory-platform.js';
 import {createObjectStore, type ObjectStore} from '../../stand-ins/platform/object-store.js';
-import {createFaultGate, Outage, type FaultGate} from '../../stand-ins/platform/platform-faults.js';
+import {createFaultInjector, Outage, type FaultInjector} from '../../stand-ins/platform/platform-faults.js';
 import {createVirtualSchedule, type VirtualSchedule} from '../virtual-schedule.js';
 import {createHostList, DESIGN_SIZE} from './design-size-fleet.js';
 
@@ -28,7 +28,7 @@
 export async function measureStoreLoad(seed: number): Promise<Figures> {
 	const schedule = createVirtualSchedule();
 	const store = createObjectStore({clock: schedule});
-	const gate = createFaultGate({clock: schedule});
+	const gate = createFaultInjector({clock: schedule});
 	gate.faults.requestDelayMs = STORE_ROUND_TRIP_MS / 2;
 	gate.faults.answerDelayMs = STORE_ROUND_TRIP_MS / 2;
 	store.setHosts(createHostList([]));
@@ -73,7 +73,7 @@
 type NodeOptions = {
 	readonly schedule: VirtualSchedule;
 	readonly store: ObjectStore;
-	readonly gate: FaultGate;
+	readonly gate: FaultInjector;
 	readonly self: PlatformHost;
 	readonly seed: number;
 };
@@ -81,7 +81,7 @@
 function startNode({schedule, store, gate, self, seed}: NodeOptions) {
 	const log = createSilentLog();
 	const random = createSeededRandom(seed);
-	const platform = createInMemoryPlatform({store, clock: schedule, sharedGate: gate});
+	const platform = createInMemoryPlatform({store, clock: schedule, sharedFaultInjector: gate});
 	const common = {
 		platform, clock: schedule, random, log,
 	};
@@ -90,12 +90,12 @@
 }
 
 /** Runs the schedule and returns the number of calls to the store in each second. */
-async function countCalls(schedule: VirtualSchedule, gate: FaultGate): Promise<number[]> {
+async function countCalls(schedule: VirtualSchedule, gate: FaultInjector): Promise<number[]> {
 	const counts: number[] = [];
 	for (let until = SECOND_MS; until <= END_MS; until += SECOND_MS) {
-		const before = gate.passed;
+		const before = gate.callCount;
 		await schedule.runUntil(until);
-		counts.push(gate.passed - before);
+		counts.push(gate.callCount - before);
 	}
 
 	return counts;
--- a/src/bench/failover-gap/losses.ts
+++ b/src/bench/failover-gap/losses.ts
@@ -85,7 +85,7 @@
 		owner.endpoints.getLink(address).cut();
 	}
 
-	owner.platform.gate.faults.outage = Outage.Silent;
+	owner.platform.faultInjector.faults.outage = Outage.Silent;
 }
 
 /** Ends the faults of every scenario. */
--- a/src/bench/replica-share/share-system.ts
+++ b/src/bench/replica-share/share-system.ts
@@ -50,7 +50,7 @@
 		addresses: ENDPOINTS.map(({address}) => address),
 		clock: schedule,
 		random: createSeededRandom(seed + 1000),
-		sizes: {connections: CONNECTIONS, slots: SLOTS, serviceMs: SERVICE_MS},
+		serverParameters: {connections: CONNECTIONS, slots: SLOTS, serviceMs: SERVICE_MS},
 	});
 
 	const owners = Array.from({length: OWNERS}, (_, i) => createGroupOwner({
--- a/src/bench/workspace-links/busy-endpoint.ts
+++ b/src/bench/workspace-links/busy-endpoint.ts
@@ -43,7 +43,7 @@
 			return false;
 		}
 
-		await slots.take();
+		await slots.acquire();
 		await clock.sleep(ms);
 		slots.release();
 		return true;
--- a/src/stand-ins/database/backend.ts
+++ b/src/stand-ins/database/backend.ts
@@ -55,7 +55,7 @@
 	const createAnswer = (result: KeyedWriteResult): KeyedWriteAnswer => ({result, status: member.getStatus()});
 
 	const runInSlot = async <T>(work: () => Promise<T>): Promise<T> => {
-		await slots.take();
+		await slots.acquire();
 		try {
 			checkAlive();
 			return await work();
@@ -68,7 +68,7 @@
 	const waitForKey = async (inFlight: Promise<void>, ms: number) => {
 		slots.release();
 		const waited = await withinMs(clock, ms, inFlight);
-		await slots.take();
+		await slots.acquire();
 		checkAlive();
 		if (waited.timedOut) {
 			throwLockTimeout();
--- a/src/stand-ins/database/database-group.ts
+++ b/src/stand-ins/database/database-group.ts
@@ -1,7 +1,7 @@
 import type {Random} from '../../random/random.js';
 import type {Clock} from '../../time/clock.js';
 import {
-	createDatabaseServer, DEFAULT_SERVER_SIZES, type DatabaseServer, type DatabaseServerSizes,
+	createDatabaseServer, DEFAULT_SERVER_PARAMETERS, type DatabaseServer, type DatabaseServerParameters,
 } from './database-server.js';
 
 /** A group of in-memory database servers that replicate from one primary. */
@@ -20,15 +20,15 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	/** Parameters of all servers; absent ones take their defaults. */
-	readonly sizes?: Partial<DatabaseServerSizes>;
+	readonly serverParameters?: Partial<DatabaseServerParameters>;
 };
 
 /** Creates a group of running servers. */
-export function createDatabaseGroup({addresses, clock, random, sizes: parameters}: DatabaseGroupOptions): DatabaseGroup {
+export function createDatabaseGroup({addresses, clock, random, serverParameters: parameters}: DatabaseGroupOptions): DatabaseGroup {
 	const servers = new Map<string, DatabaseServer>();
 	for (const address of addresses) {
 		servers.set(address, createDatabaseServer({
-			address, clock, random, servers, sizes: {...DEFAULT_SERVER_SIZES, ...parameters},
+			address, clock, random, servers, serverParameters: {...DEFAULT_SERVER_PARAMETERS, ...parameters},
 		}));
 	}
 
--- a/src/stand-ins/database/database-server.ts
+++ b/src/stand-ins/database/database-server.ts
@@ -42,7 +42,7 @@
 export type ExchangeListener = (kind: ExchangeKind, from: string) => void;
 
 /** Capacities of a stand-in server, and how long its operations take. */
-export type DatabaseServerSizes = {
+export type DatabaseServerParameters = {
 	/** Time to open a connection, in milliseconds. */
 	readonly connectMs: number;
 	/** Maximum number of open connections. */
@@ -60,7 +60,7 @@
 };
 
 /** The parameters of the users' servers. */
-export const DEFAULT_SERVER_SIZES: DatabaseServerSizes = {
+export const DEFAULT_SERVER_PARAMETERS: DatabaseServerParameters = {
 	connectMs: 10,
 	connections: 20,
 	slots: 3,
@@ -77,11 +77,11 @@
 	readonly random: Random;
 	/** The group's servers by address, including this one once it is created. */
 	readonly servers: ReadonlyMap<string, DatabaseServer>;
-	readonly sizes: DatabaseServerSizes;
+	readonly serverParameters: DatabaseServerParameters;
 };
 
 /** Creates a running server with an empty log. */
-export function createDatabaseServer({address, clock, random, servers, sizes: parameters}: DatabaseServerOptions): DatabaseServer {
+export function createDatabaseServer({address, clock, random, servers, serverParameters: parameters}: DatabaseServerOptions): DatabaseServer {
 	const sessions = new Set<DatabaseSession>();
 	const listeners: ExchangeListener[] = [];
 	let memory = createServerMemory(parameters.slots);
--- a/src/stand-ins/database/main.ts
+++ b/src/stand-ins/database/main.ts
@@ -7,7 +7,7 @@
 import {defineCommand, runMain} from 'citty';
 import {createSystemRandom} from '../../random/system-random.js';
 import {createSystemClock} from '../../time/system-clock.js';
-import {DEFAULT_SERVER_SIZES} from './database-server.js';
+import {DEFAULT_SERVER_PARAMETERS} from './database-server.js';
 import {createFaultControl} from './fault-control.js';
 import {startPgGroup} from './pg-group.js';
 
@@ -19,10 +19,10 @@
 		ports: {type: 'string', default: '0,0,0', description: 'PostgreSQL ports, one per server; 0 for any'},
 		control: {type: 'string', default: '0', description: 'HTTP port for faults; 0 for any'},
 		password: {type: 'string', description: 'Password required of every client; absent: none is required'},
-		connections: {type: 'string', default: String(DEFAULT_SERVER_SIZES.connections), description: 'Maximum number of connections of each server'},
-		slots: {type: 'string', default: String(DEFAULT_SERVER_SIZES.slots), description: 'Maximum number of statements that each server runs at once'},
-		serviceMs: {type: 'string', default: String(DEFAULT_SERVER_SIZES.serviceMs), description: 'Mean time of a statement in milliseconds'},
-		lagMs: {type: 'string', default: String(DEFAULT_SERVER_SIZES.replicationLagMs), description: 'Replication lag in milliseconds'},
+		connections: {type: 'string', default: String(DEFAULT_SERVER_PARAMETERS.connections), description: 'Maximum number of connections of each server'},
+		slots: {type: 'string', default: String(DEFAULT_SERVER_PARAMETERS.slots), description: 'Maximum number of statements that each server runs at once'},
+		serviceMs: {type: 'string', default: String(DEFAULT_SERVER_PARAMETERS.serviceMs), description: 'Mean time of a statement in milliseconds'},
+		lagMs: {type: 'string', default: String(DEFAULT_SERVER_PARAMETERS.replicationLagMs), description: 'Replication lag in milliseconds'},
 	},
 	async run({args}) {
 		const {group, stop} = await startPgGroup({
@@ -31,7 +31,7 @@
 			password: args.password,
 			clock: createSystemClock(),
 			random: createSystemRandom(),
-			sizes: {
+			serverParameters: {
 				connections: Number(args.connections), slots: Number(args.slots), serviceMs: Number(args.serviceMs), replicationLagMs: Number(args.lagMs),
 			},
 		});
--- a/src/stand-ins/database/service-slots.ts
+++ b/src/stand-ins/database/service-slots.ts
@@ -3,7 +3,7 @@
 	readonly running: number;
 	readonly waiting: number;
 	/** Acquires a slot; resolves once one is free. */
-	take(): Promise<void>;
+	acquire(): Promise<void>;
 	release(): void;
 };
 
@@ -19,7 +19,7 @@
 		get waiting() {
 			return queue.length;
 		},
-		async take() {
+		async acquire() {
 			if (running < count) {
 				running++;
 				return;
--- a/src/stand-ins/plain-group/plain-server.ts
+++ b/src/stand-ins/plain-group/plain-server.ts
@@ -255,7 +255,7 @@
 			const {command} = req;
 			const text = command.kind === 'run' ? command.text : (command.kind === 'execute' ? command.args : undefined);
 			if (text !== undefined || command.kind === 'commit') {
-				await server.slots?.take();
+				await server.slots?.acquire();
 				await clock.sleep(getServiceMs(text ?? '') + server.slowMs);
 				server.slots?.release();
 			} else {
--- a/src/stand-ins/platform/in-memory-platform.ts
+++ b/src/stand-ins/platform/in-memory-platform.ts
@@ -5,12 +5,12 @@
 import type {Clock} from '../../time/clock.js';
 import {withinMs} from '../../time/deadline.js';
 import type {ObjectStore} from './object-store.js';
-import {CallEffect, createFaultGate, type FaultGate} from './platform-faults.js';
+import {CallEffect, createFaultInjector, type FaultInjector} from './platform-faults.js';
 
 /** One client of a store in the same process. */
 export type InMemoryPlatform = Platform & {
 	/** Injects faults into the calls of this client only. */
-	readonly gate: FaultGate;
+	readonly faultInjector: FaultInjector;
 };
 
 /** Options of {@link createInMemoryPlatform}. */
@@ -18,7 +18,7 @@
 	readonly store: ObjectStore;
 	readonly clock: Clock;
 	/** Injects faults into the calls of all clients of the store. */
-	readonly sharedGate?: FaultGate;
+	readonly sharedFaultInjector?: FaultInjector;
 };
 
 /** A call to the store; errors name it by `what`. */
@@ -30,8 +30,8 @@
 };
 
 /** Creates a client of the store. */
-export function createInMemoryPlatform({store, clock, sharedGate: sharedInjector}: InMemoryPlatformOptions): InMemoryPlatform {
-	const injector = createFaultGate({clock});
+export function createInMemoryPlatform({store, clock, sharedFaultInjector: sharedInjector}: InMemoryPlatformOptions): InMemoryPlatform {
+	const injector = createFaultInjector({clock});
 
 	const call = async <T>({what, effect, timeoutMs, run}: Call<T>): Promise<T> => {
 		const abort = new AbortController();
@@ -43,7 +43,7 @@
 	};
 
 	return {
-		gate: injector,
+		faultInjector: injector,
 		async get(kind, name, timeoutMs) {
 			return call({
 				what: `get ${kind} ${name}`, effect: CallEffect.Read, timeoutMs, run: () => store.get(kind, name),
--- a/src/stand-ins/platform/main.ts
+++ b/src/stand-ins/platform/main.ts
@@ -1,9 +1,9 @@
 import process from 'node:process';
 import {defineCommand, runMain} from 'citty';
 import {createSystemClock} from '../../time/system-clock.js';
-import {createHttpFront} from './http-front.js';
+import {createPlatformServer} from './platform-server.js';
 import {createObjectStore} from './object-store.js';
-import {createFaultGate} from './platform-faults.js';
+import {createFaultInjector} from './platform-faults.js';
 
 /** Runs the stand-in platform as a process. Once it listens, it prints `{"ready":true,"url":…}` on one line. */
 const command = defineCommand({
@@ -14,7 +14,7 @@
 	},
 	async run({args}) {
 		const clock = createSystemClock();
-		const app = createHttpFront({store: createObjectStore({clock}), gate: createFaultGate({clock})});
+		const app = createPlatformServer({store: createObjectStore({clock}), faultInjector: createFaultInjector({clock})});
 		const url = await app.listen({host: args.address, port: Number(args.port)});
 		const close = () => {
 			void app.close();
--- a/src/stand-ins/platform/platform-faults.ts
+++ b/src/stand-ins/platform/platform-faults.ts
@@ -43,11 +43,11 @@
 export type CallEffect = typeof CallEffect[keyof typeof CallEffect];
 
 /** Injects faults into the calls that pass through it to the platform. */
-export type FaultGate = {
+export type FaultInjector = {
 	/** The active faults; assign to the fields to change them. */
 	readonly faults: PlatformFaults;
 	/** Number of calls so far, whatever their result. */
-	readonly passed: number;
+	readonly callCount: number;
 	/** Runs a call under the active faults; never settles if the response is lost, and rejects with PlatformError if the call is refused. */
 	runWithFaults<T>(effect: CallEffect, run: () => T | Promise<T>): Promise<T>;
 	/** Makes every waiting watch hang for good; new watches work. */
@@ -55,7 +55,7 @@
 };
 
 /** Creates a fault injector without active faults. */
-export function createFaultGate({clock}: {readonly clock: Clock}): FaultGate {
+export function createFaultInjector({clock}: {readonly clock: Clock}): FaultInjector {
 	const faults: PlatformFaults = {
 		outage: Outage.None, requestDelayMs: 0, answerDelayMs: 0, overtakenMs: 0, lostAnswers: 0, deadWatches: false,
 	};
@@ -97,7 +97,7 @@
 
 	return {
 		faults,
-		get passed() {
+		get callCount() {
 			return callCount;
 		},
 		async runWithFaults(effect, run) {
--- a/src/stand-ins/platform/http-front.ts
+++ b/src/stand-ins/platform/platform-server.ts
@@ -8,12 +8,12 @@
 import {PlatformConflictError, PlatformError, PlatformRefusedError} from '../../object-store/platform-errors.js';
 import {platformHostsSchema} from '../../object-store/platform-schemas.js';
 import {MAX_VALUE_BYTES, type ObjectStore} from './object-store.js';
-import {CallEffect, platformFaultsSchema, type FaultGate} from './platform-faults.js';
+import {CallEffect, platformFaultsSchema, type FaultInjector} from './platform-faults.js';
 
 /** Options of {@link createPlatformServer}. */
-export type HttpFrontOptions = {
+export type PlatformServerOptions = {
 	readonly store: ObjectStore;
-	readonly gate: FaultGate;
+	readonly faultInjector: FaultInjector;
 };
 
 /** The 65536 bytes above the largest value are for names, versions and escape sequences. */
@@ -38,7 +38,7 @@
 const compress = promisify(gzip);
 
 /** Creates the HTTP server of a store, with control routes below `/control`. The caller starts listening and closes it. */
-export function createHttpFront({store, gate: injector}: HttpFrontOptions): FastifyInstance {
+export function createPlatformServer({store, faultInjector: injector}: PlatformServerOptions): FastifyInstance {
 	const app = fastify({bodyLimit: MAX_BODY_BYTES, forceCloseConnections: true, routerOptions: {maxParamLength: MAX_NAME_LENGTH * 3}});
 	app.setErrorHandler(sendError);
 	app.addHook('onSend', compressResponse);
@@ -49,7 +49,7 @@
 	return app;
 }
 
-function addObjectRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
+function addObjectRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultInjector) {
 	app.get('/v1/objects/:kind/:name', async (req, res) => {
 		const {kind, name} = objectPath.parse(req.params);
 		const object = await injector.runWithFaults(CallEffect.Read, () => store.get(kind, name));
@@ -77,7 +77,7 @@
 	});
 }
 
-function addWatchRoute(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
+function addWatchRoute(app: FastifyInstance, store: ObjectStore, injector: FaultInjector) {
 	app.get('/v1/watches/:kind', async (req, res) => {
 		const {kind} = kindPath.parse(req.params);
 		const {revision, waitMs} = watchQuery.parse(req.query);
@@ -89,7 +89,7 @@
 	});
 }
 
-function addHostsRoute(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
+function addHostsRoute(app: FastifyInstance, store: ObjectStore, injector: FaultInjector) {
 	app.get('/v1/hosts', async (req, res) => {
 		const hosts = await injector.runWithFaults(CallEffect.Read, () => store.hosts());
 		const text = JSON.stringify(hosts);
@@ -100,7 +100,7 @@
 }
 
 /** Adds the routes by which a demo or a benchmark changes faults and hosts while the process runs. No fault affects these routes. */
-function addControlRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultGate) {
+function addControlRoutes(app: FastifyInstance, store: ObjectStore, injector: FaultInjector) {
 	app.get('/control', async () => ({
 		faults: injector.faults, calls: store.calls, waitingWatches: store.waitingWatches, revision: store.revision,
 	}));
--- a/src/stand-ins/system/simulated-system.ts
+++ b/src/stand-ins/system/simulated-system.ts
@@ -11,12 +11,12 @@
 import type {Settings} from '../../settings/settings.js';
 import type {Clock} from '../../time/clock.js';
 import {createDatabaseGroup, type DatabaseGroup} from '../database/database-group.js';
-import type {DatabaseServerSizes} from '../database/database-server.js';
+import type {DatabaseServerParameters} from '../database/database-server.js';
 import {createInMemoryEndpoints, type InMemoryEndpoints} from '../database/in-memory-endpoints.js';
 import {createPeerNetwork, type PeerNetwork} from '../peers/in-memory-peers.js';
 import {createInMemoryPlatform, type InMemoryPlatform} from '../platform/in-memory-platform.js';
 import {createObjectStore, type ObjectStore} from '../platform/object-store.js';
-import {createFaultGate, type FaultGate} from '../platform/platform-faults.js';
+import {createFaultInjector, type FaultInjector} from '../platform/platform-faults.js';
 import {createVirtualClock, type VirtualClock} from '../time/virtual-clock.js';
 
 /** One proxy of a simulated system, with its own clients of the platform, the servers and its peers, on which faults can be set. */
@@ -34,7 +34,7 @@
 	readonly clock: VirtualClock;
 	readonly store: ObjectStore;
 	/** Faults of the platform that affect all proxies. */
-	readonly platformGate: FaultGate;
+	readonly platformGate: FaultInjector;
 	readonly network: PeerNetwork;
 	readonly proxies: readonly SimulatedProxy[];
 	getProxyOrThrow(name: string): SimulatedProxy;
@@ -56,7 +56,7 @@
 	/** Availability zones, one for each server. */
 	readonly availabilityZones: readonly string[];
 	readonly config?: Partial<Omit<GroupConfig, 'name' | 'endpoints'>>;
-	readonly sizes?: Partial<DatabaseServerSizes>;
+	readonly sizes?: Partial<DatabaseServerParameters>;
 };
 
 /** Options of a simulated system. */
@@ -93,7 +93,7 @@
 	const clock = createVirtualClock();
 	const seed = options.seed ?? 1;
 	const store = createObjectStore({clock});
-	const platformGate = createFaultGate({clock});
+	const platformGate = createFaultInjector({clock});
 	const network = createPeerNetwork(clock, {latencyMs, peerKeys: [PEER_KEY]});
 	const groups = new Map<string, DatabaseGroup>();
 
@@ -113,7 +113,7 @@
 			addresses: cfg.endpoints.map(({address}) => address),
 			clock,
 			random: createSeededRandom(seed + 100 + index),
-			sizes: {...group.sizes, connections: cfg.endpoints[0]?.connections, slots: cfg.endpoints[0]?.slots},
+			serverParameters: {...group.sizes, connections: cfg.endpoints[0]?.connections, slots: cfg.endpoints[0]?.slots},
 		}));
 		configure(cfg);
 	}
@@ -121,7 +121,7 @@
 	const createProxy = (host: PlatformHost, index: number): SimulatedProxy => {
 		const kernel = createKernel();
 		const peers = network.addHost(host.address);
-		const platform = createInMemoryPlatform({store, clock, sharedGate: platformGate});
+		const platform = createInMemoryPlatform({store, clock, sharedFaultInjector: platformGate});
 		const servers = [...groups.values()].flatMap(group => group.servers);
 		const endpoints = createInMemoryEndpoints(servers, {clock, latencyMs, host: host.name});
 		kernel.register('clock', clock);
--- a/tests/audit/create-change-applier-tests.ts
+++ b/tests/audit/create-change-applier-tests.ts
@@ -55,7 +55,7 @@
 		},
 		slow(...slowPlatforms: InMemoryPlatform[]) {
 			for (const platform of slowPlatforms) {
-				platform.gate.faults.requestDelayMs = 10;
+				platform.faultInjector.faults.requestDelayMs = 10;
 			}
 		},
 	};
@@ -162,7 +162,7 @@
 	it('whose response is lost after they took effect are recognized by their id', async () => {
 		const bench = createBench();
 		await bench.createGroup();
-		bench.platforms[0].gate.faults.lostAnswers = 1;
+		bench.platforms[0].faultInjector.faults.lostAnswers = 1;
 		const answer = await bench.run(0, 'dana', 'set group nights read-age 5s');
 		expect(describeAnswer(answer)).to.equal('applied: {"readAgeLimitMs":60000} to {"readAgeLimitMs":5000}');
 		expect(await bench.getTrail()).to.have.length(2);
@@ -173,7 +173,7 @@
 	it('whose response is lost are reported as applied, also after a later change to the same field', async () => {
 		const bench = createBench();
 		await bench.createGroup();
-		bench.platforms[0].gate.faults.lostAnswers = 1;
+		bench.platforms[0].faultInjector.faults.lostAnswers = 1;
 		const first = bench.send(0, 'dana', 'set group nights read-age 5s');
 		await bench.clock.advance(1);
 		await bench.run(1, 'dana', 'set group nights read-age 9s');
@@ -205,10 +205,10 @@
 				const bench = createBench();
 				await bench.createGroup();
 				bench.slow(bench.platforms[0]);
-				bench.platforms[0].gate.faults.answerDelayMs = 10;
+				bench.platforms[0].faultInjector.faults.answerDelayMs = 10;
 				const answer = bench.send(0, 'dana', 'set group nights read-age 5s');
 				await bench.clock.advance(afterMs);
-				bench.platforms[0].gate.faults.outage = outage;
+				bench.platforms[0].faultInjector.faults.outage = outage;
 				expect(describeAnswer(await bench.clock.runUntil(answer))).to.equal(expected);
 				expect(bench.getConfig().readAgeLimitMs).to.equal(inForce);
 			});
@@ -223,10 +223,10 @@
 		it('for a short time are applied once it responds again', async () => {
 			const bench = createBench();
 			await bench.createGroup();
-			bench.platforms[0].gate.faults.outage = Outage.Refusing;
+			bench.platforms[0].faultInjector.faults.outage = Outage.Refusing;
 			const answer = bench.send(0, 'dana', 'set group nights read-age 5s');
 			await bench.clock.advance(5000);
-			bench.platforms[0].gate.faults.outage = Outage.None;
+			bench.platforms[0].faultInjector.faults.outage = Outage.None;
 			expect(describeAnswer(await bench.clock.runUntil(answer))).to.match(/^applied:/v);
 			expect(await bench.getTrail()).to.have.length(2);
 		});
@@ -265,9 +265,9 @@
 			bench.slow(bench.platforms[0]);
 			const dying = bench.send(0, 'dana', 'set group nights read-age 1s');
 			await bench.clock.advance(25);
-			bench.platforms[0].gate.faults.outage = Outage.Refusing;
+			bench.platforms[0].faultInjector.faults.outage = Outage.Refusing;
 			await bench.clock.runUntil(dying);
-			bench.platforms[0].gate.faults.outage = Outage.None;
+			bench.platforms[0].faultInjector.faults.outage = Outage.None;
 			expect(bench.store.list('audit', '').objects).to.have.length(2);
 			expect(groupKind.parse(bench.store.get('group', 'nights')!.value).nextArchive).to.equal(1);
 
--- a/tests/configuration/configuration-fleet.ts
+++ b/tests/configuration/configuration-fleet.ts
@@ -12,7 +12,7 @@
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 import {createInMemoryPlatform, type InMemoryPlatform} from '../../src/stand-ins/platform/in-memory-platform.js';
 import {createObjectStore} from '../../src/stand-ins/platform/object-store.js';
-import {createFaultGate} from '../../src/stand-ins/platform/platform-faults.js';
+import {createFaultInjector} from '../../src/stand-ins/platform/platform-faults.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 /** The parts of one proxy that handle the configuration. */
@@ -50,7 +50,7 @@
 export const createFleet = ({size = 3, seed = 1, withoutHosts = false}: FleetOptions = {}) => {
 	const clock = createVirtualClock();
 	const store = createObjectStore({clock});
-	const gate = createFaultGate({clock});
+	const gate = createFaultInjector({clock});
 	const addresses = Array.from({length: size}, (_, index) => `127.0.0.1:${7000 + index}`);
 	const handlers = new Map<string, (req: unknown, from: {readonly address: string}) => Promise<unknown>>();
 	const cut = new Set<string>();
@@ -97,7 +97,7 @@
 		const random = createSeededRandom(nextSeed++);
 		const errors: string[] = [];
 		const log = createErrorLog(errors);
-		const platform = createInMemoryPlatform({store, clock, sharedGate: gate});
+		const platform = createInMemoryPlatform({store, clock, sharedFaultInjector: gate});
 		const configuration = createConfiguration({log});
 		const usable = () => withoutHosts ? [hosts[index]!] : hosts;
 		const configurationPeers = createConfigurationPeers({
--- a/tests/configuration/configuration-peers-tests.ts
+++ b/tests/configuration/configuration-peers-tests.ts
@@ -165,7 +165,7 @@
 			const fleet = createFleet({size: 2});
 			fleet.put('a', 1000);
 			const [fresh, stale] = await fleet.startAll();
-			stale!.platform.gate.faults.outage = 'silent';
+			stale!.platform.faultInjector.faults.outage = 'silent';
 			await fleet.clock.advance(100);
 			try {
 				expect(await run(fleet, fresh!, stale!)).to.deep.equal(expected);
--- a/tests/configuration/configuration-property-tests.ts
+++ b/tests/configuration/configuration-property-tests.ts
@@ -45,7 +45,7 @@
 
 const act = async (fleet: Fleet, proxies: FleetProxy[], {kind, proxy: index, group, pauseMs}: Event) => {
 	const proxy = proxies[index]!;
-	const {faults} = proxy.platform.gate;
+	const {faults} = proxy.platform.faultInjector;
 	const actions: Record<Event['kind'], () => unknown> = {
 		put: () => fleet.put(group, pauseMs),
 		'put-and-offer': () => proxy.configuration.offer(group, fleet.put(group, pauseMs)),
@@ -87,7 +87,7 @@
 
 const heal = (fleet: Fleet, proxies: readonly FleetProxy[]) => {
 	fleet.cut.clear();
-	for (const {faults} of [fleet.gate, ...proxies.map(({platform}) => platform.gate)]) {
+	for (const {faults} of [fleet.gate, ...proxies.map(({platform}) => platform.faultInjector)]) {
 		Object.assign(faults, {
 			outage: Outage.None, answerDelayMs: 0, overtakenMs: 0, lostAnswers: 0,
 		});
--- a/tests/configuration/configuration-watch-tests.ts
+++ b/tests/configuration/configuration-watch-tests.ts
@@ -11,7 +11,7 @@
 
 const MINUTE_MS = 60_000;
 
-const countAttempts = (proxies: readonly FleetProxy[]) => proxies.reduce((sum, {platform}) => sum + platform.gate.passed, 0);
+const countAttempts = (proxies: readonly FleetProxy[]) => proxies.reduce((sum, {platform}) => sum + platform.faultInjector.callCount, 0);
 
 const examples: readonly Example[] = [
 	{
@@ -85,7 +85,7 @@
 		const fleet = createFleet({size: 1});
 		fleet.put('a', 1000);
 		const [proxy] = await fleet.startAll();
-		proxy!.platform.gate.silenceOpenWatches();
+		proxy!.platform.faultInjector.silenceOpenWatches();
 		proxy!.configuration.applyChanges({revision: 2, objects: []}, fleet.clock.now());
 		fleet.put('b', 1000);
 		await fleet.clock.advance(10_000);
--- a/tests/configuration/in-force-everywhere-tests.ts
+++ b/tests/configuration/in-force-everywhere-tests.ts
@@ -21,7 +21,7 @@
 		title: 'a proxy whose watch went silent sends a new request',
 		size: 1,
 		async run({put, clock}, proxies) {
-			proxies[0]!.platform.gate.silenceOpenWatches();
+			proxies[0]!.platform.faultInjector.silenceOpenWatches();
 			put('a', 2000);
 			await clock.advance(IN_FORCE_MS);
 			return proxies;
@@ -33,7 +33,7 @@
 		// platform. Its calls to the store and to the host list fail, but its links to peers work.
 		title: 'a proxy cut off from the platform receives a change from a peer',
 		async run({put, clock}, proxies) {
-			proxies[2]!.platform.gate.faults.outage = 'silent';
+			proxies[2]!.platform.faultInjector.faults.outage = 'silent';
 			await clock.advance(60_000);
 			put('a', 2000);
 			await clock.advance(IN_FORCE_MS);
@@ -103,7 +103,7 @@
 		async run({put, clock, cut}, proxies) {
 			const [first, , stale] = proxies;
 			cut.add(stale!.address);
-			stale!.platform.gate.faults.outage = 'silent';
+			stale!.platform.faultInjector.faults.outage = 'silent';
 			put('a', 2000);
 			await clock.advance(IN_FORCE_MS);
 			const old = stale!.configuration.getGroupOrThrow('a');
@@ -155,7 +155,7 @@
 		title: 'an offer of a later change does not hide an earlier one from the watch',
 		size: 1,
 		async run({put, clock}, proxies) {
-			proxies[0]!.platform.gate.silenceOpenWatches();
+			proxies[0]!.platform.faultInjector.silenceOpenWatches();
 			put('a', 2000);
 			proxies[0]!.configuration.applyOffer({name: 'b', ...put('b', 2000)});
 			await clock.advance(IN_FORCE_MS);
@@ -168,7 +168,7 @@
 		// silence measured by the wall clock would be negative, and nothing would be pulled from a peer.
 		title: 'jumps of the wall clock have no effect',
 		async run({put, clock}, proxies) {
-			proxies[2]!.platform.gate.faults.outage = 'silent';
+			proxies[2]!.platform.faultInjector.faults.outage = 'silent';
 			clock.jumpWall(31_536_000_000);
 			put('a', 2000);
 			await clock.advance(IN_FORCE_MS);
--- a/tests/endpoints/pg-endpoint-tests.ts
+++ b/tests/endpoints/pg-endpoint-tests.ts
@@ -12,7 +12,7 @@
 describeEndpointContract('over the PostgreSQL protocol', async () => {
 	const clock = createSystemClock();
 	const {group, stop} = await startPgGroup({
-		host: HOST, ports: [0, 0, 0], password: 'secret', clock, random: createSeededRandom(1), sizes: {connections: 3},
+		host: HOST, ports: [0, 0, 0], password: 'secret', clock, random: createSeededRandom(1), serverParameters: {connections: 3},
 	});
 	const endpoints = createPgEndpoints({
 		user: 'aldercroft', password: 'secret', database: 'nights', clock,
--- a/tests/explanations/create-explanations-tests.ts
+++ b/tests/explanations/create-explanations-tests.ts
@@ -41,7 +41,7 @@
 	it('report an empty result, the number of silent hosts and that the platform did not answer', async () => {
 		const bench = createExplanationBench(3);
 		bench.kill(1);
-		bench.platform.gate.faults.outage = Outage.Refusing;
+		bench.platform.faultInjector.faults.outage = Outage.Refusing;
 		const requestId = createRequestId(bench.clock.wall(), bench.random);
 		expect(await bench.hosts[0]!.search(requestId)).to.deep.equal({
 			records: [], source: 'none', hostsAsked: 3, hostsSilent: 1, platformAnswered: false, notKept: 0,
@@ -113,7 +113,7 @@
 		const bench = createExplanationBench(1);
 		const host = bench.hosts[0]!;
 		await host.start!();
-		bench.platform.gate.faults.outage = Outage.Silent;
+		bench.platform.faultInjector.faults.outage = Outage.Silent;
 		const lostRecord = bench.createRecord();
 		host.record(lostRecord);
 		for (let second = 0; second < 3600; second++) {
@@ -126,7 +126,7 @@
 		expect(lost).to.be.within(1500, 2600);
 		expect(calls).to.be.at.most((3600 / 30) + 2);
 
-		bench.platform.gate.faults.outage = Outage.None;
+		bench.platform.faultInjector.faults.outage = Outage.None;
 		await bench.clock.advance(30 * MINUTE_MS);
 		const after = host.figures;
 		expect(after.kept + after.lost).to.equal(after.seen);
@@ -141,7 +141,7 @@
 	it('write a batch once when the platform\'s answer is lost', async () => {
 		const bench = createExplanationBench(1);
 		await bench.hosts[0]!.start!();
-		bench.platform.gate.faults.lostAnswers = 1;
+		bench.platform.faultInjector.faults.lostAnswers = 1;
 		bench.hosts[0]!.record(bench.createRecord());
 		await bench.clock.advance(5 * MINUTE_MS);
 		expect(bench.store.list('explanations', '').objects).to.have.length(1);
--- a/tests/failover/failover-bench.ts
+++ b/tests/failover/failover-bench.ts
@@ -6,10 +6,10 @@
 import type {PlatformHost} from '../../src/object-store/platform.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 import {createDatabaseGroup} from '../../src/stand-ins/database/database-group.js';
-import {createDatabaseServer, DEFAULT_SERVER_SIZES, type DatabaseServer} from '../../src/stand-ins/database/database-server.js';
+import {createDatabaseServer, DEFAULT_SERVER_PARAMETERS, type DatabaseServer} from '../../src/stand-ins/database/database-server.js';
 import {createPeerNetwork, type PeerNetwork} from '../../src/stand-ins/peers/in-memory-peers.js';
 import {createObjectStore, type ObjectStore} from '../../src/stand-ins/platform/object-store.js';
-import {createFaultGate, type FaultGate} from '../../src/stand-ins/platform/platform-faults.js';
+import {createFaultInjector, type FaultInjector} from '../../src/stand-ins/platform/platform-faults.js';
 import {createVirtualClock, type VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 import {createTestHost, type TestHost} from './test-host.js';
 
@@ -23,7 +23,7 @@
 	readonly network: PeerNetwork;
 	readonly store: ObjectStore;
 	/** Injects faults of the platform for all hosts. */
-	readonly platformGate: FaultGate;
+	readonly platformGate: FaultInjector;
 	readonly proxies: readonly PlatformHost[];
 	readonly servers: readonly DatabaseServer[];
 	/** The hosts, the group's owners first in order of rank. */
@@ -81,7 +81,7 @@
 		settings: {...DEFAULT_FAILOVER_SETTINGS, ...options.settings},
 		network: createPeerNetwork(clock, {latencyMs: LATENCY_MS}),
 		store,
-		platformGate: createFaultGate({clock}),
+		platformGate: createFaultInjector({clock}),
 		proxies,
 		servers,
 		hosts: [],
@@ -142,7 +142,7 @@
 	const servers = new Map<string, DatabaseServer>();
 	for (const address of addresses) {
 		servers.set(address, createDatabaseServer({
-			address, clock, random, servers, sizes: DEFAULT_SERVER_SIZES,
+			address, clock, random, servers, serverParameters: DEFAULT_SERVER_PARAMETERS,
 		}));
 	}
 
--- a/tests/golden/on-call-night-tests.ts
+++ b/tests/golden/on-call-night-tests.ts
@@ -128,10 +128,10 @@
 		await night.ask('dana', 2, 'show groups');
 
 		night.note('The platform goes down. What is kept answers, and nothing can be changed.');
-		bench.platform.gate.faults.outage = Outage.Silent;
+		bench.platform.faultInjector.faults.outage = Outage.Silent;
 		await night.ask('dana', 2, 'set group nights owners 3');
 		await night.ask('dana', 2, `why ${ticket}`);
-		bench.platform.gate.faults.outage = Outage.None;
+		bench.platform.faultInjector.faults.outage = Outage.None;
 
 		night.note('In the morning: what was changed, by whom.');
 		await night.pass(3_600_000);
--- a/tests/object-store/platform-contract-tests.ts
+++ b/tests/object-store/platform-contract-tests.ts
@@ -2,17 +2,17 @@
 import {expect} from 'chai';
 import {createHttpPlatform} from '../../src/object-store/http-platform.js';
 import type {Platform, PlatformHost, PlatformObject} from '../../src/object-store/platform.js';
-import {createHttpFront} from '../../src/stand-ins/platform/http-front.js';
+import {createPlatformServer} from '../../src/stand-ins/platform/platform-server.js';
 import {createInMemoryPlatform} from '../../src/stand-ins/platform/in-memory-platform.js';
 import {createObjectStore, MAX_VALUE_BYTES, type ObjectStore} from '../../src/stand-ins/platform/object-store.js';
-import {createFaultGate, type FaultGate} from '../../src/stand-ins/platform/platform-faults.js';
+import {createFaultInjector, type FaultInjector} from '../../src/stand-ins/platform/platform-faults.js';
 import {createVirtualClock, type VirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
 /** The objects that a test case can use. */
 type Bench = {
 	readonly platform: Platform;
 	readonly store: ObjectStore;
-	readonly gate: FaultGate;
+	readonly gate: FaultInjector;
 	readonly clock: VirtualClock;
 };
 
@@ -207,11 +207,11 @@
 ];
 
 describe('platform contract', () => {
-	const doTest = ({title, run, expected}: Case, create: (store: ObjectStore, gate: FaultGate, clock: VirtualClock) => Promise<{platform: Platform; close(): Promise<void>}>) => {
+	const doTest = ({title, run, expected}: Case, create: (store: ObjectStore, gate: FaultInjector, clock: VirtualClock) => Promise<{platform: Platform; close(): Promise<void>}>) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
 			const store = createObjectStore({clock});
-			const gate = createFaultGate({clock});
+			const gate = createFaultInjector({clock});
 			const {platform, close} = await create(store, gate, clock);
 			try {
 				const result = await run({
@@ -227,7 +227,7 @@
 	describe('in memory', () => {
 		for (const example of cases) {
 			doTest(example, async (store, sharedGate, clock) => ({
-				platform: createInMemoryPlatform({store, clock, sharedGate}),
+				platform: createInMemoryPlatform({store, clock, sharedFaultInjector: sharedGate}),
 				async close() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 			}));
 		}
@@ -236,7 +236,7 @@
 	describe('over HTTP', () => {
 		for (const example of cases) {
 			doTest(example, async (store, gate, clock) => {
-				const app = createHttpFront({store, gate});
+				const app = createPlatformServer({store, faultInjector: gate});
 				const baseUrl = await app.listen({host: '127.0.0.1', port: 0});
 				const platform = createHttpPlatform({baseUrl, clock});
 				return {
--- a/tests/operators/create-operator-access-tests.ts
+++ b/tests/operators/create-operator-access-tests.ts
@@ -69,10 +69,10 @@
 		bench.put(DANA);
 		await bench.clock.advance(10);
 		expect(bench.access.identify('token of dana')).to.deep.equal({name: 'dana', role: 'operate'});
-		bench.platform.gate.faults.outage = Outage.Refusing;
+		bench.platform.faultInjector.faults.outage = Outage.Refusing;
 		await bench.clock.advance(3_600_000);
 		expect(bench.access.identify('token of dana')).to.deep.equal({name: 'dana', role: 'operate'});
-		bench.platform.gate.faults.outage = Outage.None;
+		bench.platform.faultInjector.faults.outage = Outage.None;
 		bench.put(IVA);
 		await bench.clock.advance(10_000);
 		expect(bench.access.identify('token of dana')).to.equal(undefined);
@@ -86,7 +86,7 @@
 	it('never returns to an older version', async () => {
 		const bench = createBench();
 		bench.put(DANA);
-		bench.platform.gate.faults.overtakenMs = 1000;
+		bench.platform.faultInjector.faults.overtakenMs = 1000;
 		const late = bench.access.refresh();
 		await bench.clock.advance(10);
 		bench.put(IVA);
--- a/tests/operators/create-operator-commands-tests.ts
+++ b/tests/operators/create-operator-commands-tests.ts
@@ -152,7 +152,7 @@
 
 	it('are refused where they need the platform and it does not respond', async () => {
 		const bench = await createBench();
-		bench.platform.gate.faults.outage = Outage.Silent;
+		bench.platform.faultInjector.faults.outage = Outage.Silent;
 		expect(await bench.run(0, BOOTSTRAP_TOKEN, 'show changes')).to.include({status: 'refused', text: 'Refused: the platform gave no answer to list group.'});
 	});
 });
--- a/tests/proofs/leaving-endpoints-tests.ts
+++ b/tests/proofs/leaving-endpoints-tests.ts
@@ -145,7 +145,7 @@
 		doTest(`server ${index + 1}, with the first owner cut off from the platform`, {
 			index,
 			before(proof) {
-				proof.system.getProxyOrThrow(proof.owners[0]!).platform.gate.faults.outage = Outage.Silent;
+				proof.system.getProxyOrThrow(proof.owners[0]!).platform.faultInjector.faults.outage = Outage.Silent;
 			},
 		});
 
--- a/tests/random-check/world.ts
+++ b/tests/random-check/world.ts
@@ -78,7 +78,7 @@
 	const random = createSeededRandom(seed);
 	const history = createHistory();
 	const group = createDatabaseGroup({
-		addresses: cfg.endpoints.map(({address}) => address), clock, random: createSeededRandom(seed + 1), sizes: {connections: 500},
+		addresses: cfg.endpoints.map(({address}) => address), clock, random: createSeededRandom(seed + 1), serverParameters: {connections: 500},
 	});
 	const {servers} = group;
 	servers[0]!.member.append({changes: [{kind: 'create', table: TABLE, columns: ['id']}]});
--- a/tests/stand-ins/database/database-faults-tests.ts
+++ b/tests/stand-ins/database/database-faults-tests.ts
@@ -3,7 +3,7 @@
 import type {EndpointConnection} from '../../../src/endpoints/endpoint.js';
 import {createSeededRandom} from '../../../src/random/seeded-random.js';
 import {createDatabaseGroup, type DatabaseGroup} from '../../../src/stand-ins/database/database-group.js';
-import type {DatabaseServerSizes} from '../../../src/stand-ins/database/database-server.js';
+import type {DatabaseServerParameters} from '../../../src/stand-ins/database/database-server.js';
 import {createInMemoryEndpoints, type InMemoryEndpoints} from '../../../src/stand-ins/database/in-memory-endpoints.js';
 import {createVirtualClock, type VirtualClock} from '../../../src/stand-ins/time/virtual-clock.js';
 import {formatKeyed, formatStatus, INSERT} from './contract-steps.js';
@@ -28,11 +28,11 @@
 const status = async (connection: EndpointConnection, timeoutMs = 1000) => formatStatus(await connection.status(timeoutMs));
 
 describe('faults and parameters of the stand-in group', () => {
-	const doTest = (title: string, parameters: Partial<DatabaseServerSizes>, run: (bench: Bench) => Promise<readonly string[]>, expected: readonly string[]) => {
+	const doTest = (title: string, parameters: Partial<DatabaseServerParameters>, run: (bench: Bench) => Promise<readonly string[]>, expected: readonly string[]) => {
 		it(title, async () => {
 			const clock = createVirtualClock(0);
 			const group = createDatabaseGroup({
-				addresses: SERVERS, clock, random: createSeededRandom(1), sizes: {serviceMs: 0, connectMs: 0, ...parameters},
+				addresses: SERVERS, clock, random: createSeededRandom(1), serverParameters: {serviceMs: 0, connectMs: 0, ...parameters},
 			});
 			const endpoints = createInMemoryEndpoints(group.servers, {clock, latencyMs: 1, host: 'hall-a-1'});
 			const bench: Bench = {
--- a/tests/stand-ins/database/in-memory-endpoints-tests.ts
+++ b/tests/stand-ins/database/in-memory-endpoints-tests.ts
@@ -7,7 +7,7 @@
 describeEndpointContract('in memory', async () => {
 	const clock = createVirtualClock();
 	const group = createDatabaseGroup({
-		addresses: ['10.0.0.1:5432', '10.0.0.2:5432', '10.0.0.3:5432'], clock, random: createSeededRandom(1), sizes: {connections: 3},
+		addresses: ['10.0.0.1:5432', '10.0.0.2:5432', '10.0.0.3:5432'], clock, random: createSeededRandom(1), serverParameters: {connections: 3},
 	});
 	const endpoints = createInMemoryEndpoints(group.servers, {clock, latencyMs: 1});
 	return {
