--- a/src/bench/lead-changes/losses.ts
+++ b/src/bench/lead-changes/losses.ts
@@ -69,7 +69,7 @@
 		async begin(testbed) {
 			const {system} = testbed;
 			const isolated = system.proxies[8]!;
-			system.store.setTrouble(isolated.name, {silent: true});
+			system.store.setFaults(isolated.name, {silent: true});
 			for (const other of system.proxies.slice(0, 8)) {
 				system.network.setFaultsBetween(isolated.peerAddress, other.peerAddress, {cut: true});
 			}
@@ -81,7 +81,7 @@
 		name: 'crashed, 0.5 s into an outage of the store of 6 s',
 		async begin(testbed) {
 			const {system, clock} = testbed;
-			system.store.setTrouble(undefined, {silent: true});
+			system.store.setFaults(undefined, {silent: true});
 			void clock.sleep(OUTAGE_MS).then(() => {
 				system.store.heal();
 			});
--- a/src/bench/lead-changes/stage.ts
+++ b/src/bench/lead-changes/stage.ts
@@ -119,7 +119,7 @@
 		lines,
 		acknowledgedAt,
 		failedAt,
-		getPrimary: () => group.leader,
+		getPrimary: () => group.latestPrimary,
 		stop() {
 			stopped = true;
 			system.stop();
--- a/src/bench/news-spread/news-fleet.ts
+++ b/src/bench/news-spread/news-fleet.ts
@@ -67,7 +67,7 @@
 
 /** Creates a fleet without starting it. */
 export function createNewsFleet({hostCount, zoneCount, seeds: seedCount = 0}: NewsFleetOptions): NewsFleet {
-	const clock = createVirtualClock(undefined, {settleRounds: 2});
+	const clock = createVirtualClock(undefined, {drainRounds: 2});
 	const startedAt = clock.now();
 	const store = createInMemoryMetadataStore(clock, createSeededRandom(1));
 	const network = createPeerNetwork(clock);
--- a/src/bench/rate-limits/play-limit.ts
+++ b/src/bench/rate-limits/play-limit.ts
@@ -41,7 +41,7 @@
 
 /** Simulates a load against one enforcement of a limit. */
 export async function playLimit(factory: FleetLimitFactory, hosts: number, limit: RateLimit, steps: readonly LoadStep[], seed: number): Promise<LimitFigures> {
-	const clock = createVirtualClock(undefined, {settleRounds: 2});
+	const clock = createVirtualClock(undefined, {drainRounds: 2});
 	const random = createSeededRandom(seed);
 	const fleet = factory({
 		clock, random, hosts, limit,
--- a/src/bench/site-load/site-troubles.ts
+++ b/src/bench/site-load/site-troubles.ts
@@ -12,9 +12,9 @@
 
 function noop(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 
-const getPrimaries = (system: SimulatedProxies) => system.groups.map(group => group.leader);
+const getPrimaries = (system: SimulatedProxies) => system.groups.map(group => group.latestPrimary);
 
-const getReplicas = (system: SimulatedProxies) => system.groups.flatMap(group => group.servers.filter(({id}) => id !== group.leader.id));
+const getReplicas = (system: SimulatedProxies) => system.groups.flatMap(group => group.servers.filter(({id}) => id !== group.latestPrimary.id));
 
 /** Time that a slow server adds to each statement, in milliseconds; a long statement then takes about four times as long. */
 const SLOW_SERVER_EXTRA_MS = 100;
@@ -39,7 +39,7 @@
 		rate: 1,
 		begin(system) {
 			for (const group of system.groups) {
-				group.servers.find(({id}) => id !== group.leader.id)!.slowMs = SLOW_SERVER_EXTRA_MS;
+				group.servers.find(({id}) => id !== group.latestPrimary.id)!.slowMs = SLOW_SERVER_EXTRA_MS;
 			}
 		},
 		end(system) {
@@ -69,7 +69,7 @@
 		rate: 1,
 		begin(system) {
 			for (const server of getReplicas(system)) {
-				server.loseAnswers += 5;
+				server.answersToLose += 5;
 			}
 		},
 		end: noop,
--- a/src/bench/store-restore/play-return.ts
+++ b/src/bench/store-restore/play-return.ts
@@ -3,7 +3,7 @@
 import {ReadPolicy, type Route} from '../../routes/routing.js';
 import {createScriptedCaller} from '../../stand-ins/proxies/scripted-caller.js';
 import {createSimulatedProxies, type SimulatedProxies, type SimulatedProxy} from '../../stand-ins/proxies/simulated-proxies.js';
-import type {StoreCopy} from '../../stand-ins/metadata-store/in-memory-metadata-store.js';
+import type {StoreBackup} from '../../stand-ins/metadata-store/in-memory-metadata-store.js';
 import {createVirtualClock} from '../../stand-ins/time/virtual-clock.js';
 
 /** When a primary is lost relative to the restore. */
@@ -79,7 +79,7 @@
 	}
 
 	await clock.advance(WARM_UP_MS);
-	const backup = system.store.takeCopy();
+	const backup = system.store.takeBackup();
 	for (let i = 0; i < lostChanges; i++) {
 		changeRouting(system);
 		await clock.advance(CHANGE_INTERVAL_MS);
@@ -95,7 +95,7 @@
 	const writer = startWriter(system);
 	await clock.advance(EVENT_DELAY_MS);
 	if (primaryLoss === PrimaryLoss.AfterRestore) {
-		system.groups[0]!.crash(system.groups[0]!.leader);
+		system.groups[0]!.crash(system.groups[0]!.latestPrimary);
 	}
 
 	const applyMs = await measureApplyMs(system);
@@ -129,21 +129,21 @@
 /** Changes the configuration as the operator does; returns the new version. */
 function changeRouting({store, proxies}: SimulatedProxies): number {
 	const {routing} = proxies[0]!.kernel.getOrThrow('storeMirror').state;
-	const version = Math.max(routing!.version, store.takeCopy().routing?.version ?? 0) + 1;
+	const version = Math.max(routing!.version, store.takeBackup().routing?.version ?? 0) + 1;
 	store.setRouting({...routing!, version});
 	return version;
 }
 
 async function losePrimary({clock, groups}: SimulatedProxies) {
 	const group = groups[0]!;
-	const former = group.leader;
+	const former = group.latestPrimary;
 	group.crash(former);
 	await clock.advance(REPLACEMENT_MS);
 	group.restart(former);
 }
 
-async function restoreStore({clock, store}: SimulatedProxies, backup: StoreCopy) {
-	store.setTrouble(undefined, {silent: true});
+async function restoreStore({clock, store}: SimulatedProxies, backup: StoreBackup) {
+	store.setFaults(undefined, {silent: true});
 	await clock.advance(OUTAGE_MS);
 	store.heal();
 	store.restore(backup);
--- a/src/bench/workspace-links/play-keepers.ts
+++ b/src/bench/workspace-links/play-keepers.ts
@@ -50,7 +50,7 @@
 export async function playKeepers({
 	keepersPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
 }: KeepersPlay): Promise<KeepersFigures> {
-	const clock = createVirtualClock(undefined, {settleRounds: 1});
+	const clock = createVirtualClock(undefined, {drainRounds: 1});
 	const random = createSeededRandom(seed);
 	const endpoint = createBusyEndpoint({
 		clock, slots: 3, queue: 24, maxConnections: 46, openMs: 12, oneWayMs: 1,
--- a/src/demo/platform-demo.ts
+++ b/src/demo/platform-demo.ts
@@ -77,10 +77,10 @@
 
 async function losePrimary(output: DemoOutput, platform: LocalPlatform, proxies: readonly LocalProxy[]) {
 	output.beginScenario('The primary dies while callers write', 'Nobody but the proxies has it replaced; what it acknowledged alone must not be doubled or denied.');
-	const old = platform.group.leader;
+	const old = platform.group.latestPrimary;
 	const killedAt = performance.now();
 	platform.group.crash(old);
-	while (performance.now() < killedAt + MAX_GAP_MS && platform.group.leader.id === old.id) {
+	while (performance.now() < killedAt + MAX_GAP_MS && platform.group.latestPrimary.id === old.id) {
 		await sleep(20);
 	}
 
--- a/src/stand-ins/metadata-store/http-store-front.ts
+++ b/src/stand-ins/metadata-store/http-store-server.ts
@@ -18,13 +18,13 @@
 };
 
 /** The platform's store over HTTP, for proxies that run as processes; it keeps everything in memory. */
-export type HttpStoreFront = {
+export type HttpStoreServer = {
 	readonly server: Server;
 	/** Writes an object unconditionally, as the operator or a server of a group does. */
 	put(kind: string, name: string, spec: unknown): void;
 	remove(kind: string, name: string): void;
 	/** Returns a copy of the store's current contents. */
-	takeCopy(): ApiStoreBackup;
+	takeBackup(): ApiStoreBackup;
 	/** Restores the store from an earlier backup and starts the next store generation; what was written since is lost. */
 	restore(copy: ApiStoreBackup): void;
 	/** HTTP status with which every call is refused while it is set. */
@@ -37,7 +37,7 @@
 const PAGE_SIZE = 500;
 
 /** Starts a server with an empty store. Resolves once it listens. */
-export async function openHttpStoreFront(host: string, port: number): Promise<HttpStoreFront> {
+export async function startHttpStoreServer(host: string, port: number): Promise<HttpStoreServer> {
 	const kinds = new Map<string, Map<string, ApiObject>>();
 	const calls = new Map<string, number>();
 	let revision = 1;
@@ -150,7 +150,7 @@
 	});
 	server.listen(port, host);
 	await once(server, 'listening');
-	const store: HttpStoreFront = {
+	const store: HttpStoreServer = {
 		server,
 		calls,
 		refuseWith: undefined,
@@ -160,7 +160,7 @@
 		remove(kind, name) {
 			remove(kind, name, undefined);
 		},
-		takeCopy: () => ({revision, kinds: new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)]))}),
+		takeBackup: () => ({revision, kinds: new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)]))}),
 		restore(copy) {
 			generation++;
 			revision = copy.revision;
--- a/src/stand-ins/metadata-store/in-memory-metadata-store.ts
+++ b/src/stand-ins/metadata-store/in-memory-metadata-store.ts
@@ -16,11 +16,11 @@
 	/** Maximum delay before an unanswered change is executed, in milliseconds; it is dropped where its condition no longer holds by then. */
 	readonly lateMs: number;
 	/** Time from a call to its response, in milliseconds; a call whose timeout is shorter is not executed. */
-	readonly answerMs: number;
+	readonly responseMs: number;
 };
 
 /** A backup: the contents of a store at one moment. */
-export type StoreCopy = {
+export type StoreBackup = {
 	readonly revision: number;
 	readonly routing?: Routing;
 	readonly endpoints: readonly RegisteredEndpoint[];
@@ -37,14 +37,14 @@
 	setEndpoints(endpoints: readonly RegisteredEndpoint[]): void;
 	getRecord(kind: RecordKind, name: string): StoredRecord | undefined;
 	/** Returns a copy of the store's current contents. */
-	takeCopy(): StoreCopy;
+	takeBackup(): StoreBackup;
 	/**
 	 * Restores the store from an earlier backup: changes that it acknowledged since are lost, and their revisions are assigned again to other changes. The last
 	 * routing and endpoints are written again after `rewriteMs` milliseconds, immediately by default.
 	 */
-	restore(copy: StoreCopy, rewriteMs?: number): void;
+	restore(copy: StoreBackup, rewriteMs?: number): void;
 	/** Sets the faults for a host; without a name, for all hosts that have none of their own. */
-	setTrouble(hostName: string | undefined, faults: Partial<StoreFaults>): void;
+	setFaults(hostName: string | undefined, faults: Partial<StoreFaults>): void;
 	/** Removes all faults. */
 	heal(): void;
 	/** Number of calls so far. */
@@ -52,7 +52,7 @@
 };
 
 const NO_FAULTS: StoreFaults = {
-	refused: false, silent: false, loseShare: 0, lateMs: 0, answerMs: 4,
+	refused: false, silent: false, loseShare: 0, lateMs: 0, responseMs: 4,
 };
 
 /** Creates an empty store. */
@@ -74,7 +74,7 @@
 
 	const call = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
 		calls++;
-		const {refused, silent, answerMs: roundTripMs} = getFaults(hostName);
+		const {refused, silent, responseMs: roundTripMs} = getFaults(hostName);
 		await clock.sleep(Math.min(roundTripMs, timeoutMs) / 2);
 		if (refused) {
 			throwPlatformSilent(what, new Error('refused'));
@@ -164,7 +164,7 @@
 		}),
 		setRouting,
 		setEndpoints,
-		takeCopy: () => ({
+		takeBackup: () => ({
 			revision, routing, endpoints, records: new Map([...records].map(([kind, byName]) => [kind, new Map(byName)])),
 		}),
 		restore(copy, rewriteMs = 0) {
@@ -188,7 +188,7 @@
 			const record = records.get(kind)!.get(name);
 			return record && qualifyRecord(record);
 		},
-		setTrouble(hostName, faults) {
+		setFaults(hostName, faults) {
 			faultsByHost.set(hostName, {...NO_FAULTS, ...faults});
 		},
 		heal() {
--- a/src/stand-ins/peers/network-wire.ts
+++ b/src/stand-ins/peers/network-wire.ts
@@ -9,11 +9,11 @@
 	/** Time added to each message, in milliseconds. */
 	readonly delayMs: number;
 	/** Calls run, but their responses are lost. */
-	readonly dropAnswers: boolean;
+	readonly dropResponses: boolean;
 	/** Each response arrives twice. */
-	readonly duplicateAnswers: boolean;
+	readonly duplicateResponses: boolean;
 	/** Responses arrive in pairs, the later one first. */
-	readonly crossAnswers: boolean;
+	readonly reorderResponses: boolean;
 };
 
 /** A simulated host on the wire; a restarted host is a new one. */
@@ -46,7 +46,7 @@
 };
 
 const NO_FAULTS: PeerFaults = {
-	cut: false, delayMs: 0, dropAnswers: false, duplicateAnswers: false, crossAnswers: false,
+	cut: false, delayMs: 0, dropResponses: false, duplicateResponses: false, reorderResponses: false,
 };
 
 /** Creates a wire on which a message takes `latencyMs`. */
--- a/src/stand-ins/peers/response-faults.ts
+++ b/src/stand-ins/peers/response-faults.ts
@@ -29,17 +29,17 @@
 			return [frame];
 		}
 
-		if (faults.dropAnswers) {
+		if (faults.dropResponses) {
 			return [];
 		}
 
-		const frames = faults.crossAnswers ? reorder(direction, frame) : [frame];
-		return faults.duplicateAnswers ? frames.flatMap(each => [each, each]) : frames;
+		const frames = faults.reorderResponses ? reorder(direction, frame) : [frame];
+		return faults.duplicateResponses ? frames.flatMap(each => [each, each]) : frames;
 	};
 
 	return {
 		apply(direction, faults, message) {
-			if (!faults.dropAnswers && !faults.duplicateAnswers && !faults.crossAnswers) {
+			if (!faults.dropResponses && !faults.duplicateResponses && !faults.reorderResponses) {
 				return [message];
 			}
 
--- a/src/stand-ins/plain-group/plain-group.ts
+++ b/src/stand-ins/plain-group/plain-group.ts
@@ -22,7 +22,7 @@
 	readonly slots: number;
 	readonly servers: readonly PlainServer[];
 	/** The server that was promoted last, or the first server; it may have ended or stepped down since. */
-	readonly leader: PlainServer;
+	readonly latestPrimary: PlainServer;
 	/** Opens a connection; `isCut` returns whether the opening host cannot reach the server at this moment. */
 	open(target: LinkTarget, listener: LinkListener, isCut: () => boolean, hostZone?: string): Promise<EndpointLink>;
 	/** Orders a server to become primary, which takes effect after the group's promotion time. */
@@ -32,7 +32,7 @@
 	/** Restarts a server with its log; its fence is lost. */
 	restart(server: PlainServer): void;
 	/** Restarts a server immediately under its id, as a replica with an empty log. If it was the primary, the group has none until one is promoted. */
-	startOver(server: PlainServer): void;
+	restartEmpty(server: PlainServer): void;
 	/** Starts replication, which runs until the group is stopped. */
 	start(): void;
 	stop(): void;
@@ -55,7 +55,7 @@
 	readonly replicateMs?: number;
 	readonly maxConnections?: number;
 	/** Returns the one-way latency between a host and a server in the given availability zones, in milliseconds. */
-	getWayMs?(hostZone: string | undefined, serverZone: string): number;
+	getLatencyMs?(hostZone: string | undefined, serverZone: string): number;
 };
 
 const DEFAULT_SERVICE_MS = 10;
@@ -99,8 +99,8 @@
 		slowMs: 0,
 		slots: options.slots === undefined ? undefined : createServiceSlots(options.slots),
 		frozenUntil: 0,
-		loseAnswers: 0,
-		turnAwayCommits: 0,
+		answersToLose: 0,
+		commitsToReject: 0,
 		log: [],
 		sessions: new Set(),
 	}));
@@ -156,7 +156,7 @@
 		server.role = EndpointRole.Primary;
 		server.term = term;
 		server.fencedTerm = 0;
-		observer.onLead?.(server);
+		observer.onPromoted?.(server);
 		// A promoted server applies every commit that it has received immediately.
 		for (const [i, entry] of server.log.entries()) {
 			server.log[i] = {...entry, visibleAt: Math.min(entry.visibleAt, clock.now())};
@@ -193,8 +193,8 @@
 		sessionClosers.set(session, close);
 
 		const deliver = async (answer: EndpointAnswer, resolve: (answer: EndpointAnswer) => void) => {
-			if (server.loseAnswers > 0) {
-				server.loseAnswers--;
+			if (server.answersToLose > 0) {
+				server.answersToLose--;
 				return;
 			}
 
@@ -260,7 +260,7 @@
 		name,
 		slots: options.slots ?? DEFAULT_SLOTS,
 		servers,
-		get leader() {
+		get latestPrimary() {
 			return latestPrimary;
 		},
 		async open(target, listener, isCut, hostZone) {
@@ -283,7 +283,7 @@
 			}
 
 			listener.onReceived();
-			return connect(server, target.workspace, listener, isCut, options.getWayMs?.(hostZone, server.availabilityZone) ?? DEFAULT_LATENCY_MS);
+			return connect(server, target.workspace, listener, isCut, options.getLatencyMs?.(hostZone, server.availabilityZone) ?? DEFAULT_LATENCY_MS);
 		},
 		promote(endpointId) {
 			const server = servers.find(({id}) => id === getServerId(endpointId));
@@ -308,7 +308,7 @@
 			server.fencedTerm = 0;
 			server.role = server === latestPrimary ? EndpointRole.Primary : EndpointRole.Replica;
 		},
-		startOver(server) {
+		restartEmpty(server) {
 			this.crash(server);
 			server.incarnation++;
 			server.log.length = 0;
--- a/src/stand-ins/plain-group/plain-server.ts
+++ b/src/stand-ins/plain-group/plain-server.ts
@@ -47,9 +47,9 @@
 	/** Time until which the server is frozen like a suspended process: requests that arrive before run afterwards. */
 	frozenUntil: number;
 	/** Number of coming answers that are lost after their statement ran. */
-	loseAnswers: number;
+	answersToLose: number;
 	/** Number of coming commits that are rejected for lack of a slot, which leaves their transactions open. */
-	turnAwayCommits: number;
+	commitsToReject: number;
 	readonly log: LogEntry[];
 	readonly sessions: Set<PlainSession>;
 	/** Time since which this superseded primary has been connected to its successor without interruption. */
@@ -61,7 +61,7 @@
 	onRead(read: {readonly id: string; readonly server: PlainServer; readonly end: LogPosition; readonly workspace?: string}): void;
 	onCommit(commit: PlainCommit, server: PlainServer, id: string, workspace?: string): void;
 	/** Called when a server has become primary; commits of the former primary that its log lacks are lost. */
-	onLead?(server: PlainServer): void;
+	onPromoted?(server: PlainServer): void;
 };
 
 /** Executes the requests of sessions. */
@@ -197,8 +197,8 @@
 			}
 
 			case 'commit': {
-				if (server.turnAwayCommits > 0) {
-					server.turnAwayCommits--;
+				if (server.commitsToReject > 0) {
+					server.commitsToReject--;
 					return refuse(session, AnswerCode.Overloaded);
 				}
 
--- a/src/stand-ins/plain-platform/local-platform.ts
+++ b/src/stand-ins/plain-platform/local-platform.ts
@@ -8,7 +8,7 @@
 import {json} from 'node:stream/consumers';
 import {OrderOutcome} from '../../leadership/promotion-orders.js';
 import {createSystemClock} from '../../time/system-clock.js';
-import {openHttpStoreFront, type HttpStoreFront} from '../metadata-store/http-store-front.js';
+import {startHttpStoreServer, type HttpStoreServer} from '../metadata-store/http-store-server.js';
 import {startLineServer} from '../plain-group/line-server.js';
 import {createPlainGroup, type PlainGroup} from '../plain-group/plain-group.js';
 import type {PlainObserver} from '../plain-group/plain-server.js';
@@ -28,7 +28,7 @@
 /** The platform, one database group and proxies on loopback. The proxies are processes; everything else runs in this process. */
 export type LocalPlatform = {
 	readonly group: PlainGroup;
-	readonly store: HttpStoreFront;
+	readonly store: HttpStoreServer;
 	/** Starts a proxy from the bundle under `target/`. Resolves once it is ready; rejects where it ends before that or takes too long. */
 	startProxy(name: string): Promise<LocalProxy>;
 	/** Ends all proxies and servers, and removes the settings files. */
@@ -51,7 +51,7 @@
 export async function startLocalPlatform(observer: PlainObserver): Promise<LocalPlatform> {
 	const clock = createSystemClock();
 	const [storePort, ordersPort, ...serverPorts] = await findFreePorts(5) as [number, number, ...number[]];
-	const store = await openHttpStoreFront(HOST, storePort);
+	const store = await startHttpStoreServer(HOST, storePort);
 	const group = createPlainGroup({
 		clock, name: GROUP, zones: ['zone-a', 'zone-b', 'zone-c'], observer,
 	});
--- a/src/stand-ins/plain-platform/wire-caller.ts
+++ b/src/stand-ins/plain-platform/wire-caller.ts
@@ -12,7 +12,7 @@
 	leave(): void;
 	readonly closed: boolean;
 	/** First line that the host sent while no request was in progress, after which the caller terminates its session; undefined where there was none. */
-	readonly unasked: string | undefined;
+	readonly unsolicited: string | undefined;
 	/** Resolves once the connection has ended. */
 	whenClosed(): Promise<void>;
 };
@@ -100,7 +100,7 @@
 		get closed() {
 			return closed;
 		},
-		get unasked() {
+		get unsolicited() {
 			return firstUnsolicited;
 		},
 		whenClosed: async () => ended,
--- a/src/stand-ins/proxies/simulated-proxies.ts
+++ b/src/stand-ins/proxies/simulated-proxies.ts
@@ -31,7 +31,7 @@
 	readonly cutFrom: Set<string>;
 	killed: boolean;
 	/** Resolves once it is killed. */
-	readonly death: Promise<void>;
+	readonly termination: Promise<void>;
 };
 
 /** A simulated system of proxies, database groups and the platform on one virtual clock. */
@@ -54,14 +54,14 @@
 	/** Registers the groups' running servers with their current state. */
 	registerEndpoints(): void;
 	/** Sets the faults of promotion orders from now on; none where left out. */
-	setOrderTrouble(faults?: OrderFaults): void;
+	setOrderFaults(faults?: OrderFaults): void;
 	stop(): void;
 };
 
 /** Faults of promotion orders. */
 export type OrderFaults = {
 	/** Maximum delay before an order arrives at the platform, in milliseconds. */
-	readonly delayMs: number;
+	readonly maxDelayMs: number;
 	/** Share of orders that are processed without a response. */
 	readonly loseShare: number;
 };
@@ -77,7 +77,7 @@
 	readonly revokeWithinMs?: number;
 	readonly log?: Log;
 	/** Maximum delay before an order arrives at the platform, in milliseconds; default 10. */
-	readonly orderMs?: number;
+	readonly maxOrderDelayMs?: number;
 	/** Number of availability zones, named from `zone-0`, to which hosts are assigned in turn; default 3. */
 	readonly zoneCount?: number;
 	/** Creates the read placement of a host, in place of the product's own. */
@@ -193,7 +193,7 @@
 
 	/** Promotes as ordered. An order that has not arrived by its sender's timeout never arrives, because the sender closes the connection. */
 	const processOrder = async (proxy: SimulatedProxy, order: PromotionOrder, timeoutMs: number) => {
-		const transitMs = random.fraction() * (orderFaults?.delayMs ?? options.orderMs ?? DEFAULT_MAX_ORDER_DELAY_MS);
+		const transitMs = random.fraction() * (orderFaults?.maxDelayMs ?? options.maxOrderDelayMs ?? DEFAULT_MAX_ORDER_DELAY_MS);
 		const isLost = orderFaults !== undefined && random.fraction() < orderFaults.loseShare;
 		await clock.sleep(Math.min(transitMs, timeoutMs));
 		if (proxy.killed) {
@@ -235,7 +235,7 @@
 		proxies,
 		orders,
 		registerEndpoints,
-		setOrderTrouble(faults) {
+		setOrderFaults(faults) {
 			orderFaults = faults;
 		},
 		async startProxy(name) {
@@ -248,7 +248,7 @@
 				resolveKilled = resolve;
 			});
 			const proxy: {-readonly [K in keyof SimulatedProxy]: SimulatedProxy[K]} = {
-				name, peerAddress, availabilityZone: `zone-${proxies.length % zoneCount}`, clock: hostClock, cutFrom: new Set(), killed: false, death: whenKilled, kernel: undefined!,
+				name, peerAddress, availabilityZone: `zone-${proxies.length % zoneCount}`, clock: hostClock, cutFrom: new Set(), killed: false, termination: whenKilled, kernel: undefined!,
 			};
 			links.set(proxy, new Set());
 			killResolvers.set(proxy, resolveKilled);
--- a/src/stand-ins/time/virtual-clock.ts
+++ b/src/stand-ins/time/virtual-clock.ts
@@ -30,11 +30,11 @@
 /** Options of a virtual clock. */
 export type VirtualClockOptions = {
 	/** Rounds of the event loop after each wake, default 3; fewer suffice where only the project's own code runs. */
-	readonly settleRounds?: number;
+	readonly drainRounds?: number;
 };
 
 /** Creates a virtual clock that begins at `startMs`, milliseconds since the epoch. */
-export function createVirtualClock(startMs = START_MS, {settleRounds: rounds = DEFAULT_DRAIN_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
+export function createVirtualClock(startMs = START_MS, {drainRounds: rounds = DEFAULT_DRAIN_ROUNDS}: VirtualClockOptions = {}): VirtualClock {
 	let now = startMs;
 	let wallOffset = 0;
 	let order = 0;
--- a/tests/lead-check/leadership-callers.ts
+++ b/tests/lead-check/leadership-callers.ts
@@ -38,7 +38,7 @@
 }
 
 /** Resolves like the promise, or to undefined once the proxy is killed, since a killed proxy does not answer. */
-async function unlessKilled<T>({death}: SimulatedProxy, promise: Promise<T>): Promise<T | undefined> {
+async function unlessKilled<T>({termination: death}: SimulatedProxy, promise: Promise<T>): Promise<T | undefined> {
 	return Promise.race([promise, death.then(() => undefined)]);
 }
 
--- a/tests/lead-check/leadership-faults.ts
+++ b/tests/lead-check/leadership-faults.ts
@@ -41,7 +41,7 @@
 const FAULTS: Readonly<Record<string, Fault>> = {
 	crashServer(world, ms) {
 		const group = world.system.groups[0]!;
-		const server = world.random.fraction() < 0.7 ? group.leader : pick(world, group.servers);
+		const server = world.random.fraction() < 0.7 ? group.latestPrimary : pick(world, group.servers);
 		if (group.servers.filter(({running}) => running).length < 3) {
 			return;
 		}
@@ -52,7 +52,7 @@
 		});
 	},
 	cutPrimaryFromProxies(world, ms) {
-		const leaderId = world.system.groups[0]!.leader.id;
+		const leaderId = world.system.groups[0]!.latestPrimary.id;
 		for (const proxy of world.system.proxies) {
 			if (world.random.fraction() < 0.6) {
 				proxy.cutFrom.add(leaderId);
@@ -62,7 +62,7 @@
 	},
 	cutPrimaryFromGroup(world, ms) {
 		const group = world.system.groups[0]!;
-		const server = group.leader;
+		const server = group.latestPrimary;
 		server.cutFromGroup = true;
 		later(world, ms, () => {
 			server.cutFromGroup = false;
@@ -77,7 +77,7 @@
 		});
 	},
 	loseAnswers(world) {
-		pick(world, world.system.groups[0]!.servers).loseAnswers += 1 + Math.floor(world.random.fraction() * 3);
+		pick(world, world.system.groups[0]!.servers).answersToLose += 1 + Math.floor(world.random.fraction() * 3);
 	},
 	suspendProxy(world, ms) {
 		const proxy = pickRunningProxy(world);
@@ -98,7 +98,7 @@
 		}
 	},
 	stopStore(world, ms) {
-		world.system.store.setTrouble(undefined, world.random.fraction() < 0.5 ? {silent: true} : {refused: true});
+		world.system.store.setFaults(undefined, world.random.fraction() < 0.5 ? {silent: true} : {refused: true});
 		later(world, ms, () => {
 			world.system.store.heal();
 		});
@@ -106,7 +106,7 @@
 	refuseSomeProxies(world, ms) {
 		for (const name of world.proxies) {
 			if (world.random.fraction() < 0.5) {
-				world.system.store.setTrouble(name, {refused: true});
+				world.system.store.setFaults(name, {refused: true});
 			}
 		}
 
@@ -115,13 +115,13 @@
 		});
 	},
 	loseStoreAnswers(world, ms) {
-		world.system.store.setTrouble(undefined, {loseShare: 0.4, lateMs: 4000});
+		world.system.store.setFaults(undefined, {loseShare: 0.4, lateMs: 4000});
 		later(world, ms, () => {
 			world.system.store.heal();
 		});
 	},
 	slowStore(world, ms) {
-		world.system.store.setTrouble(undefined, {answerMs: 350});
+		world.system.store.setFaults(undefined, {responseMs: 350});
 		later(world, ms, () => {
 			world.system.store.heal();
 		});
@@ -138,14 +138,14 @@
 	/** Isolates one proxy together with the primary, while the other proxies replace that primary. */
 	isolateWithPrimary(world, ms) {
 		const group = world.system.groups[0]!;
-		const server = group.leader;
+		const server = group.latestPrimary;
 		const alone = pickRunningProxy(world);
 		if (!alone) {
 			return;
 		}
 
 		server.cutFromGroup = true;
-		world.system.store.setTrouble(alone.name, {silent: true});
+		world.system.store.setFaults(alone.name, {silent: true});
 		for (const proxy of world.system.proxies.filter(other => other !== alone)) {
 			proxy.cutFrom.add(server.id);
 			world.system.network.setFaultsBetween(alone.peerAddress, proxy.peerAddress, {cut: true});
@@ -162,7 +162,7 @@
 	},
 	drainPrimary(world, ms) {
 		const group = world.system.groups[0]!;
-		const server = group.leader;
+		const server = group.latestPrimary;
 		server.leaving = true;
 		world.system.registerEndpoints();
 		later(world, ms, () => {
@@ -179,7 +179,7 @@
 
 function pickServer(world: World) {
 	const group = world.system.groups[0]!;
-	return world.random.fraction() < 0.7 ? group.leader : pick(world, group.servers);
+	return world.random.fraction() < 0.7 ? group.latestPrimary : pick(world, group.servers);
 }
 
 /** Restarts a server at once without its data. Its entry shows the restart at once or seconds later. */
@@ -191,7 +191,7 @@
 		return;
 	}
 
-	group.startOver(server);
+	group.restartEmpty(server);
 	later(world, ms < 2000 ? 0 : ms / 2, () => {
 		world.system.registerEndpoints();
 	});
@@ -200,9 +200,9 @@
 /** Interrupts the store briefly and restores it from an older backup. The records that the operator and the servers wrote are there again at once or later. */
 function restoreBackup(world: World, ms: number) {
 	const {store} = world.system;
-	const copy = store.takeCopy();
+	const copy = store.takeBackup();
 	later(world, ms, () => {
-		store.setTrouble(undefined, {silent: true});
+		store.setFaults(undefined, {silent: true});
 	});
 	later(world, ms + 200 + (1800 * world.random.fraction()), () => {
 		store.heal();
@@ -215,9 +215,9 @@
 }
 
 function slowOrders(world: World, ms: number) {
-	world.system.setOrderTrouble({delayMs: 1500 * world.random.fraction(), loseShare: 0.3});
+	world.system.setOrderFaults({maxDelayMs: 1500 * world.random.fraction(), loseShare: 0.3});
 	later(world, 2 * ms, () => {
-		world.system.setOrderTrouble();
+		world.system.setOrderFaults();
 	});
 }
 
@@ -233,12 +233,12 @@
 export function healAllFaults({system}: World) {
 	system.store.heal();
 	system.network.heal();
-	system.setOrderTrouble();
+	system.setOrderFaults();
 	for (const server of system.groups[0]!.servers) {
 		server.cutFromGroup = false;
 		server.leaving = false;
 		server.lagMs = 20;
-		server.loseAnswers = 0;
+		server.answersToLose = 0;
 		server.slowMs = 0;
 		server.frozenUntil = 0;
 		if (!server.running) {
--- a/tests/lead-check/leadership-history.ts
+++ b/tests/lead-check/leadership-history.ts
@@ -73,7 +73,7 @@
 	};
 	let group: PlainGroup;
 
-	const getLeader = () => group.leader;
+	const getLeader = () => group.latestPrimary;
 
 	const findMissing = (server: PlainServer, requirement: ReadRequirement) => {
 		const now = getNow();
@@ -111,9 +111,9 @@
 				}
 			},
 			onCommit(commit, server, id) {
-				commits.set(id, [...commits.get(id) ?? [], {commit, superseded: server.id !== group.leader.id}]);
+				commits.set(id, [...commits.get(id) ?? [], {commit, superseded: server.id !== group.latestPrimary.id}]);
 			},
-			onLead(server) {
+			onPromoted(server) {
 				const kept = new Set(server.log.map(({commit}) => commit));
 				for (const {commit} of acknowledged.values()) {
 					if (!kept.has(commit)) {
--- a/tests/lead-check/run-leadership-schedule.ts
+++ b/tests/lead-check/run-leadership-schedule.ts
@@ -50,7 +50,7 @@
 
 /** Plays a random schedule of faults against the real leadership code. The same seed gives the same schedule. */
 export async function runLeadershipSchedule(seed: number, options: LeadershipScheduleOptions = {}): Promise<ScheduleOutcome> {
-	const clock = createVirtualClock(undefined, {settleRounds: CLOCK_SETTLE_ROUNDS});
+	const clock = createVirtualClock(undefined, {drainRounds: CLOCK_SETTLE_ROUNDS});
 	const startedAt = clock.now();
 	const history = createLeadershipHistory(() => clock.now());
 	const random = createSeededRandom(seed);
@@ -63,7 +63,7 @@
 		}],
 		routes: ROUTES,
 		log: options.createLog?.(() => clock.now() - startedAt),
-		orderMs: 30,
+		maxOrderDelayMs: 30,
 	});
 	history.setGroup(system.groups[0]!);
 	const world: World = {
--- a/tests/leadership/failover-lease-tests.ts
+++ b/tests/leadership/failover-lease-tests.ts
@@ -100,7 +100,7 @@
 	it('is not held if the update got no response', async () => {
 		const fixture = createFixture();
 		const {lease} = await fixture.create('a', '1');
-		fixture.store.setTrouble('a', {loseShare: 1});
+		fixture.store.setFaults('a', {loseShare: 1});
 		expect([await fixture.take(lease), lease.getToken(100)]).to.deep.equal([false, undefined]);
 	});
 
@@ -109,7 +109,7 @@
 		const fixture = createFixture();
 		const first = await fixture.create('a', '1');
 		const second = await fixture.create('b', '1');
-		const backup = fixture.store.takeCopy();
+		const backup = fixture.store.takeBackup();
 		await fixture.take(first.lease);
 		fixture.store.restore(backup);
 		await fixture.confirm(second.mirror);
@@ -123,7 +123,7 @@
 		const fixture = createFixture();
 		const first = await fixture.create('a', '1');
 		await fixture.take(first.lease);
-		const backup = fixture.store.takeCopy();
+		const backup = fixture.store.takeBackup();
 		const second = await fixture.create('b', '1');
 		await fixture.clock.advance(FAILOVER_LEASE_MS + 300);
 		await fixture.take(second.lease);
@@ -136,7 +136,7 @@
 	it('has a higher token after a store restore than any before', async () => {
 		const fixture = createFixture();
 		const first = await fixture.create('a', '1');
-		const backup = fixture.store.takeCopy();
+		const backup = fixture.store.takeBackup();
 		await fixture.take(first.lease);
 		const before = first.lease.getToken(100)!;
 		fixture.store.restore(backup);
@@ -150,7 +150,7 @@
 		const fixture = createFixture();
 		const {lease, mirror} = await fixture.create('a', '1');
 		await fixture.take(lease);
-		const backup = fixture.store.takeCopy();
+		const backup = fixture.store.takeBackup();
 		await fixture.clock.advance(1000);
 		fixture.store.restore(backup);
 		await fixture.confirm(mirror);
@@ -161,7 +161,7 @@
 	it('is not held if the store was restored before the update was done', async () => {
 		const fixture = createFixture();
 		const {lease} = await fixture.create('a', '1');
-		fixture.store.restore(fixture.store.takeCopy());
+		fixture.store.restore(fixture.store.takeBackup());
 		expect([await fixture.take(lease), lease.getToken(100)]).to.deep.equal([false, undefined]);
 	});
 });
--- a/tests/mirror/change-feed-schedules-tests.ts
+++ b/tests/mirror/change-feed-schedules-tests.ts
@@ -47,10 +47,10 @@
 	},
 	silenceStore({store, hosts}, random) {
 		const name = random.fraction() < 0.3 ? undefined : pick(hosts, random).name;
-		store.setTrouble(name, random.fraction() < 0.5 ? {silent: true} : {refused: true});
+		store.setFaults(name, random.fraction() < 0.5 ? {silent: true} : {refused: true});
 	},
 	slowStore({store}, random) {
-		store.setTrouble(undefined, {answerMs: 800 * random.fraction()});
+		store.setFaults(undefined, {responseMs: 800 * random.fraction()});
 	},
 	healStore({store}) {
 		store.heal();
--- a/tests/mirror/change-feed-spread-tests.ts
+++ b/tests/mirror/change-feed-spread-tests.ts
@@ -49,7 +49,7 @@
 	/** Updates pass through the tree level by level. If their age were counted from each host's response, a primary lease would outlast the time that a replacement of the primary waits for. */
 	it('never date a confirmation later than the store was read', async () => {
 		const bench = await createSteadyFleet(60);
-		bench.store.setTrouble(undefined, {silent: true});
+		bench.store.setFaults(undefined, {silent: true});
 		const cutAt = bench.clock.now();
 		await bench.clock.advance(2500);
 		const ages = bench.hosts.map(({mirror}) => mirror.storeConfirmedAt!);
@@ -78,7 +78,7 @@
 		const bench = await createSteadyFleet();
 		for (const [i, {name}] of bench.hosts.entries()) {
 			if (i % 3 === 0) {
-				bench.store.setTrouble(name, {silent: true});
+				bench.store.setFaults(name, {silent: true});
 			}
 		}
 
--- a/tests/mirror/guard-generations-tests.ts
+++ b/tests/mirror/guard-generations-tests.ts
@@ -31,7 +31,7 @@
 describe('a restored store, as seen by a host', () => {
 	it('has a higher revision than before, although the store itself reports a lower one', async () => {
 		const {clock, store, client, put} = createBench();
-		const copy = store.takeCopy();
+		const copy = store.takeBackup();
 		await clock.runUntil(put(0, 'a'));
 		const before = await clock.runUntil(client.getRevision(TIMEOUT_MS));
 		store.restore(copy);
@@ -41,7 +41,7 @@
 	/** Guards against an update whose condition holds by chance, because the store assigned the version that it names again, to another host's change. */
 	it('rejects a change under a version of the earlier generation', async () => {
 		const {clock, store, client, put} = createBench();
-		const copy = store.takeCopy();
+		const copy = store.takeBackup();
 		const {version} = await clock.runUntil(put(0, 'a'));
 		store.restore(copy);
 		await clock.runUntil(client.getRevision(TIMEOUT_MS));
@@ -53,7 +53,7 @@
 	it('rejects a deletion under a version of the earlier generation', async () => {
 		const {clock, store, client, put} = createBench();
 		const {version} = await clock.runUntil(put(0, 'a'));
-		store.restore(store.takeCopy());
+		store.restore(store.takeBackup());
 		await clock.runUntil(client.getRevision(TIMEOUT_MS));
 		const deleted = getError(client.deleteRecord(RecordKind.Leadership, 'group.nights', version, TIMEOUT_MS));
 		expect(await clock.runUntil(deleted)).to.be.instanceOf(PlatformConflictError);
@@ -63,7 +63,7 @@
 	it('reports no outcome for a change that was meant for the earlier generation', async () => {
 		const {clock, store, put} = createBench();
 		const {version} = await clock.runUntil(put(0, 'a'));
-		store.restore(store.takeCopy());
+		store.restore(store.takeBackup());
 		const err = await clock.runUntil(getError(put(version, 'c')));
 		expect([err instanceof PlatformError, store.getRecord(RecordKind.Leadership, 'group.nights')?.value]).to.deep.equal([true, 'c']);
 	});
@@ -71,10 +71,10 @@
 	/** Guards against a response that was in transit during the restore and arrives after one of the new generation. */
 	it('rejects a late response of the earlier generation', async () => {
 		const {clock, store, client} = createBench();
-		store.setTrouble('entry-1', {answerMs: 200});
+		store.setFaults('entry-1', {responseMs: 200});
 		const late = getError(client.getRevision(TIMEOUT_MS));
 		await clock.advance(150);
-		store.restore(store.takeCopy());
+		store.restore(store.takeBackup());
 		store.heal();
 		await clock.runUntil(client.getRevision(TIMEOUT_MS));
 		expect(await clock.runUntil(late)).to.be.instanceOf(PlatformError);
--- a/tests/mirror/store-mirror-tests.ts
+++ b/tests/mirror/store-mirror-tests.ts
@@ -51,7 +51,7 @@
 	 */
 	it('is confirmed as of the request, not of the response', async () => {
 		const {store, confirm, mirrors, elapsedClock} = await createBench();
-		store.setTrouble(undefined, {answerMs: 200});
+		store.setFaults(undefined, {responseMs: 200});
 		const askedAt = elapsedClock.elapsed();
 		expect(await confirm('a')).to.equal(true);
 		expect([mirrors.a.confirmedAt, elapsedClock.elapsed() >= askedAt + 200]).to.deep.equal([askedAt, true]);
@@ -73,14 +73,14 @@
 
 	it('is confirmed and updated by a peer if the store does not respond to this host', async () => {
 		const {store, confirm, mirrors, register} = await createBench();
-		store.setTrouble('a', {silent: true});
+		store.setFaults('a', {silent: true});
 		await register('d');
 		expect([await confirm('a'), mirrors.a.state.hosts.length]).to.deep.equal([true, 4]);
 	});
 
 	it('is confirmed by all hosts together if the store is down', async () => {
 		const {store, confirm, mirrors, elapsedClock} = await createBench();
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		const askedAt = elapsedClock.elapsed();
 		expect(await confirm('a')).to.equal(true);
 		expect(mirrors.a.confirmedAt).to.be.at.least(askedAt);
@@ -89,7 +89,7 @@
 	/** The store goes down while a host replaces a primary: the other hosts' copies may be outdated already. */
 	it('is not confirmed while one of them is changing a group', async () => {
 		const {store, confirm, changing} = await createBench();
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		changing.set('b', ['g']);
 		expect(await confirm('a')).to.equal(false);
 	});
@@ -102,14 +102,14 @@
 		await confirm('a');
 		await confirm('b');
 		await confirm('c');
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		expect(await confirm('a')).to.equal(false);
 	});
 
 	/** After a long outage, hosts may have registered that this one does not know and cannot ask. */
 	it('is not confirmed by all together for longer than a new host waits', async () => {
 		const {store, confirm, clock} = await createBench();
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		await clock.advance(8000);
 		expect(await confirm('a')).to.equal(true);
 		await clock.advance(1500);
@@ -118,7 +118,7 @@
 
 	it('is not confirmed if one of them does not respond', async () => {
 		const {store, confirm, network} = await createBench();
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		network.setFaultsBetween('a:7000', 'c:7000', {cut: true});
 		expect(await confirm('a')).to.equal(false);
 	});
@@ -141,7 +141,7 @@
 	 */
 	it('pauses its calls to a store that refuses them', async () => {
 		const {clock, store, mirrors} = await createBench();
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		const before = store.calls;
 		for (let ms = 0; ms < 3000; ms += 10) {
 			void mirrors.a.confirm();
@@ -176,7 +176,7 @@
 			noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		});
 		await clock.runUntil(mirror.confirm());
-		store.setTrouble(undefined, {refused: true});
+		store.setFaults(undefined, {refused: true});
 		const before = peers.figures.calls;
 		await clock.runUntil(mirror.confirm());
 		expect(peers.figures.calls - before).to.equal(3);
--- a/tests/peers/peer-faults-tests.ts
+++ b/tests/peers/peer-faults-tests.ts
@@ -47,13 +47,13 @@
 			network.setFaults(RESPONDER, CALLER, {cut: true});
 		},
 		dropAnswers() {
-			network.setFaults(RESPONDER, CALLER, {dropAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {dropResponses: true});
 		},
 		duplicateAnswers() {
-			network.setFaults(RESPONDER, CALLER, {duplicateAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {duplicateResponses: true});
 		},
 		crossAnswers() {
-			network.setFaults(RESPONDER, CALLER, {crossAnswers: true, duplicateAnswers: true});
+			network.setFaults(RESPONDER, CALLER, {reorderResponses: true, duplicateResponses: true});
 		},
 		pause() {
 			network.pause(RESPONDER);
--- a/tests/peers/peer-links-tests.ts
+++ b/tests/peers/peer-links-tests.ts
@@ -105,20 +105,20 @@
 
 	// The network delivers a response twice; the second copy must not reach a later call.
 	doTest('accepts a response once', ['"first"', '"second"', '2 duplicates'], async () => {
-		network.setFaults(other.address, host.address, {duplicateAnswers: true});
+		network.setFaults(other.address, host.address, {duplicateResponses: true});
 		const outcomes = [await clock.runUntil(call('first')), await clock.runUntil(call('second'))];
 		await clock.advance(10);
 		return [...outcomes, `${host.figures.duplicateAnswers} duplicates`];
 	});
 
 	doTest('matches responses that the network reorders', ['"first"', '"second"'], async () => {
-		network.setFaults(other.address, host.address, {crossAnswers: true});
+		network.setFaults(other.address, host.address, {reorderResponses: true});
 		return clock.runUntil(Promise.all([call('first'), call('second')]));
 	});
 
 	doTest('times out when the response is lost after the call has run', ['sent true: gave no answer to echo: the timeout passed', 'entered'], async () => {
 		other.handle('echo', gated.handle);
-		network.setFaults(other.address, host.address, {dropAnswers: true});
+		network.setFaults(other.address, host.address, {dropResponses: true});
 		const lost = call('first', 5000);
 		await clock.runUntil(gated.entered('first'));
 		gated.answer('first');
--- a/tests/platform/http-store-generations-tests.ts
+++ b/tests/platform/http-store-generations-tests.ts
@@ -4,18 +4,18 @@
 import {RecordKind, type MetadataStore} from '../../src/mirror/metadata-store.js';
 import {qualifyByGeneration} from '../../src/mirror/store-generation.js';
 import {createHttpMetadataStore} from '../../src/platform/http-metadata-store.js';
-import {openHttpStoreFront, type HttpStoreFront} from '../../src/stand-ins/metadata-store/http-store-front.js';
+import {startHttpStoreServer, type HttpStoreServer} from '../../src/stand-ins/metadata-store/http-store-server.js';
 import {createSystemClock} from '../../src/time/system-clock.js';
 
 const TIMEOUT_MS = 1000;
 
 describe('HTTP metadata store across store generations', () => {
-	let front: HttpStoreFront;
+	let front: HttpStoreServer;
 	let store: MetadataStore;
 	const generations: number[] = [];
 
 	before(async () => {
-		front = await openHttpStoreFront('127.0.0.1', 0);
+		front = await startHttpStoreServer('127.0.0.1', 0);
 		store = createHttpMetadataStore({
 			address: `127.0.0.1:${(front.server.address() as AddressInfo).port}`,
 			clock: createSystemClock(),
@@ -33,7 +33,7 @@
 	});
 
 	it('qualifies revisions and versions by the store generation, and sends the store\'s own versions in conditions', async () => {
-		const copy = front.takeCopy();
+		const copy = front.takeBackup();
 		const created = await store.putRecord(RecordKind.Hosts, {name: 'entry-1', version: 0, value: {a: 1}}, TIMEOUT_MS);
 		const changed = await store.putRecord(RecordKind.Hosts, {name: 'entry-1', version: created.version, value: {a: 2}}, TIMEOUT_MS);
 		expect([created.version, changed.version, await store.getRevision(TIMEOUT_MS)]).to.deep.equal([2, 3, 3].map(number => qualifyByGeneration(1, number)));
@@ -55,7 +55,7 @@
 		const listing = store.listRecords(RecordKind.Hosts, TIMEOUT_MS);
 		front.server.once('request', () => {
 			front.server.once('request', () => {
-				front.restore(front.takeCopy());
+				front.restore(front.takeBackup());
 			});
 		});
 		expect(await getMessage(listing)).to.include('two generations');
--- a/tests/platform/programs-tests.ts
+++ b/tests/platform/programs-tests.ts
@@ -49,7 +49,7 @@
 		expect(code).to.equal(0);
 		// The process may end before or after its connections.
 		await caller.whenClosed();
-		expect(caller.unasked).to.equal('ERROR BUSY retry-after-ms=50 the host is stopping; nothing ran');
+		expect(caller.unsolicited).to.equal('ERROR BUSY retry-after-ms=50 the host is stopping; nothing ran');
 		expect(ran.filter(id => id === 'w1')).to.deep.equal(['w1']);
 		expect(proxy.lines.map(line => (JSON.parse(line) as {msg: string}).msg)).to.include.members(['serving', 'leaving', 'left']);
 	});
--- a/tests/proofs/not-run-tests.ts
+++ b/tests/proofs/not-run-tests.ts
@@ -26,7 +26,7 @@
 /** Drops every answer from the owners to the proxy that forwards requests to them. */
 function loseOwnersAnswers({system, owners, outsider}: Proof): void {
 	for (const owner of owners) {
-		system.network.setFaults(system.getProxyOrThrow(owner).address, system.getProxyOrThrow(outsider).address, {dropAnswers: true});
+		system.network.setFaults(system.getProxyOrThrow(owner).address, system.getProxyOrThrow(outsider).address, {dropResponses: true});
 	}
 }
 
--- a/tests/proofs/own-answers-tests.ts
+++ b/tests/proofs/own-answers-tests.ts
@@ -41,10 +41,10 @@
 			}, MEMBERS.toReversed().map(member => `done: ${member}`));
 		};
 
-		doTest('that arrive in another order', {crossAnswers: true});
-		doTest('that arrive twice', {duplicateAnswers: true});
+		doTest('that arrive in another order', {reorderResponses: true});
+		doTest('that arrive twice', {duplicateResponses: true});
 		doTest('that arrive after the deadline', {delayMs: 1600});
-		doTest('that are lost', {dropAnswers: true});
+		doTest('that are lost', {dropResponses: true});
 	});
 
 	describe('at an endpoint', () => {
--- a/tests/proofs/retries-tests.ts
+++ b/tests/proofs/retries-tests.ts
@@ -168,7 +168,7 @@
 		const entry = proof.getEntry(outsider);
 		const begun = await proof.clock.runUntil(entry.begin(GROUP, {class: 'interactive', deadlineMs: 4000}, 'new'));
 		for (const owner of proof.owners) {
-			system.network.setFaults(system.getProxyOrThrow(owner).address, system.getProxyOrThrow(outsider).address, {dropAnswers: true});
+			system.network.setFaults(system.getProxyOrThrow(owner).address, system.getProxyOrThrow(outsider).address, {dropResponses: true});
 		}
 
 		const run = await proof.clock.runUntil(entry.run(begun.requestId, callerRequestSchema.parse(createWrite(41, {deadlineMs: 1000})), 'new'));
--- a/tests/proxy/connection-sharing-tests.ts
+++ b/tests/proxy/connection-sharing-tests.ts
@@ -89,8 +89,8 @@
 				await clock.runUntil(system.startProxy(poolHost.name));
 			},
 			async ({group}) => {
-				group.crash(group.leader);
-				group.restart(group.leader);
+				group.crash(group.latestPrimary);
+				group.restart(group.latestPrimary);
 			},
 		];
 		const outcomes = [];
@@ -210,7 +210,7 @@
 		}
 
 		expect(answer).to.equal('done idle');
-		expect(bench.group.leader.id).to.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.equal('nights-1');
 	});
 
 	/**
--- a/tests/proxy/endpoint-restart-tests.ts
+++ b/tests/proxy/endpoint-restart-tests.ts
@@ -36,10 +36,10 @@
 	 */
 	it('serves no caller from its empty log as the primary while its entry is out of date', async () => {
 		const bench = await createBenchWithNight();
-		bench.group.startOver(bench.getPrimary());
+		bench.group.restartEmpty(bench.getPrimary());
 		void bench.clock.sleep(2000).then(bench.system.registerEndpoints);
 		expect(await readEverywhere(bench, 'night')).to.deep.equal(['done 41 idle', 'done 41 idle', 'done 41 idle']);
-		expect(bench.group.leader.id).to.not.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.not.equal('nights-1');
 	});
 
 	/**
@@ -49,7 +49,7 @@
 	it('is no longer the primary once its new incarnation is registered', async () => {
 		const bench = await createBenchWithNight();
 		const startedAt = bench.clock.now();
-		bench.group.startOver(bench.getPrimary());
+		bench.group.restartEmpty(bench.getPrimary());
 		bench.system.registerEndpoints();
 		const caller = await bench.open(bench.proxies[1]!, 'sync');
 		while (await bench.ask(caller, 'WRITE night 42') !== 'done idle') {
@@ -57,7 +57,7 @@
 		}
 
 		expect(bench.clock.now() - startedAt).to.be.lessThan(2200);
-		expect(bench.group.leader.id).to.not.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.not.equal('nights-1');
 	});
 
 	/**
@@ -65,7 +65,7 @@
 	 */
 	it('serves reads again as a replica', async () => {
 		const bench = await createBenchWithNight();
-		bench.group.startOver(bench.group.servers[1]!);
+		bench.group.restartEmpty(bench.group.servers[1]!);
 		bench.system.registerEndpoints();
 		await bench.clock.advance(3000);
 		// A read at the primary gives the proxy a position, without which it sends no read to a replica.
--- a/tests/proxy/explain-tests.ts
+++ b/tests/proxy/explain-tests.ts
@@ -42,7 +42,7 @@
 		const bench = await createProxyBench({log: createCapturedLog(lines)});
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(caller, 'WRITE a 1');
-		bench.getPrimary().loseAnswers = 1;
+		bench.getPrimary().answersToLose = 1;
 		expect(await bench.ask(caller, 'WRITE a 2', 'r-2')).to.equal('outcome-unknown idle');
 		expect(describeLines(lines, ({fields}) => fields.id === 'r-2', ['code', 'endpoint', 'endpoints', 'epoch', 'usedEpoch', 'phase'])).to.deep.equal([
 			'entry-1 callers: the outcome of a write is unknown: it was sent and no whole answer came endpoint="nights-1" epoch=1',
--- a/tests/proxy/failures-tests.ts
+++ b/tests/proxy/failures-tests.ts
@@ -26,7 +26,7 @@
 		const bench = await createProxyBench();
 		bench.group.crash(bench.getPrimary());
 		expect(await measureGap(bench, 0)).to.be.lessThan(1500);
-		expect(bench.group.leader.id).to.not.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.not.equal('nights-1');
 	});
 
 	/**
@@ -42,7 +42,7 @@
 
 		bench.getPrimary().cutFromGroup = true;
 		expect(await measureGap(bench, 0)).to.be.lessThan(2300);
-		expect(bench.group.leader.id).to.not.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.not.equal('nights-1');
 	});
 
 	/**
@@ -55,7 +55,7 @@
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		void bench.send(caller, 'WRITE a 1');
 		await bench.clock.advance(6000);
-		expect(bench.group.leader.id).to.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.equal('nights-1');
 		expect(await measureGap(bench, 1)).to.be.lessThan(100);
 	});
 
@@ -91,7 +91,7 @@
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		void bench.send(caller, 'WRITE a 1');
 		await bench.clock.advance(6000);
-		expect(bench.group.leader.id).to.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.equal('nights-1');
 		expect(await measureGap(bench, 3)).to.be.lessThan(100);
 	});
 
@@ -158,7 +158,7 @@
 			await bench.clock.advance(20);
 		}
 
-		expect(bench.group.leader.id).to.not.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.not.equal('nights-1');
 		expect([...answers].filter(answer => answer === 'outcome-unknown idle')).to.deep.equal([]);
 		expect(await bench.ask(caller, 'READ a')).to.equal('done 39 idle');
 	});
@@ -184,7 +184,7 @@
 		const other = await bench.open(bench.proxies[1]!, 'sync');
 		void bench.send(other, 'WRITE x 1');
 		await bench.clock.advance(15_000);
-		expect(bench.group.leader.id).to.not.equal(old.id);
+		expect(bench.group.latestPrimary.id).to.not.equal(old.id);
 		const answer = bench.send(caller, 'WRITE a 1', 'late');
 		bench.system.resume(frozen);
 		const text = describeAnswer(await bench.clock.runUntil(answer));
@@ -221,7 +221,7 @@
 	it('does not interrupt traffic', async () => {
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
-		bench.system.store.setTrouble(undefined, {refused: true});
+		bench.system.store.setFaults(undefined, {refused: true});
 		const answers = new Set<string>();
 		for (let i = 0; i < 80; i++) {
 			answers.add(await bench.ask(caller, 'WRITE a 1'));
@@ -240,7 +240,7 @@
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		bench.system.kill(bench.proxies[2]!);
-		bench.system.store.setTrouble(undefined, {refused: true});
+		bench.system.store.setFaults(undefined, {refused: true});
 		const answers = new Set<string>();
 		for (let i = 0; i < 80; i++) {
 			answers.add(await bench.ask(caller, 'WRITE a 1'));
@@ -258,7 +258,7 @@
 		const bench = await createProxyBench();
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		bench.system.kill(bench.proxies[2]!);
-		bench.system.store.setTrouble(undefined, {refused: true});
+		bench.system.store.setFaults(undefined, {refused: true});
 		bench.group.servers[1]!.fencedTerm = 2;
 		await bench.clock.advance(3500);
 		expect(await bench.ask(caller, 'WRITE a 1')).to.equal('overloaded idle');
@@ -267,7 +267,7 @@
 	/** The store does not answer one proxy and serves the others, through which that proxy confirms its leases. */
 	it('for one proxy alone does not interrupt traffic', async () => {
 		const bench = await createProxyBench();
-		bench.system.store.setTrouble('entry-1', {silent: true});
+		bench.system.store.setFaults('entry-1', {silent: true});
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		const answers = new Set<string>();
 		for (let i = 0; i < 60; i++) {
@@ -284,7 +284,7 @@
 	 */
 	it('does not make a starting proxy answer that a route does not exist', async () => {
 		const bench = await createProxyBench();
-		bench.system.store.setTrouble('entry-9', {silent: true});
+		bench.system.store.setFaults('entry-9', {silent: true});
 		const starting = await bench.clock.runUntil(bench.system.startProxy('entry-9'));
 		const caller = await bench.open(starting, 'sync');
 		expect(caller.refusal).to.equal('overloaded');
@@ -299,7 +299,7 @@
 		const [isolated, ...others] = bench.proxies;
 		const caller = await bench.open(isolated!, 'sync');
 		expect(await bench.ask(caller, 'WRITE a 1')).to.equal('done idle');
-		bench.system.store.setTrouble(isolated!.name, {silent: true});
+		bench.system.store.setFaults(isolated!.name, {silent: true});
 		for (const other of others) {
 			bench.system.network.setFaultsBetween(isolated!.peerAddress, other.peerAddress, {cut: true});
 		}
--- a/tests/proxy/hosts-tests.ts
+++ b/tests/proxy/hosts-tests.ts
@@ -20,7 +20,7 @@
 			bench.system.network.setFaultsBetween(alone!.peerAddress, other.peerAddress, {cut: true});
 		}
 
-		bench.system.store.setTrouble(alone!.name, {silent: true});
+		bench.system.store.setFaults(alone!.name, {silent: true});
 		await bench.clock.advance(8000);
 		bench.system.network.heal();
 		bench.system.store.heal();
@@ -52,7 +52,7 @@
 			expect(bench.proxies.slice(2).filter(({name}) => isMarked(bench, name)).map(({name}) => name)).to.deep.equal([]);
 		}
 
-		expect(bench.group.leader.id).to.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.equal('nights-1');
 	});
 
 	/**
@@ -72,7 +72,7 @@
 		expect(bench.proxies.map(({name}) => isMarked(bench, name))).to.deep.equal([false, false, false]);
 		bench.group.crash(bench.getPrimary());
 		const crashedAt = bench.clock.now();
-		while (bench.group.leader.id === 'nights-1' && bench.clock.now() < crashedAt + 20_000) {
+		while (bench.group.latestPrimary.id === 'nights-1' && bench.clock.now() < crashedAt + 20_000) {
 			await bench.clock.advance(20);
 		}
 
@@ -87,6 +87,6 @@
 		await bench.clock.runUntil(bench.system.startProxy('a new host'));
 		bench.group.crash(bench.getPrimary());
 		await bench.clock.advance(6000);
-		expect(bench.group.leader.id).to.equal('nights-1');
+		expect(bench.group.latestPrimary.id).to.equal('nights-1');
 	});
 });
--- a/tests/proxy/leave-tests.ts
+++ b/tests/proxy/leave-tests.ts
@@ -43,7 +43,7 @@
 
 		const own = watch.replacing;
 		await bench.clock.runUntil(startLeaving());
-		expect([own && watch.replacing, bench.group.leader.id === 'nights-1' && own]).to.deep.equal([false, false]);
+		expect([own && watch.replacing, bench.group.latestPrimary.id === 'nights-1' && own]).to.deep.equal([false, false]);
 		bench.group.crash(bench.getPrimary());
 		await bench.clock.advance(5000);
 		expect(watch.replacing).to.equal(false);
@@ -175,7 +175,7 @@
 		const [own, ...others] = bench.proxies;
 		const left = startLeaving();
 		await bench.clock.advance(1000);
-		bench.system.store.setTrouble(own!.name, {silent: true});
+		bench.system.store.setFaults(own!.name, {silent: true});
 		for (const other of others) {
 			bench.system.network.setFaultsBetween(own!.peerAddress, other.peerAddress, {cut: true});
 		}
--- a/tests/proxy/outage-tests.ts
+++ b/tests/proxy/outage-tests.ts
@@ -17,7 +17,7 @@
 
 /** Simulates an outage of the store. Returns the moments at which some live host could not use the primary, with these hosts. */
 async function playOutage({clock, system, proxies}: ProxyBench, isLiving: (proxy: SimulatedProxy) => boolean) {
-	system.store.setTrouble(undefined, {silent: true});
+	system.store.setFaults(undefined, {silent: true});
 	const gaps: string[] = [];
 	for (let ms = 0; ms < OUTAGE_MS; ms += STEP_MS) {
 		await clock.advance(STEP_MS);
--- a/tests/proxy/play-revocation.ts
+++ b/tests/proxy/play-revocation.ts
@@ -48,12 +48,12 @@
 		const proxy = pick(proxies);
 		switch (Math.floor(random.fraction() * 4)) {
 			case 0: {
-				system.store.setTrouble(proxy.name, {silent: true});
+				system.store.setFaults(proxy.name, {silent: true});
 				return;
 			}
 
 			case 1: {
-				system.store.setTrouble(undefined, {refused: true});
+				system.store.setFaults(undefined, {refused: true});
 				return;
 			}
 
--- a/tests/proxy/proxy-bench.ts
+++ b/tests/proxy/proxy-bench.ts
@@ -92,10 +92,10 @@
 		group,
 		proxies: system.proxies,
 		ran,
-		getPrimary: () => group.leader,
+		getPrimary: () => group.latestPrimary,
 		splitOff(smaller) {
 			for (const left of system.proxies.slice(0, smaller)) {
-				left.cutFrom.add(group.leader.id);
+				left.cutFrom.add(group.latestPrimary.id);
 				for (const right of system.proxies.slice(smaller)) {
 					system.network.setFaultsBetween(left.peerAddress, right.peerAddress, {cut: true});
 				}
--- a/tests/proxy/sessions-tests.ts
+++ b/tests/proxy/sessions-tests.ts
@@ -130,7 +130,7 @@
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(caller, 'BEGIN');
 		await bench.ask(caller, 'WRITE a 1');
-		bench.getPrimary().turnAwayCommits = 2;
+		bench.getPrimary().commitsToReject = 2;
 		expect(await bench.ask(caller, 'COMMIT', 'c')).to.equal('done idle');
 		expect(bench.ran.filter(line => line.includes('commit'))).to.deep.equal(['nights-1 commit c']);
 	});
@@ -144,9 +144,9 @@
 		const left = await bench.open(bench.proxies[0]!, 'sync');
 		await bench.ask(left, 'BEGIN');
 		await bench.ask(left, 'WRITE a 1', 'refused');
-		bench.getPrimary().turnAwayCommits = 1000;
+		bench.getPrimary().commitsToReject = 1000;
 		expect(await bench.ask(left, 'COMMIT')).to.equal('overloaded idle');
-		bench.getPrimary().turnAwayCommits = 0;
+		bench.getPrimary().commitsToReject = 0;
 		const right = await bench.open(bench.proxies[0]!, 'sync');
 		expect(await bench.ask(right, 'WRITE b 2', 'kept')).to.equal('done idle');
 		expect(await bench.ask(right, 'READ a')).to.equal('done - idle');
--- a/tests/proxy/store-restore-tests.ts
+++ b/tests/proxy/store-restore-tests.ts
@@ -3,7 +3,7 @@
 import {RecordKind} from '../../src/mirror/metadata-store.js';
 import type {Routing} from '../../src/routes/routing.js';
 import type {SimulatedProxy} from '../../src/stand-ins/proxies/simulated-proxies.js';
-import type {StoreCopy} from '../../src/stand-ins/metadata-store/in-memory-metadata-store.js';
+import type {StoreBackup} from '../../src/stand-ins/metadata-store/in-memory-metadata-store.js';
 import type {PlainServer} from '../../src/stand-ins/plain-group/plain-server.js';
 import type {Workspace} from '../../src/workspaces/workspace.js';
 import {createProxyBench, type ProxyBench} from './proxy-bench.js';
@@ -29,8 +29,8 @@
 }
 
 /** Makes the store silent for a while and then restores it from a backup. */
-async function restoreFrom({clock, system}: ProxyBench, copy: StoreCopy, rewriteMs?: number, outageMs = OUTAGE_MS) {
-	system.store.setTrouble(undefined, {silent: true});
+async function restoreFrom({clock, system}: ProxyBench, copy: StoreBackup, rewriteMs?: number, outageMs = OUTAGE_MS) {
+	system.store.setFaults(undefined, {silent: true});
 	await clock.advance(outageMs);
 	system.store.heal();
 	system.store.restore(copy, rewriteMs);
@@ -114,7 +114,7 @@
 		/** Guards against hosts that take the lower revision of the restored store for proof that their mirror is complete. */
 		it(`has a new configuration in force at each of ${hosts} hosts where ${lost} changes were lost`, async () => {
 			const bench = await createProxyBench({proxies: hosts, maxConnections: 100});
-			const copy = bench.system.store.takeCopy();
+			const copy = bench.system.store.takeBackup();
 			const held = await changeRouting(bench, lost);
 			await restoreFrom(bench, copy);
 			await bench.clock.advance(1000);
@@ -131,7 +131,7 @@
 	/** Guards against a restored record that names a primary replaced since the backup: hosts would use that primary, or none. */
 	it('leaves the primary in use that was promoted after the backup', async () => {
 		const bench = await createProxyBench({proxies: 9, maxConnections: 100, promoteMs: 600});
-		const copy = bench.system.store.takeCopy();
+		const copy = bench.system.store.takeBackup();
 		const former = await losePrimary(bench);
 		const promoted = bench.getPrimary().id;
 		await restoreFrom(bench, copy);
@@ -146,7 +146,7 @@
 	it('never has the primary of an old record used where all hosts are new', async () => {
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const former = bench.getPrimary();
-		const copy = bench.system.store.takeCopy();
+		const copy = bench.system.store.takeBackup();
 		former.cutFromGroup = true;
 		for (const proxy of bench.proxies) {
 			proxy.cutFrom.add(former.id);
@@ -172,7 +172,7 @@
 
 	it('has its leadership records rewritten in its new generation', async () => {
 		const bench = await createProxyBench({proxies: 3});
-		await restoreFrom(bench, bench.system.store.takeCopy());
+		await restoreFrom(bench, bench.system.store.takeBackup());
 		await bench.clock.advance(2000);
 		const {value} = bench.system.store.getRecord(RecordKind.Leadership, 'group.nights')!;
 		expect(value).to.include({generation: 1, epoch: 1, primaryId: 'nights-1'});
@@ -184,7 +184,7 @@
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const [apart, ...others] = bench.proxies as [SimulatedProxy, ...SimulatedProxy[]];
 		const former = bench.getPrimary();
-		const copy = bench.system.store.takeCopy();
+		const copy = bench.system.store.takeBackup();
 		for (const other of others) {
 			other.cutFrom.add(former.id);
 			bench.system.network.setFaultsBetween(apart.peerAddress, other.peerAddress, {cut: true});
@@ -200,14 +200,14 @@
 		await advanceUntil(bench, () => getStoredPhase(bench) === LeadershipPhase.Changing);
 		// Too short for the failover lease to expire.
 		await restoreFrom(bench, copy, 0, 50);
-		expect([await countBoth(bench, apart, former), bench.group.leader.id === former.id]).to.deep.equal([0, false]);
+		expect([await countBoth(bench, apart, former), bench.group.latestPrimary.id === former.id]).to.deep.equal([0, false]);
 		bench.system.stop();
 	});
 
 	/** Guards against replicas that never receive the log again: the host that fenced them died, and the store has lost the record of its replacement. */
 	it('has the fences of a lost replacement removed from replicas', async () => {
 		const bench = await createProxyBench({proxies: 3});
-		const copy = bench.system.store.takeCopy();
+		const copy = bench.system.store.takeBackup();
 		const replicas = bench.group.servers.filter(server => server !== bench.getPrimary());
 		for (const replica of replicas) {
 			replica.fencedTerm = 2;
@@ -223,7 +223,7 @@
 	it('has no primary promoted while a host whose registration was lost uses the former one', async () => {
 		const bench = await createProxyBench({proxies: 3, promoteMs: 600});
 		const {system, clock} = bench;
-		const copy = system.store.takeCopy();
+		const copy = system.store.takeBackup();
 		const lost = await clock.runUntil(system.startProxy('entry-4'));
 		await clock.advance(2000);
 		const former = bench.getPrimary();
@@ -232,21 +232,21 @@
 		}
 
 		await restoreFrom(bench, copy);
-		system.store.setTrouble('entry-4', {silent: true});
+		system.store.setFaults('entry-4', {silent: true});
 		for (const other of bench.proxies.filter(proxy => proxy !== lost)) {
 			other.cutFrom.add(former.id);
 		}
 
 		const caller = await bench.open(bench.proxies[0]!, 'sync');
 		void bench.send(caller, 'WRITE a 1');
-		expect([await countBoth(bench, lost, former), bench.group.leader.id === former.id]).to.deep.equal([0, false]);
+		expect([await countBoth(bench, lost, former), bench.group.latestPrimary.id === former.id]).to.deep.equal([0, false]);
 		system.stop();
 	});
 
 	/** Guards against new work for an endpoint that is leaving: the restored entry lacks that state, and the endpoint rewrites it only later. */
 	it('does not make hosts forget that an endpoint is leaving', async () => {
 		const bench = await createProxyBench({proxies: 3});
-		const copy = bench.system.store.takeCopy();
+		const copy = bench.system.store.takeBackup();
 		bench.group.servers[2]!.leaving = true;
 		bench.system.registerEndpoints();
 		await bench.clock.advance(2000);
@@ -261,14 +261,14 @@
 		const workspace: Workspace = {name: 'north', keys: ['north-1', 'north-2'], priority: 0};
 		const bench = await createProxyBench({proxies: 3, workspaces: [workspace], revokeWithinMs: 5000});
 		const {clock, system} = bench;
-		const copy = system.store.takeCopy();
+		const copy = system.store.takeBackup();
 		const routing = getRouting(bench.proxies[0]!);
 		const callers = [];
 		for (const proxy of bench.proxies) {
 			callers.push(await bench.open(proxy, 'sync', undefined, 'north-1'));
 		}
 
-		system.store.setTrouble(undefined, {silent: true});
+		system.store.setFaults(undefined, {silent: true});
 		system.store.setRouting({...routing, version: 2, workspaces: new Map([['north', {...workspace, keys: ['north-2']}]])});
 		await clock.advance(6000);
 		system.store.heal();
--- a/tests/proxy/workspaces-tests.ts
+++ b/tests/proxy/workspaces-tests.ts
@@ -77,7 +77,7 @@
 	it('is refused by a host that could not confirm the keys within the bound', async () => {
 		const bench = await createBench();
 		const caller = await openFor(bench, 'key-n1', 'review');
-		bench.system.store.setTrouble(undefined, {silent: true});
+		bench.system.store.setFaults(undefined, {silent: true});
 		await bench.clock.advance(REVOKE_WITHIN_MS - 2500);
 		expect(await bench.ask(caller, 'READ a')).to.equal('done - idle');
 		await bench.clock.advance(3500);
@@ -88,7 +88,7 @@
 	it('is served by a host that the store refuses while its peers still read the store', async () => {
 		const bench = await createBench();
 		const caller = await openFor(bench, 'key-n1');
-		bench.system.store.setTrouble('entry-1', {refused: true});
+		bench.system.store.setFaults('entry-1', {refused: true});
 		await bench.clock.advance(REVOKE_WITHIN_MS * 2);
 		expect(await bench.ask(caller, 'READ a')).to.equal('done - idle');
 	});
