--- a/src/bench/lead-changes.ts
+++ b/src/bench/lead-changes.ts
@@ -1,11 +1,11 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
-import {LEAD_LOSSES, type PrimaryLossScenario} from './lead-changes/losses.js';
+import {PRIMARY_LOSS_SCENARIOS, type PrimaryLossScenario} from './lead-changes/losses.js';
 import {
-	getLongestPause, openLeadStage, PROXIES, WRITE_INTERVAL_MS, type PrimaryLossTestbed,
-} from './lead-changes/stage.js';
-import {ONE_READS, LEASE_STRATEGIES, type LeaseStrategy} from './lead-changes/ways.js';
+	getLongestPause, startTestbed, PROXIES, WRITE_INTERVAL_MS, type PrimaryLossTestbed,
+} from './lead-changes/testbed.js';
+import {ONE_HOST_READS, LEASE_STRATEGIES, type LeaseStrategy} from './lead-changes/lease-strategies.js';
 import {createMeasure} from './statistics.js';
 
 /** Runs every scenario of a primary loss with each lease strategy, on a group without a binding fence, in virtual time. */
@@ -56,7 +56,7 @@
 
 async function measureStrategy(options: ExperimentOptions, strategy: LeaseStrategy): Promise<readonly Measure[]> {
 	const measures = [...await measureSteadyState(options, strategy)];
-	for (const loss of LEAD_LOSSES) {
+	for (const loss of PRIMARY_LOSS_SCENARIOS) {
 		const figures: LossFigures[] = [];
 		for (const seed of options.seeds) {
 			figures.push(await runLoss(seed, strategy, loss));
@@ -67,7 +67,7 @@
 			createMeasure(`${loss.name}: gap`, 'ms', figures.map(({gapMs}) => gapMs)),
 			createMeasure(`${loss.name}: orders`, 'orders', figures.map(({orders}) => orders)),
 		);
-		if (strategy === ONE_READS) {
+		if (strategy === ONE_HOST_READS) {
 			measures.push(createMeasure(`${loss.name}: detection`, 'ms', figures.map(({detectMs}) => detectMs)));
 			for (const part of PARTS) {
 				measures.push(createMeasure(`${loss.name}: ${part}`, 'ms', figures.map(({parts}) => parts[part] ?? Number.NaN)));
@@ -83,7 +83,7 @@
 }
 
 async function runLoss(seed: number, strategy: LeaseStrategy, loss: PrimaryLossScenario): Promise<LossFigures> {
-	const testbed = await openLeadStage(seed, strategy, PROMOTE_MS);
+	const testbed = await startTestbed(seed, strategy, PROMOTE_MS);
 	const {clock, lines, system, acknowledgedAt} = testbed;
 	await loss.begin(testbed);
 	const lostAt = clock.now();
@@ -104,7 +104,7 @@
 	const failed: number[] = [];
 	const orders: number[] = [];
 	for (const seed of seeds) {
-		const testbed = await openLeadStage(seed, strategy, PROMOTE_MS);
+		const testbed = await startTestbed(seed, strategy, PROMOTE_MS);
 		const callsBefore = testbed.system.store.calls;
 		await testbed.clock.advance(STEADY_STATE_MS);
 		calls.push((testbed.system.store.calls - callsBefore) * 1000 / STEADY_STATE_MS);
--- a/src/bench/lead-changes/ways.ts
+++ b/src/bench/lead-changes/lease-strategies.ts
@@ -20,7 +20,7 @@
 const COORDINATOR_READ_INTERVAL_MS = 2000;
 
 /** The product's strategy: the first host by name reads the store, and the others poll it. */
-export const ONE_READS: LeaseStrategy = {name: 'one host reads for all'};
+export const ONE_HOST_READS: LeaseStrategy = {name: 'one host reads for all'};
 
 /** Every host reads the store itself: its polls of other hosts fail, apart from urgent ones. */
 export const EVERY_HOST_READS: LeaseStrategy = {
@@ -77,4 +77,4 @@
 };
 
 /** All strategies, the product's first. */
-export const LEASE_STRATEGIES: readonly LeaseStrategy[] = [ONE_READS, EVERY_HOST_READS, COORDINATOR_GRANTS];
+export const LEASE_STRATEGIES: readonly LeaseStrategy[] = [ONE_HOST_READS, EVERY_HOST_READS, COORDINATOR_GRANTS];
--- a/src/bench/lead-changes/losses.ts
+++ b/src/bench/lead-changes/losses.ts
@@ -1,4 +1,4 @@
-import type {PrimaryLossTestbed} from './stage.js';
+import type {PrimaryLossTestbed} from './testbed.js';
 
 /** A scenario in which a group loses its primary, or its primary has to be replaced. */
 export type PrimaryLossScenario = {
@@ -17,7 +17,7 @@
 };
 
 /** All scenarios: first those with a single fault, then those with several. */
-export const LEAD_LOSSES: readonly PrimaryLossScenario[] = [
+export const PRIMARY_LOSS_SCENARIOS: readonly PrimaryLossScenario[] = [
 	{
 		name: 'crashed',
 		async begin(testbed) {
--- a/src/bench/lead-changes/stage.ts
+++ b/src/bench/lead-changes/testbed.ts
@@ -7,7 +7,7 @@
 import {createSimulatedProxies, type SimulatedProxies, type SimulatedProxy} from '../../stand-ins/proxies/simulated-proxies.js';
 import {createVirtualClock, type VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 import {Access} from '../../statements/statement.js';
-import type {LeaseStrategy} from './ways.js';
+import type {LeaseStrategy} from './lease-strategies.js';
 
 /** A line that a proxy logged, with the time in milliseconds. */
 export type CapturedLogLine = {
@@ -46,7 +46,7 @@
 const GROUP = 'filings';
 
 /** Starts the proxies and the writes, and resolves after 1 s of writes. A promotion takes `promoteMs` milliseconds. */
-export async function openLeadStage(seed: number, strategy: LeaseStrategy, promoteMs: number): Promise<PrimaryLossTestbed> {
+export async function startTestbed(seed: number, strategy: LeaseStrategy, promoteMs: number): Promise<PrimaryLossTestbed> {
 	const clock = createVirtualClock();
 	const lines: CapturedLogLine[] = [];
 	const system = createSimulatedProxies({
--- a/src/bench/news-spread.ts
+++ b/src/bench/news-spread.ts
@@ -1,7 +1,7 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
-import {createNewsFleet, createRouting, type NewsFleet} from './news-spread/news-fleet.js';
+import {createMirrorFleet, createRouting, type MirrorFleet} from './news-spread/mirror-fleet.js';
 import {createMeasure} from './statistics.js';
 
 /** Sends store updates to fleets of several sizes, in virtual time. */
@@ -38,9 +38,9 @@
 }
 
 async function measureFleet(hostCount: number, zoneCount: number): Promise<readonly Measure[]> {
-	const fleet = createNewsFleet({hostCount, zoneCount});
+	const fleet = createMirrorFleet({hostCount, zoneCount});
 	fleet.store.setRouting(createRouting(1, ROUTES));
-	await fleet.settle();
+	await fleet.start();
 	const {calls} = fleet.store;
 	await fleet.clock.advance(STEADY_STATE_MS);
 	const measures = [
@@ -56,7 +56,7 @@
 	return measures;
 }
 
-async function measureChange(fleet: NewsFleet, name: string, routing: ReturnType<typeof createRouting>): Promise<readonly Measure[]> {
+async function measureChange(fleet: MirrorFleet, name: string, routing: ReturnType<typeof createRouting>): Promise<readonly Measure[]> {
 	fleet.resetFigures();
 	fleet.store.setRouting(routing);
 	const ms = await fleet.awaitVersion(fleet.hosts, routing.version);
@@ -68,7 +68,7 @@
 }
 
 /** Freezes the host that reads the store for all, and measures the time and the store calls until the others have the next change. */
-async function measureReaderFrozen(fleet: NewsFleet): Promise<readonly Measure[]> {
+async function measureReaderFrozen(fleet: MirrorFleet): Promise<readonly Measure[]> {
 	const {calls} = fleet.store;
 	fleet.network.pause(fleet.hosts[0]!.address);
 	fleet.store.setRouting(createRouting(4, ROUTES));
@@ -79,10 +79,10 @@
 	];
 }
 
-function getMeanSentBytes({hosts}: NewsFleet): number {
+function getMeanSentBytes({hosts}: MirrorFleet): number {
 	return hosts.reduce((sum, {sentBytes}) => sum + sentBytes, 0) / hosts.length;
 }
 
-function getMaxSentBytes({hosts}: NewsFleet): number {
+function getMaxSentBytes({hosts}: MirrorFleet): number {
 	return Math.max(...hosts.map(({sentBytes}) => sentBytes));
 }
--- a/src/bench/news-spread/news-fleet.ts
+++ b/src/bench/news-spread/mirror-fleet.ts
@@ -10,7 +10,7 @@
 import {createVirtualClock, type VirtualClock} from '../../stand-ins/time/virtual-clock.js';
 
 /** One host of a fleet, with the number of bytes that it sent. */
-export type NewsHost = {
+export type MirrorHost = {
 	readonly name: string;
 	readonly address: string;
 	readonly zone: string;
@@ -20,26 +20,26 @@
 };
 
 /** The mirrors of a whole fleet on one virtual clock. */
-export type NewsFleet = {
+export type MirrorFleet = {
 	readonly clock: VirtualClock;
 	readonly store: InMemoryMetadataStore;
 	readonly network: PeerNetwork;
-	readonly hosts: readonly NewsHost[];
+	readonly hosts: readonly MirrorHost[];
 	/** Bytes that were sent from one availability zone to another. */
 	readonly crossZoneBytes: number;
 	/** Resets the counts of bytes to zero. */
 	resetFigures(): void;
 	/** Registers a host in the store. */
-	register(host: NewsHost): Promise<void>;
+	register(host: MirrorHost): Promise<void>;
 	/** Registers and starts all hosts, gives them time to receive a store update, and resets the counts. */
-	settle(): Promise<void>;
+	start(): Promise<void>;
 	/** Resolves with the milliseconds until each of `hosts` has this version of the configuration; undefined if one of them lacks it after 10 s. */
-	awaitVersion(hosts: readonly NewsHost[], version: number): Promise<number | undefined>;
+	awaitVersion(hosts: readonly MirrorHost[], version: number): Promise<number | undefined>;
 	stop(): void;
 };
 
 /** Size of a fleet, and how many of its hosts the others know as seeds. */
-export type NewsFleetOptions = {
+export type MirrorFleetOptions = {
 	readonly hostCount: number;
 	readonly zoneCount: number;
 	readonly seeds?: number;
@@ -66,16 +66,16 @@
 }
 
 /** Creates a fleet without starting it. */
-export function createNewsFleet({hostCount, zoneCount, seeds: seedCount = 0}: NewsFleetOptions): NewsFleet {
+export function createMirrorFleet({hostCount, zoneCount, seeds: seedCount = 0}: MirrorFleetOptions): MirrorFleet {
 	const clock = createVirtualClock(undefined, {drainRounds: 2});
 	const startedAt = clock.now();
 	const store = createInMemoryMetadataStore(clock, createSeededRandom(1));
 	const network = createPeerNetwork(clock);
-	const hosts: NewsHost[] = [];
-	const byAddress = new Map<string, NewsHost>();
+	const hosts: MirrorHost[] = [];
+	const byAddress = new Map<string, MirrorHost>();
 	let crossZoneBytes = 0;
 
-	const countSent = (from: NewsHost, to: string, message: unknown) => {
+	const countSent = (from: MirrorHost, to: string, message: unknown) => {
 		const bytes = pack(message).length;
 		from.sentBytes += bytes;
 		crossZoneBytes += byAddress.get(to)?.zone === from.zone ? 0 : bytes;
@@ -84,7 +84,7 @@
 	const names = Array.from({length: hostCount}, (_, i) => ({name: `entry-${i}`, address: `entry-${i}:7000`, zone: `zone-${i % zoneCount}`}));
 	const seeds = names.slice(0, seedCount).map(({address}) => address);
 
-	const countBytes = (peers: LivePeers, getHost: () => NewsHost): LivePeers => ({
+	const countBytes = (peers: LivePeers, getHost: () => MirrorHost): LivePeers => ({
 		...peers,
 		async call(address, kind, req, timeoutMs) {
 			countSent(getHost(), address, req);
@@ -112,14 +112,14 @@
 			getUnfenced: () => [],
 			noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		});
-		const host: NewsHost = {
+		const host: MirrorHost = {
 			name, address, zone, mirror, sentBytes: 0,
 		};
 		hosts.push(host);
 		byAddress.set(address, host);
 	}
 
-	const register = async ({name, address, zone}: NewsHost) => {
+	const register = async ({name, address, zone}: MirrorHost) => {
 		await store.getClient(name).putRecord(RecordKind.Hosts, {name, version: 0, value: {name, peerAddress: address, availabilityZone: zone}}, 900);
 	};
 
@@ -140,7 +140,7 @@
 		},
 		resetFigures,
 		register,
-		async settle() {
+		async start() {
 			await clock.runUntil(Promise.all(hosts.map(async host => register(host))));
 			for (const {mirror} of hosts) {
 				void mirror.start();
--- a/tests/mirror/change-feed-schedules-tests.ts
+++ b/tests/mirror/change-feed-schedules-tests.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {
-	createNewsFleet, createRouting, type NewsFleet, type NewsHost,
-} from '../../src/bench/news-spread/news-fleet.js';
+	createMirrorFleet, createRouting, type MirrorFleet, type MirrorHost,
+} from '../../src/bench/news-spread/mirror-fleet.js';
 import {createSeededRandom} from '../../src/random/seeded-random.js';
 import type {Random} from '../../src/random/random.js';
 
@@ -19,9 +19,9 @@
 /** Maximum time for which a host may lag once all faults have ended, in milliseconds: hosts that did not respond are polled again after 5 s. */
 const MAX_BEHIND_MS = 6500;
 
-type Fault = (fleet: NewsFleet, random: Random) => void;
+type Fault = (fleet: MirrorFleet, random: Random) => void;
 
-const pick = (hosts: readonly NewsHost[], random: Random) => hosts[Math.floor(random.fraction() * hosts.length)]!;
+const pick = (hosts: readonly MirrorHost[], random: Random) => hosts[Math.floor(random.fraction() * hosts.length)]!;
 
 const FAULTS: Readonly<Record<string, Fault>> = {
 	freezeHost({network, hosts, clock}, random) {
@@ -70,7 +70,7 @@
 	function doTest(seed: number) {
 		it(`never show a copy older than its confirmation, nor one that goes back: seed ${seed}`, async () => {
 			const random = createSeededRandom(seed);
-			const fleet = createNewsFleet({hostCount: HOSTS, zoneCount: ZONES});
+			const fleet = createMirrorFleet({hostCount: HOSTS, zoneCount: ZONES});
 			const startedAt = fleet.clock.now();
 			const written: Array<{at: number; version: number}> = [];
 			const write = (version: number) => {
@@ -79,8 +79,8 @@
 			};
 
 			write(1);
-			await fleet.settle();
-			const seen = new Map<NewsHost, number>();
+			await fleet.start();
+			const seen = new Map<MirrorHost, number>();
 			const violations: string[] = [];
 			const check = () => {
 				for (const host of fleet.hosts) {
--- a/tests/mirror/change-feed-spread-tests.ts
+++ b/tests/mirror/change-feed-spread-tests.ts
@@ -1,20 +1,20 @@
 import {expect} from 'chai';
 import {
-	createNewsFleet, createRouting, type NewsFleet,
-} from '../../src/bench/news-spread/news-fleet.js';
+	createMirrorFleet, createRouting, type MirrorFleet,
+} from '../../src/bench/news-spread/mirror-fleet.js';
 
 const HOSTS = 195;
 const ZONES = 6;
 
 /** Creates a fleet in which every host is registered and has received a store update. */
-async function createSteadyFleet(hostCount = HOSTS): Promise<NewsFleet> {
-	const bench = createNewsFleet({hostCount, zoneCount: ZONES});
+async function createSteadyFleet(hostCount = HOSTS): Promise<MirrorFleet> {
+	const bench = createMirrorFleet({hostCount, zoneCount: ZONES});
 	bench.store.setRouting(createRouting(1, 34));
-	await bench.settle();
+	await bench.start();
 	return bench;
 }
 
-const getMaxSentBytes = ({hosts}: NewsFleet) => Math.max(...hosts.map(({sentBytes}) => sentBytes));
+const getMaxSentBytes = ({hosts}: MirrorFleet) => Math.max(...hosts.map(({sentBytes}) => sentBytes));
 
 describe('store updates among hundreds of hosts', () => {
 	/**
@@ -89,7 +89,7 @@
 
 	/** Hosts that start know no other host. If each read the store until it saw the others, a start of 195 hosts would cost a thousand calls. */
 	it('reach hosts that all start at once by way of seeds', async () => {
-		const bench = createNewsFleet({hostCount: HOSTS, zoneCount: ZONES, seeds: 3});
+		const bench = createMirrorFleet({hostCount: HOSTS, zoneCount: ZONES, seeds: 3});
 		bench.store.setRouting(createRouting(1, 34));
 		for (const {mirror} of bench.hosts) {
 			void mirror.start();
--- a/tests/mirror/contents-tests.ts
+++ b/tests/mirror/contents-tests.ts
@@ -8,7 +8,7 @@
 import {EMPTY_STATE, type MirrorState} from '../../src/mirror/mirror-state.js';
 import {applyStateDifference, getStateDifference} from '../../src/mirror/state-difference.js';
 import type {Peers} from '../../src/peers/peers.js';
-import {createRouting} from '../../src/bench/news-spread/news-fleet.js';
+import {createRouting} from '../../src/bench/news-spread/mirror-fleet.js';
 
 /** Creates a state of some hosts, endpoints and routes; each host's number determines its version and its endpoint's contents. */
 function createState(revision: number, hosts: Readonly<Record<string, number>>, routeCount = 3): MirrorState {
--- a/tests/proxy/gap-tests.ts
+++ b/tests/proxy/gap-tests.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
-import {LEAD_LOSSES} from '../../src/bench/lead-changes/losses.js';
-import {getLongestPause, openLeadStage} from '../../src/bench/lead-changes/stage.js';
-import {ONE_READS} from '../../src/bench/lead-changes/ways.js';
+import {PRIMARY_LOSS_SCENARIOS} from '../../src/bench/lead-changes/losses.js';
+import {getLongestPause, startTestbed} from '../../src/bench/lead-changes/testbed.js';
+import {ONE_HOST_READS} from '../../src/bench/lead-changes/lease-strategies.js';
 
 const PROMOTE_MS = 600;
 
@@ -13,8 +13,8 @@
 describe('the write gap after the loss of a primary', () => {
 	function doTest(name: string, limitMs: number) {
 		it(`lasts at most ${limitMs} ms: ${name}`, async () => {
-			const stage = await openLeadStage(3, ONE_READS, PROMOTE_MS);
-			await LEAD_LOSSES.find(loss => loss.name === name)!.begin(stage);
+			const stage = await startTestbed(3, ONE_HOST_READS, PROMOTE_MS);
+			await PRIMARY_LOSS_SCENARIOS.find(loss => loss.name === name)!.begin(stage);
 			const lostAt = stage.clock.now();
 			await stage.clock.advance(8000);
 			expect(getLongestPause(stage.acknowledgedAt, lostAt, stage.clock.now())).to.be.lessThan(limitMs);
