--- a/src/bench/rate-limits.ts
+++ b/src/bench/rate-limits.ts
@@ -1,11 +1,11 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
-import {createCountingHost} from './rate-limits/counting-host.js';
+import {createIssuerLimit} from './rate-limits/issuer-limit.js';
 import {createDemandShares} from './rate-limits/demand-shares.js';
 import {
-	playLimit, type FleetLimitFactory, type LimitFigures, type LoadStep,
-} from './rate-limits/play-limit.js';
+	simulateLimit, type FleetLimitFactory, type LimitFigures, type LoadStep,
+} from './rate-limits/simulate-limit.js';
 import {createStaticShares} from './rate-limits/static-shares.js';
 import {createMeasure} from './statistics.js';
 
@@ -21,7 +21,7 @@
 const LIMIT = {ratePerSecond: 120, burst: 120};
 
 const LIMITERS: Readonly<Record<string, FleetLimitFactory>> = {
-	'counting host': createCountingHost,
+	'counting host': createIssuerLimit,
 	'shares by demand': createDemandShares,
 	'equal shares': createStaticShares,
 };
@@ -29,24 +29,24 @@
 const STEADY_LOAD: LoadStep = {ms: 3000, load: 0.5};
 
 const LOADS: Readonly<Record<string, readonly LoadStep[]>> = {
-	'at 0.9': [STEADY_LOAD, {ms: 10_000, load: 0.9, judged: true}],
-	'at 1.1': [STEADY_LOAD, {ms: 10_000, load: 1.1, judged: true}],
-	'at 4': [STEADY_LOAD, {ms: 10_000, load: 4, judged: true}],
-	'a burst after rest': [{ms: 3000, load: 0.05}, {ms: 200, load: 4.5, judged: true}],
+	'at 0.9': [STEADY_LOAD, {ms: 10_000, load: 0.9, measured: true}],
+	'at 1.1': [STEADY_LOAD, {ms: 10_000, load: 1.1, measured: true}],
+	'at 4': [STEADY_LOAD, {ms: 10_000, load: 4, measured: true}],
+	'a burst after rest': [{ms: 3000, load: 0.05}, {ms: 200, load: 4.5, measured: true}],
 	'callers that move': [{ms: 5000, load: 0.8, hosts: 'first half'}, {
-		ms: 5000, load: 0.8, hosts: 'second half', judged: true,
+		ms: 5000, load: 0.8, hosts: 'second half', measured: true,
 	}],
 	'lowered and raised': [STEADY_LOAD, {ms: 6000, load: 0.5, limit: {ratePerSecond: 12, burst: 12}}, {
-		ms: 5000, load: 0.8, limit: LIMIT, judged: true,
+		ms: 5000, load: 0.8, limit: LIMIT, measured: true,
 	}],
 	'the coordinator dies': [{ms: 5000, load: 1.5}, {
-		ms: 5000, load: 1.5, killsCoordinator: true, judged: true,
+		ms: 5000, load: 1.5, killsCoordinator: true, measured: true,
 	}],
 };
 
 const FIGURES: ReadonlyArray<readonly [name: string, unit: string, pick: (figures: LimitFigures) => number]> = [
 	['wrongly refused', 'of operations', ({wronglyRefused}) => wronglyRefused],
-	['most in a window', 'of what is allowed', ({mostInWindow}) => mostInWindow],
+	['most in a window', 'of what is allowed', ({maxInWindow: mostInWindow}) => mostInWindow],
 	['messages', 'an operation', ({messagesPerOperation}) => messagesPerOperation],
 	['wait p50', 'ms', ({waitP50Ms}) => waitP50Ms],
 	['wait p99', 'ms', ({waitP99Ms}) => waitP99Ms],
@@ -77,7 +77,7 @@
 	for (const [load, steps] of Object.entries(LOADS)) {
 		const runs: LimitFigures[] = [];
 		for (const seed of seeds) {
-			runs.push(await playLimit(factory, hosts, LIMIT, steps, seed));
+			runs.push(await simulateLimit(factory, hosts, LIMIT, steps, seed));
 		}
 
 		for (const [name, unit, pick] of FIGURES) {
--- a/src/bench/rate-limits/counting-host.ts
+++ b/src/bench/rate-limits/issuer-limit.ts
@@ -7,7 +7,7 @@
 import {ONE_WAY_MS, type FleetLimit, type FleetLimitOptions} from './fleet-limit.js';
 
 /** Enforces the limit like the product: one host counts and issues tokens, and its fallbacks take over where it does not respond. */
-export function createCountingHost({clock, hosts: hostCount, limit: firstLimit}: FleetLimitOptions): FleetLimit {
+export function createIssuerLimit({clock, hosts: hostCount, limit: firstLimit}: FleetLimitOptions): FleetLimit {
 	const network = createPeerNetwork(clock, {latencyMs: ONE_WAY_MS});
 	const hosts = Array.from({length: hostCount}, (_, i) => ({name: `entry-${i}`, peerAddress: `entry-${i}:7000`, availabilityZone: `zone-${i % 4}`}));
 	const dead = new Set<number>();
--- a/src/bench/rate-limits/play-limit.ts
+++ b/src/bench/rate-limits/simulate-limit.ts
@@ -18,7 +18,7 @@
 	readonly limit?: RateLimit;
 	readonly killsCoordinator?: boolean;
 	/** Whether the figures include the step's operations. */
-	readonly judged?: boolean;
+	readonly measured?: boolean;
 };
 
 /** Figures of one run. */
@@ -26,7 +26,7 @@
 	/** Operations allowed fewer than by one counter of the whole fleet, as a share of those that it allows. */
 	readonly wronglyRefused: number;
 	/** Maximum number of operations in a window, as a share of what the users allow there. */
-	readonly mostInWindow: number;
+	readonly maxInWindow: number;
 	readonly messagesPerOperation: number;
 	readonly waitP50Ms: number;
 	readonly waitP99Ms: number;
@@ -40,7 +40,7 @@
 type Operation = {readonly startedAt: number; readonly doneAt: number; readonly allowed: boolean; readonly measured: boolean; readonly allowedByOracle: boolean};
 
 /** Simulates a load against one enforcement of a limit. */
-export async function playLimit(factory: FleetLimitFactory, hosts: number, limit: RateLimit, steps: readonly LoadStep[], seed: number): Promise<LimitFigures> {
+export async function simulateLimit(factory: FleetLimitFactory, hosts: number, limit: RateLimit, steps: readonly LoadStep[], seed: number): Promise<LimitFigures> {
 	const clock = createVirtualClock(undefined, {drainRounds: 2});
 	const random = createSeededRandom(seed);
 	const fleet = factory({
@@ -58,7 +58,7 @@
 		});
 	};
 
-	for (const {ms, load, hosts: part, limit: changed, killsCoordinator, judged: isMeasured = false} of steps) {
+	for (const {ms, load, hosts: part, limit: changed, killsCoordinator, measured: isMeasured = false} of steps) {
 		if (changed) {
 			fleet.setLimit(changed);
 			oracle.setLimit(changed, clock.now());
@@ -100,7 +100,7 @@
 
 	return {
 		wronglyRefused: Math.max(0, expected - allowedCount) / Math.max(1, expected),
-		mostInWindow: maxCount / ((((ratePerSecond * WINDOW_MS / 1000) + burst) * ALLOWED_FACTOR) + ALLOWED_EXTRA),
+		maxInWindow: maxCount / ((((ratePerSecond * WINDOW_MS / 1000) + burst) * ALLOWED_FACTOR) + ALLOWED_EXTRA),
 		messagesPerOperation: messages / Math.max(1, operations.length),
 		waitP50Ms: waits[Math.floor(waits.length / 2)] ?? 0,
 		waitP99Ms: waits[Math.floor(waits.length * 0.99)] ?? 0,
--- a/src/bench/replica-share.ts
+++ b/src/bench/replica-share.ts
@@ -7,7 +7,7 @@
 } from './replica-share/settings.js';
 import {getFigures, type Figures} from './replica-share/share-figures.js';
 import {
-	CONNECTIONS, HOP_MS, OWNERS, SERVICE_MS, SLOTS,
+	CONNECTIONS, ONE_WAY_MS, OWNERS, SERVICE_MS, SLOTS,
 } from './replica-share/share-system.js';
 import {createMeasure} from './statistics.js';
 
@@ -42,7 +42,7 @@
 			connections: CONNECTIONS,
 			owners: OWNERS,
 			'mean statement (ms)': SERVICE_MS,
-			'one way (ms)': HOP_MS,
+			'one way (ms)': ONE_WAY_MS,
 			'reads a second': traffic.readsPerSecond,
 			'syncs a second': traffic.syncsPerSecond,
 			'reads of sessions that just wrote (part)': USUAL_JUST_WROTE,
--- a/src/bench/replica-share/share-system.ts
+++ b/src/bench/replica-share/share-system.ts
@@ -28,7 +28,7 @@
 };
 
 /** One-way latency between hosts, in milliseconds. */
-export const HOP_MS = 1;
+export const ONE_WAY_MS = 1;
 
 export const SLOTS = 3;
 export const CONNECTIONS = 20;
@@ -56,7 +56,7 @@
 	const owners = Array.from({length: OWNERS}, (_, i) => createGroupOwner({
 		clock: schedule,
 		random: createSeededRandom(seed + 2000 + i),
-		endpoints: createInMemoryEndpoints(database.servers, {clock: schedule, latencyMs: HOP_MS, host: `entry-${i + 1}`}),
+		endpoints: createInMemoryEndpoints(database.servers, {clock: schedule, latencyMs: ONE_WAY_MS, host: `entry-${i + 1}`}),
 		getGroup: () => group,
 		isEndpointLeaving: () => false,
 		createAdmission: (endpoint, cfg) => createAdmission({
--- a/src/bench/replica-share/workload.ts
+++ b/src/bench/replica-share/workload.ts
@@ -4,7 +4,7 @@
 import {createRequestId} from '../../random/request-id.js';
 import type {ReadPath} from '../../owners/read-path.js';
 import {getLaterLogPosition, LOG_START, type LogPosition} from '../../terms/log-position.js';
-import {HOP_MS, type ShareSystem} from './share-system.js';
+import {ONE_WAY_MS, type ShareSystem} from './share-system.js';
 
 /** The kind of session that sends a read, which determines the read's floor. */
 export const SessionKind = {
@@ -99,9 +99,9 @@
 
 	const write = async (statement: string, values: readonly unknown[]): Promise<OwnerResponse> => {
 		const req = createRequest('write', statement, values, {class: 'deadline'});
-		await schedule.sleep(HOP_MS);
+		await schedule.sleep(ONE_WAY_MS);
 		const response = await owners[pickOwner()]!.writes.write(req, schedule.now() + SYNC_DEADLINE_MS);
-		await schedule.sleep(HOP_MS);
+		await schedule.sleep(ONE_WAY_MS);
 		return response;
 	};
 
@@ -165,11 +165,11 @@
 		const requiredPosition = floor ?? latestAcknowledged;
 		const maxAgeMs = kind === SessionKind.Latest ? 60_000 : traffic.agesMs[Math.floor(random.fraction() * traffic.agesMs.length)]!;
 		const req = createRequest('read', 'SELECT score FROM nights WHERE member = $1', [pickMember()], {floor, maxAgeMs});
-		await schedule.sleep(HOP_MS);
+		await schedule.sleep(ONE_WAY_MS);
 		const response = await reads[pickOwner()]!.read(req, schedule.now() + READ_DEADLINE_MS);
 		const done = response.outcome === Outcome.Done;
 		const stale = done && isStale(response, requiredPosition, maxAgeMs, schedule.now());
-		await schedule.sleep(HOP_MS);
+		await schedule.sleep(ONE_WAY_MS);
 		if (done) {
 			readFloors.set(session, getLaterLogPosition(readFloor, response.log!));
 		}
--- a/src/bench/site-load.ts
+++ b/src/bench/site-load.ts
@@ -2,11 +2,11 @@
 import type {
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Plot, PlotSeries, Variant,
 } from './experiment.js';
-import {OTHER_PLACEMENTS, WEIGHED, type PlacementWay} from './site-load/placements.js';
-import {playSite, type SitePlay} from './site-load/play-site.js';
+import {BASELINE_PLACEMENTS, COST_BASED, type PlacementPolicy} from './site-load/placements.js';
+import {simulateSite, type SiteRun} from './site-load/simulate-site.js';
 import type {RequestOutcome} from './site-load/site-callers.js';
 import {FILINGS, SLEEP_LOGS, type SiteShape} from './site-load/site-shapes.js';
-import {SITE_DAY} from './site-load/site-troubles.js';
+import {SITE_DAY} from './site-load/site-phases.js';
 import {createMeasure} from './statistics.js';
 
 /** Simulates the requests of both sites during bursts and with slow, lagging and crashed servers, for each read placement, in virtual time. */
@@ -23,13 +23,13 @@
 
 async function run(options: ExperimentOptions): Promise<ExperimentResult> {
 	const plots: Plot[] = [];
-	const measures = new Map<PlacementWay, Measure[]>();
+	const measures = new Map<PlacementPolicy, Measure[]>();
 	for (const site of [SLEEP_LOGS, FILINGS]) {
 		const series: PlotSeries[] = [];
-		for (const placement of [WEIGHED, ...OTHER_PLACEMENTS]) {
-			const results: SitePlay[] = [];
+		for (const placement of [COST_BASED, ...BASELINE_PLACEMENTS]) {
+			const results: SiteRun[] = [];
 			for (const seed of options.seeds) {
-				results.push(await playSite(site, SITE_DAY, placement, seed));
+				results.push(await simulateSite(site, SITE_DAY, placement, seed));
 			}
 
 			measures.set(placement, [...measures.get(placement) ?? [], ...createMeasures(site, results)]);
@@ -59,17 +59,17 @@
 	let earned = 0;
 	let total = 0;
 	for (const {shape, tookMs} of outcomes) {
-		total += shape.worth;
+		total += shape.value;
 		if (tookMs !== undefined && tookMs <= shape.deadlineMs) {
-			earned += tookMs <= shape.aimMs ? shape.worth : shape.lateWorth;
+			earned += tookMs <= shape.targetLatencyMs ? shape.value : shape.lateValue;
 		}
 	}
 
 	return total === 0 ? 1 : earned / total;
 }
 
-function createMeasures(site: SiteShape, results: readonly SitePlay[]): readonly Measure[] {
-	const measure = (name: string, unit: string, get: (result: SitePlay) => number) => createMeasure(`${site.name}: ${name}`, unit, results.map(result => get(result)));
+function createMeasures(site: SiteShape, results: readonly SiteRun[]): readonly Measure[] {
+	const measure = (name: string, unit: string, get: (result: SiteRun) => number) => createMeasure(`${site.name}: ${name}`, unit, results.map(result => get(result)));
 	return [
 		measure('credit', 'of 1', ({outcomes}) => getCredit(outcomes)),
 		measure(`worst ${WINDOW_MS / 1000} s`, 'of 1', result => Math.min(...getCreditByWindow(result).map(({y}) => y))),
@@ -100,7 +100,7 @@
 }
 
 /** Returns the credit of the requests sent in each window, by the second at which the window begins. */
-function getCreditByWindow({outcomes, begunAt}: SitePlay) {
+function getCreditByWindow({outcomes, begunAt}: SiteRun) {
 	const start = begunAt[0]!.at;
 	const lengthMs = SITE_DAY.reduce((sum, stretch) => sum + stretch.lengthMs, 0);
 	return Array.from({length: Math.floor((lengthMs - WINDOW_MS) / 1000) + 1}, (_, second) => {
--- a/src/bench/site-load/placements.ts
+++ b/src/bench/site-load/placements.ts
@@ -3,13 +3,13 @@
 import type {PlainServer} from '../../stand-ins/plain-group/plain-server.js';
 
 /** A policy for placing reads; each host creates a placement of its own. */
-export type PlacementWay = {
+export type PlacementPolicy = {
 	readonly name: string;
 	create(findServer: (id: string) => PlainServer): ReadPlacement;
 };
 
 /** The product's placement. */
-export const WEIGHED: PlacementWay = {name: 'load, lag and zone weighed', create: () => new CostBasedPlacement()};
+export const COST_BASED: PlacementPolicy = {name: 'load, lag and zone weighed', create: () => new CostBasedPlacement()};
 
 /** Places every read at the primary, like a proxy that does not know replicas. */
 class PrimaryPlacement implements ReadPlacement {
@@ -62,10 +62,10 @@
 }
 
 /** The product's former placement, with penalties of 25 ms for another zone and 30 ms for the primary. */
-export const FIXED_PENALTIES: PlacementWay = {name: 'weights in milliseconds', create: () => new FixedPenaltyPlacement()};
+export const FIXED_PENALTIES: PlacementPolicy = {name: 'weights in milliseconds', create: () => new FixedPenaltyPlacement()};
 
 /** The placements that the product's is compared with. */
-export const OTHER_PLACEMENTS: readonly PlacementWay[] = [
+export const BASELINE_PLACEMENTS: readonly PlacementPolicy[] = [
 	FIXED_PENALTIES,
 	{name: 'primary only', create: () => new PrimaryPlacement()},
 	{name: 'replicas by turns', create: () => new RoundRobinPlacement()},
--- a/src/bench/site-load/play-site.ts
+++ b/src/bench/site-load/simulate-site.ts
@@ -2,13 +2,13 @@
 import {createSimulatedProxies, type SimulatedProxiesOptions} from '../../stand-ins/proxies/simulated-proxies.js';
 import {createVirtualClock} from '../../stand-ins/time/virtual-clock.js';
 import type {ReadCandidate} from '../../placement/choose-endpoint.js';
-import type {PlacementWay} from './placements.js';
+import type {PlacementPolicy} from './placements.js';
 import {createSiteCallers, type RequestOutcome} from './site-callers.js';
 import type {RequestShape, SiteShape} from './site-shapes.js';
-import type {SitePhase} from './site-troubles.js';
+import type {SitePhase} from './site-phases.js';
 
 /** Results of a simulated day at a site. */
-export type SitePlay = {
+export type SiteRun = {
 	readonly outcomes: readonly RequestOutcome[];
 	/** When each phase began. */
 	readonly begunAt: ReadonlyArray<{readonly phase: SitePhase; readonly at: number}>;
@@ -30,7 +30,7 @@
 const SLOW_STATEMENT_FACTOR = 5;
 
 /** Simulates a day at a site with one policy for placing reads; the same seed yields the same requests. */
-export async function playSite(site: SiteShape, day: readonly SitePhase[], policy: PlacementWay, seed: number): Promise<SitePlay> {
+export async function simulateSite(site: SiteShape, day: readonly SitePhase[], policy: PlacementPolicy, seed: number): Promise<SiteRun> {
 	const clock = createVirtualClock();
 	const workRandom = createSeededRandom(seed + 1);
 	const placed = {reads: 0, near: 0, replicas: 0};
@@ -96,7 +96,7 @@
 	return {outcomes: callers.outcomes, begunAt, placed};
 }
 
-function createRoute({name, policy, maxReadAgeMs, deadlineMs, aimMs: targetMs, worth: fullValue}: RequestShape, group: number) {
+function createRoute({name, policy, maxReadAgeMs, deadlineMs, targetLatencyMs: targetMs, value: fullValue}: RequestShape, group: number) {
 	return {
 		name: `${name}-${group}`,
 		database: `${name}-${group}`,
--- a/src/bench/site-load/site-shapes.ts
+++ b/src/bench/site-load/site-shapes.ts
@@ -13,11 +13,11 @@
 	/** Mean time of a statement at an endpoint, in milliseconds. */
 	readonly workMs: number;
 	/** Latency target: time within which a response earns the full value, in milliseconds from the first attempt. */
-	readonly aimMs: number;
+	readonly targetLatencyMs: number;
 	/** Time within which a response earns `lateValue`, in milliseconds from the first attempt. */
 	readonly deadlineMs: number;
-	readonly worth: number;
-	readonly lateWorth: number;
+	readonly value: number;
+	readonly lateValue: number;
 	/** Maximum number of retries after refusals. */
 	readonly retries: number;
 	/** Whether each request opens a session of its own. */
@@ -55,15 +55,15 @@
 	requests: [
 		{
 			name: 'sync', policy: ReadPolicy.Primary, maxReadAgeMs: 0, writeShare: 0.35, transactionShare: 0.4, perSecond: 47, workMs: 8,
-			aimMs: 200, deadlineMs: 2000, worth: 2, lateWorth: 0.6, retries: 2, opensSession: false,
+			targetLatencyMs: 200, deadlineMs: 2000, value: 2, lateValue: 0.6, retries: 2, opensSession: false,
 		},
 		{
 			name: 'review', policy: ReadPolicy.Bounded, maxReadAgeMs: 1500, writeShare: 0, transactionShare: 0.1, perSecond: 47, workMs: 40,
-			aimMs: 600, deadlineMs: 6000, worth: 1, lateWorth: 0.3, retries: 2, opensSession: false,
+			targetLatencyMs: 600, deadlineMs: 6000, value: 1, lateValue: 0.3, retries: 2, opensSession: false,
 		},
 		{
 			name: 'roster', policy: ReadPolicy.OwnWrites, maxReadAgeMs: 2500, writeShare: 0.12, transactionShare: 0.12, perSecond: 220, workMs: 24,
-			aimMs: 400, deadlineMs: 2000, worth: 2, lateWorth: 0.3, retries: 2, opensSession: false,
+			targetLatencyMs: 400, deadlineMs: 2000, value: 2, lateValue: 0.3, retries: 2, opensSession: false,
 		},
 	],
 };
@@ -83,15 +83,15 @@
 	requests: [
 		{
 			name: 'filing', policy: ReadPolicy.Primary, maxReadAgeMs: 0, writeShare: 0.2, transactionShare: 0.25, perSecond: 47, workMs: 3,
-			aimMs: 100, deadlineMs: 1500, worth: 2, lateWorth: 0.6, retries: 2, opensSession: false,
+			targetLatencyMs: 100, deadlineMs: 1500, value: 2, lateValue: 0.6, retries: 2, opensSession: false,
 		},
 		{
 			name: 'lookup', policy: ReadPolicy.Bounded, maxReadAgeMs: 1500, writeShare: 0, transactionShare: 0.1, perSecond: 47, workMs: 15,
-			aimMs: 300, deadlineMs: 4000, worth: 1, lateWorth: 0.3, retries: 2, opensSession: true,
+			targetLatencyMs: 300, deadlineMs: 4000, value: 1, lateValue: 0.3, retries: 2, opensSession: true,
 		},
 		{
 			name: 'docket', policy: ReadPolicy.OwnWrites, maxReadAgeMs: 2500, writeShare: 0.12, transactionShare: 0.12, perSecond: 220, workMs: 9,
-			aimMs: 200, deadlineMs: 1500, worth: 2, lateWorth: 0.3, retries: 2, opensSession: false,
+			targetLatencyMs: 200, deadlineMs: 1500, value: 2, lateValue: 0.3, retries: 2, opensSession: false,
 		},
 	],
 };
--- a/src/bench/store-restore.ts
+++ b/src/bench/store-restore.ts
@@ -2,7 +2,7 @@
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
 import {createMeasure} from './statistics.js';
-import {playReturn, PrimaryLoss, type ReturnFigures} from './store-restore/play-return.js';
+import {simulateRestore, PrimaryLoss, type RestoreFigures} from './store-restore/simulate-restore.js';
 
 /** Restores the store from a backup while fleets of several sizes use it, in virtual time. */
 export const storeRestore: Experiment = {
@@ -15,7 +15,7 @@
 
 const LOST_CHANGES = [0, 30] as const;
 
-const FIGURES: ReadonlyArray<readonly [name: string, unit: string, pick: (figures: ReturnFigures) => number]> = [
+const FIGURES: ReadonlyArray<readonly [name: string, unit: string, pick: (figures: RestoreFigures) => number]> = [
 	['a new configuration at all hosts', 'ms', ({applyMs}) => applyMs],
 	['longest time without a write', 'ms', ({writeGapMs}) => writeGapMs],
 	['writes not acknowledged', 'writes', ({refused}) => refused],
@@ -46,9 +46,9 @@
 async function measureRestores(hosts: number, lostChanges: number, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const primaryLoss of Object.values(PrimaryLoss)) {
-		const runs: ReturnFigures[] = [];
+		const runs: RestoreFigures[] = [];
 		for (const seed of seeds) {
-			runs.push(await playReturn({
+			runs.push(await simulateRestore({
 				hosts, lostChanges, primaryLoss, seed,
 			}));
 		}
--- a/src/bench/store-restore/play-return.ts
+++ b/src/bench/store-restore/simulate-restore.ts
@@ -27,7 +27,7 @@
 };
 
 /** What callers and the operator experience. */
-export type ReturnFigures = {
+export type RestoreFigures = {
 	/** Time from the acknowledgement of a configuration, one second after the restore, until the last host has it, in milliseconds. */
 	readonly applyMs: number;
 	/** Longest time without an acknowledged write from the restore on, in milliseconds. */
@@ -63,7 +63,7 @@
 };
 
 /** Simulates one restore of the store from a backup, with a caller that writes at one host from the restore on. */
-export async function playReturn({hosts, lostChanges, primaryLoss, seed}: RestoreOptions): Promise<ReturnFigures> {
+export async function simulateRestore({hosts, lostChanges, primaryLoss, seed}: RestoreOptions): Promise<RestoreFigures> {
 	const clock = createVirtualClock();
 	const random = createSeededRandom(seed);
 	const system = createSimulatedProxies({
--- a/src/bench/workspace-links.ts
+++ b/src/bench/workspace-links.ts
@@ -2,7 +2,7 @@
 	Experiment, ExperimentOptions, ExperimentResult, Measure, Variant,
 } from './experiment.js';
 import {createMeasure} from './statistics.js';
-import {playKeepers, type KeepersFigures, type KeepersPlay} from './workspace-links/play-keepers.js';
+import {simulatePoolHosts, type PoolHostsFigures, type PoolHostsScenario} from './workspace-links/simulate-pool-hosts.js';
 
 /** Serves many workspaces at one busy endpoint with several distributions of its connections over hosts, in virtual time. */
 export const workspaceLinks: Experiment = {
@@ -14,13 +14,13 @@
 /** Statements per second, and the factor by which the endpoint is slower at first. */
 const LOADS = [[40, 1], [120, 1], [120, 5], [180, 1]] as const;
 
-const DISTRIBUTIONS: Readonly<Record<string, Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>>> = {
-	'two hosts a zone, by workspace': {keepersPerZone: 2, byWorkspace: true},
-	'two hosts a zone, by turns': {keepersPerZone: 2, byWorkspace: false},
-	'one host a zone': {keepersPerZone: 1, byWorkspace: true},
+const DISTRIBUTIONS: Readonly<Record<string, Pick<PoolHostsScenario, 'poolHostsPerZone' | 'byWorkspace'>>> = {
+	'two hosts a zone, by workspace': {poolHostsPerZone: 2, byWorkspace: true},
+	'two hosts a zone, by turns': {poolHostsPerZone: 2, byWorkspace: false},
+	'one host a zone': {poolHostsPerZone: 1, byWorkspace: true},
 };
 
-const FIGURES: ReadonlyArray<readonly [name: string, unit: string, pick: (figures: KeepersFigures) => number]> = [
+const FIGURES: ReadonlyArray<readonly [name: string, unit: string, pick: (figures: PoolHostsFigures) => number]> = [
 	['opened', 'a statement', ({openedPerStatement}) => openedPerStatement],
 	['openings over the cap', 'a statement', ({overCapPerStatement}) => overCapPerStatement],
 	['failed', 'of statements', ({failed}) => failed],
@@ -49,12 +49,12 @@
 	};
 }
 
-async function measureDistribution(distribution: Pick<KeepersPlay, 'keepersPerZone' | 'byWorkspace'>, seeds: readonly number[]): Promise<readonly Measure[]> {
+async function measureDistribution(distribution: Pick<PoolHostsScenario, 'poolHostsPerZone' | 'byWorkspace'>, seeds: readonly number[]): Promise<readonly Measure[]> {
 	const measures: Measure[] = [];
 	for (const [statementsPerSecond, slowFactor] of LOADS) {
-		const runs: KeepersFigures[] = [];
+		const runs: PoolHostsFigures[] = [];
 		for (const seed of seeds) {
-			runs.push(await playKeepers({
+			runs.push(await simulatePoolHosts({
 				...distribution, zones: 4, workspaces: 83, skew: 1, statementsPerSecond, slowFactor, seed,
 			}));
 		}
--- a/src/bench/workspace-links/play-keepers.ts
+++ b/src/bench/workspace-links/simulate-pool-hosts.ts
@@ -7,9 +7,9 @@
 import {createBusyEndpoint} from './busy-endpoint.js';
 
 /** How an endpoint's connections are distributed over hosts, and the load of its callers. */
-export type KeepersPlay = {
+export type PoolHostsScenario = {
 	/** Number of pool hosts in each zone. */
-	readonly keepersPerZone: number;
+	readonly poolHostsPerZone: number;
 	readonly zones: number;
 	/** Whether a zone's statements of one workspace all go to the same pool host; else they go to each of the zone's pool hosts by turns. */
 	readonly byWorkspace: boolean;
@@ -23,7 +23,7 @@
 };
 
 /** Figures of one run. */
-export type KeepersFigures = {
+export type PoolHostsFigures = {
 	readonly openedPerStatement: number;
 	readonly overCapPerStatement: number;
 	/** Share of the statements that were not answered within their timeout. */
@@ -47,9 +47,9 @@
 const RETRY_DELAY_MS = 20;
 
 /** Simulates one busy endpoint. */
-export async function playKeepers({
-	keepersPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
-}: KeepersPlay): Promise<KeepersFigures> {
+export async function simulatePoolHosts({
+	poolHostsPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
+}: PoolHostsScenario): Promise<PoolHostsFigures> {
 	const clock = createVirtualClock(undefined, {drainRounds: 1});
 	const random = createSeededRandom(seed);
 	const endpoint = createBusyEndpoint({
--- a/tests/bench/workspace-links-tests.ts
+++ b/tests/bench/workspace-links-tests.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {playKeepers} from '../../src/bench/workspace-links/play-keepers.js';
+import {simulatePoolHosts} from '../../src/bench/workspace-links/simulate-pool-hosts.js';
 
 /** Latency target and timeout of the callers, in milliseconds. */
 const TARGET_LATENCY_MS = 251;
@@ -9,8 +9,8 @@
 describe('callers of many workspaces at one endpoint', () => {
 	function doTest(statementsPerSecond: number, failedAtMost: number, p99AtMost: number) {
 		it(`are served at ${statementsPerSecond} statements a second`, async () => {
-			const {failed, p50Ms, p99Ms} = await playKeepers({
-				keepersPerZone: 2, zones: 4, byWorkspace: true, workspaces: 83, skew: 1, statementsPerSecond, seed: 1,
+			const {failed, p50Ms, p99Ms} = await simulatePoolHosts({
+				poolHostsPerZone: 2, zones: 4, byWorkspace: true, workspaces: 83, skew: 1, statementsPerSecond, seed: 1,
 			});
 			expect(failed).to.be.at.most(failedAtMost);
 			expect(p50Ms).to.be.at.most(TARGET_LATENCY_MS);
