--- a/tests/bench/failover-gap-tests.ts
+++ b/tests/bench/failover-gap-tests.ts
@@ -14,7 +14,7 @@
 
 	// The second owner, after it had been notified of the new primary, still considered the primary lost because of the old one, and
 	// replaced the new one too. Filings stalled twice.
-	it('replaces a primary that is cut off from its group only once', async () => {
+	it('replaces a primary that is cut off from its group exactly once', async () => {
 		const {promotions} = await runScenario('cut off from its group only');
 		expect(promotions).to.equal(1);
 	});
