--- a/src/groups/group-config.ts
+++ b/src/groups/group-config.ts
@@ -26,11 +26,11 @@
 
 /** The classes of work that a caller can name, most urgent first. */
 export const WorkClass = {
-	/** Filings and syncs. */
+	/** Work that callers have to complete by a fixed time. */
 	Deadline: 'deadline',
-	/** Lookups and coach pulls. */
+	/** Requests on which a user waits. */
 	Interactive: 'interactive',
-	/** Dockets and reconciliation. */
+	/** Batch work that can wait. */
 	Background: 'background',
 } as const;
 
--- a/src/leadership/cut-offs.ts
+++ b/src/leadership/cut-offs.ts
@@ -1,6 +1,6 @@
 /** Groups whose primary this host cannot reach while other hosts can. */
 export type CutOffs = {
-	/** Records that the group's primary is cut off from this host at the monotonic time `now`. */
+	/** Records that the group's primary is cut off from this host at the steady time `now`. */
 	note(group: string, now: number): void;
 	/** Records that the primary has responded again. */
 	clear(group: string): void;
--- a/src/leadership/failover-lease.ts
+++ b/src/leadership/failover-lease.ts
@@ -43,7 +43,7 @@
 	let seenVersion = -1;
 	let seenSince = 0;
 	let generation = 0;
-	/** Elapsed time at which this host first saw the present store generation; undefined while it has seen only the first. */
+	/** Elapsed time at which this host first saw the present store generation; undefined while that is 0, the generation of a store that was never restored. */
 	let restoreSeenAt: number | undefined;
 	let held: {readonly token: number; readonly until: number} | undefined;
 
--- a/src/leadership/fence-check.ts
+++ b/src/leadership/fence-check.ts
@@ -47,7 +47,7 @@
 
 /** Creates the check. */
 export function createFenceCheck({directory, primaryLeases, clock, elapsedClock, log, readsForAll, countHosts}: FenceCheckOptions): FenceCheck {
-	/** By group, the monotonic time before which its endpoints are not asked again. */
+	/** By group, the steady time before which its endpoints are not asked again. */
 	const notBefore = new Map<string, number>();
 
 	/**
--- a/src/leadership/host-liveness.ts
+++ b/src/leadership/host-liveness.ts
@@ -8,7 +8,7 @@
 import {LEADERSHIP_CALL_TIMEOUT_MS} from './leadership-calls.js';
 
 /**
- * Marks hosts that have ended without notice, while no primary is being replaced.
+ * Marks hosts that have ended without notice, before a replacement of a primary has to wait for them.
  *
  * A dead host in the list would not acknowledge when a primary is replaced, so that every replacement would take longer by the duration of a primary
  * lease. Hosts receive the requests of those below them in the host tree and report upwards from whom they receive none; the host that reads the
@@ -67,8 +67,8 @@
 		 */
 		if (unresponsive.size * 2 < mirror.state.hosts.length) {
 			await Promise.all(silentHosts.filter(({peerAddress}) => unresponsive.has(peerAddress) && previouslyUnresponsive.has(peerAddress)).map(async host => {
-				const heardAt = mirror.getLastPolledAt(host.peerAddress);
-				log.info('a host is silent', {host: host.name, heardAgoMs: heardAt === undefined ? undefined : Math.round(now - heardAt)});
+				const lastPolledAt = mirror.getLastPolledAt(host.peerAddress);
+				log.info('a host is silent', {host: host.name, heardAgoMs: lastPolledAt === undefined ? undefined : Math.round(now - lastPolledAt)});
 				await unresponsiveHosts.mark(host);
 			}));
 		}
--- a/src/leadership/leadership-record.ts
+++ b/src/leadership/leadership-record.ts
@@ -141,8 +141,8 @@
 }
 
 /**
- * Returns the substitute for a host's record that cannot be parsed: no request is sent to the host, and each replacement waits until its leases
- * have expired, until the host has registered again.
+ * Returns the substitute for a host's record that cannot be parsed: no request is sent to the host, and until it has registered again each
+ * replacement waits for the duration of a primary lease.
  */
 export function getUnreadableHost(name: string): HostRecord {
 	return {
--- a/src/mirror/mirror-calls.ts
+++ b/src/mirror/mirror-calls.ts
@@ -39,7 +39,7 @@
 	readonly revision: number;
 	/** First piece of the difference between the requesting host's contents and the responding host's; undefined if there is none. */
 	readonly update?: ContentsPiece;
-	/** Groups whose record the responding host is changing, or requested to change without receiving the outcome. */
+	/** Groups that the responding host is changing, or whose leadership it knows to have changed since its copy of the store. */
 	readonly changing: readonly string[];
 	readonly unfenced: readonly UnfencedGroup[];
 };
--- a/src/mirror/peer-confirmation.ts
+++ b/src/mirror/peer-confirmation.ts
@@ -18,9 +18,9 @@
 	readonly elapsedClock: ElapsedClock;
 	readonly log: Log;
 	readonly ownPeerAddress: string;
-	/** Returns the groups that this host is changing, or may have changed without knowing. */
+	/** Returns the groups that this host is changing, or whose leadership it knows to have changed since its copy of the store. */
 	getChanging(): readonly string[];
-	/** Returns the addresses of all other hosts. */
+	/** Returns the addresses of all other hosts that are not marked as unresponsive, or of the other seeds if no host is known. */
 	getOthers(): readonly string[];
 	/** Sends one host an urgent request and applies its response; undefined if it did not respond. */
 	askPeer(address: string): Promise<{readonly update: StoreUpdate; readonly confirmed: boolean} | undefined>;
@@ -29,7 +29,7 @@
 /**
  * Time without a confirmation by the store after which confirmations by other hosts, or by endpoints, no longer count, in milliseconds. Later, the
  * host's own record may have been deleted as that of an unresponsive host, and hosts that it does not know may replace primaries. Outages of 3 to
- * 9 s are common; but a dead host's record is kept for this long too, and each replacement of a primary waits for that host meanwhile.
+ * 9 s are common; but the longer this time, the longer a dead host's record is kept, and each replacement of a primary waits while it is there.
  */
 export const MAX_WITHOUT_STORE_MS = 9000;
 
--- a/src/mirror/store-mirror.ts
+++ b/src/mirror/store-mirror.ts
@@ -61,7 +61,7 @@
 	readonly host: HostRecord;
 	/** Peers to ask before any host is known. */
 	readonly seeds: readonly string[];
-	/** Returns the groups that this host is changing, or may have changed without knowing. */
+	/** Returns the groups that this host is changing, or whose leadership it knows to have changed since its copy of the store. */
 	getChanging(): readonly string[];
 	/** Returns the groups whose primaries remain valid because their endpoints, queried after the copy was last confirmed, showed no fence. */
 	getUnfenced(now: number): readonly UnfencedGroup[];
