--- a/src/groups/confirmed-samples.ts
+++ b/src/groups/confirmed-samples.ts
@@ -22,13 +22,13 @@
 /** Returns the index of the sample, other than the first and last, whose removal adds the smallest relative error to an age. */
 function findLeastUsefulSample(samples: readonly Sample[], now: number): number {
 	let dispensable = 1;
-	let least = Infinity;
+	let minLoss = Infinity;
 
 	for (let i = 1; i < samples.length - 1; i++) {
 		const gap = samples[i + 1]!.at - samples[i - 1]!.at;
 		const loss = gap / (now - samples[i]!.at + 1);
-		if (loss < least) {
-			least = loss;
+		if (loss < minLoss) {
+			minLoss = loss;
 			dispensable = i;
 		}
 	}
--- a/src/groups/primary-history.ts
+++ b/src/groups/primary-history.ts
@@ -68,8 +68,8 @@
 				return undefined;
 			}
 
-			const part = (log.position - before.position) / (after.position - before.position);
-			return before.lastAt + (part * (after.firstAt - before.lastAt));
+			const fraction = (log.position - before.position) / (after.position - before.position);
+			return before.lastAt + (fraction * (after.firstAt - before.lastAt));
 		},
 	};
 }
--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -87,7 +87,7 @@
 	const {clock, directory, failoverLease, elapsedClock, primaryLeases, mirror, peers, random, store} = options;
 	const log = options.log.withPrefix('leads: ');
 	const reachability = createPrimaryReachability({
-		mirror, directory, lenders: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
+		mirror, directory, poolHosts: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
 	});
 	const firstRecord = createFirstRecord({
 		store, mirror, directory, clock, log, hostName: options.hostName,
@@ -197,12 +197,12 @@
 			});
 		}
 
-		const [answers, verdict] = await Promise.all([reachability.probe(primaryId), reachability.evaluate(group, primaryId, clock.now() - watch.suspectedSince)]);
-		if (!answers && verdict === ReachVerdict.ReachedByOthers) {
+		const [responds, verdict] = await Promise.all([reachability.probe(primaryId), reachability.evaluate(group, primaryId, clock.now() - watch.suspectedSince)]);
+		if (!responds && verdict === ReachVerdict.ReachedByOthers) {
 			options.cutOffs.note(group, clock.now());
 		}
 
-		if (answers || verdict !== ReachVerdict.Lost) {
+		if (responds || verdict !== ReachVerdict.Lost) {
 			return;
 		}
 
--- a/src/leadership/lease-revocation.ts
+++ b/src/leadership/lease-revocation.ts
@@ -93,11 +93,11 @@
 }
 
 /** Returns the other hosts as registered after the record was updated, and those that a restored store has lost; undefined if the store does not respond. */
-async function listOtherHosts({mirror, storeRestores: returns, elapsedClock, ownPeerAddress}: ReplacePrimaryParts) {
+async function listOtherHosts({mirror, storeRestores, elapsedClock, ownPeerAddress}: ReplacePrimaryParts) {
 	if (!await mirror.confirm()) {
 		return undefined;
 	}
 
-	const hosts = [...mirror.state.hosts, ...returns.getLostHosts(elapsedClock.elapsed())];
+	const hosts = [...mirror.state.hosts, ...storeRestores.getLostHosts(elapsedClock.elapsed())];
 	return hosts.filter(host => host.peerAddress !== ownPeerAddress);
 }
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -39,7 +39,7 @@
 export type PrimaryReachabilityOptions = {
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly lenders: PoolHosts;
+	readonly poolHosts: PoolHosts;
 	readonly peers: Peers;
 	readonly clock: Clock;
 	readonly log: Log;
@@ -62,7 +62,7 @@
 const MAJORITY_NOT_REQUIRED_AFTER_MS = 8000;
 
 /** Creates the reachability checks and responds to those of other hosts. */
-export function createPrimaryReachability({mirror, directory, lenders, peers, clock, log, ownPeerAddress}: PrimaryReachabilityOptions): PrimaryReachability {
+export function createPrimaryReachability({mirror, directory, poolHosts, peers, clock, log, ownPeerAddress}: PrimaryReachabilityOptions): PrimaryReachability {
 	/** Probes in progress, by endpoint. */
 	const probes = new Map<string, Promise<boolean>>();
 	/** Time at which a probe last failed, by endpoint. */
@@ -89,9 +89,9 @@
 	};
 
 	const probe = async (endpointId: string): Promise<boolean> => {
-		const heardAt = directory.get(endpointId)?.pool.health.lastReceivedAt ?? 0;
+		const lastReceivedAt = directory.get(endpointId)?.pool.health.lastReceivedAt ?? 0;
 		const failed = failedAt.get(endpointId);
-		if (failed !== undefined && heardAt < failed && clock.now() - failed < PROBE_TIMEOUT_MS) {
+		if (failed !== undefined && lastReceivedAt < failed && clock.now() - failed < PROBE_TIMEOUT_MS) {
 			return false;
 		}
 
@@ -102,12 +102,12 @@
 
 	const probeOnce = async (endpointId: string): Promise<boolean> => {
 		try {
-			const answers = await probeAnew(endpointId);
-			if (!answers) {
+			const responds = await probeAnew(endpointId);
+			if (!responds) {
 				failedAt.set(endpointId, clock.now());
 			}
 
-			return answers;
+			return responds;
 		} finally {
 			probes.delete(endpointId);
 		}
@@ -129,8 +129,8 @@
 	 * Most hosts must respond, since otherwise the smaller part of a partitioned fleet would take the primary from the hosts that use it.
 	 */
 	const evaluate = async (group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict> => {
-		const {keepers, count: all} = getPoolHosts(group, endpointId);
-		const others = keepers.filter(host => host.peerAddress !== ownPeerAddress);
+		const {hosts, count: all} = getPoolHosts(group, endpointId);
+		const others = hosts.filter(host => host.peerAddress !== ownPeerAddress);
 		const known = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
 		const against = 1 + known.filter(reachable => !reachable).length;
 		const asked = known.length + 1;
@@ -150,8 +150,8 @@
 	 * connections, hosts that are marked as unresponsive count as well: the smaller part of a partitioned fleet may have marked the larger.
 	 */
 	const getPoolHosts = (group: string, id: string) => {
-		const keepers = lenders.getHosts({id, group});
-		return {keepers, count: lenders.isShared({id, group}) ? keepers.length : mirror.state.hosts.length};
+		const hosts = poolHosts.getHosts({id, group});
+		return {hosts, count: poolHosts.isShared({id, group}) ? hosts.length : mirror.state.hosts.length};
 	};
 
 	/**
--- a/src/mirror/change-feed-source.ts
+++ b/src/mirror/change-feed-source.ts
@@ -24,7 +24,7 @@
 export function createChangeFeedSource(copy: MirrorCopy, host: HostRecord, seeds: readonly string[], log: Log): ChangeFeedSource {
 	/** End of each exclusion in steady time, by address. */
 	const avoidedUntil = new Map<string, number>();
-	let known: {readonly hosts: readonly HostRecord[]; readonly living: readonly HostRecord[]; readonly tree: HostTree} | undefined;
+	let known: {readonly hosts: readonly HostRecord[]; readonly responsive: readonly HostRecord[]; readonly tree: HostTree} | undefined;
 
 	/** The tree without the excluded hosts; undefined until it is needed, and again after a change of hosts or exclusions. */
 	let treeWithoutAvoided: HostTree | undefined;
@@ -32,8 +32,8 @@
 	const getKnown = () => {
 		const {hosts} = copy.state;
 		if (known?.hosts !== hosts) {
-			const living = hosts.filter(({gone}) => !gone);
-			known = {hosts, living, tree: createHostTree(living)};
+			const responsive = hosts.filter(({gone}) => !gone);
+			known = {hosts, responsive, tree: createHostTree(responsive)};
 			treeWithoutAvoided = undefined;
 		}
 
@@ -53,12 +53,12 @@
 
 	const getTreeWithoutAvoided = (now: number) => {
 		removeExpired(now);
-		const {living, tree} = getKnown();
+		const {responsive, tree} = getKnown();
 		if (avoidedUntil.size === 0) {
 			return tree;
 		}
 
-		treeWithoutAvoided ??= createHostTree(living.filter(({peerAddress}) => !isAvoided(peerAddress, now)));
+		treeWithoutAvoided ??= createHostTree(responsive.filter(({peerAddress}) => !isAvoided(peerAddress, now)));
 		return treeWithoutAvoided;
 	};
 
@@ -70,7 +70,7 @@
 	};
 
 	return {
-		getParent: now => getKnown().living.length === 0 ? getSeed(now) : getTreeWithoutAvoided(now).getParent(host)?.peerAddress,
+		getParent: now => getKnown().responsive.length === 0 ? getSeed(now) : getTreeWithoutAvoided(now).getParent(host)?.peerAddress,
 		avoid(address, now) {
 			log.info('the host that is polled for store updates does not respond', {peer: address, revision: formatQualified(copy.state.revision)});
 			avoidedUntil.set(address, now + AVOID_MS);
@@ -78,8 +78,8 @@
 		},
 		getTree: () => getKnown().tree,
 		getOthers() {
-			const {living} = getKnown();
-			const addresses = living.length > 0 ? living.map(({peerAddress}) => peerAddress) : seeds;
+			const {responsive} = getKnown();
+			const addresses = responsive.length > 0 ? responsive.map(({peerAddress}) => peerAddress) : seeds;
 			return addresses.filter(address => address !== host.peerAddress);
 		},
 	};
--- a/src/peers/peer-link.ts
+++ b/src/peers/peer-link.ts
@@ -45,7 +45,7 @@
 
 type LinkState = typeof LinkState[keyof typeof LinkState];
 
-/** Delay of a wake-up after which this process itself has stalled, in milliseconds, so that the time of the last message proves nothing. */
+/** A wake-up that is late by this much, in milliseconds, shows that this process itself stalled, so that the time of the last message proves nothing. */
 const OWN_STALL_MS = 500;
 
 /** Opens a link, which takes calls at once and sends them when both ends are authenticated. */
@@ -139,7 +139,7 @@
 
 	const onFrame = (frame: PeerFrame) => {
 		if (frame.type === FrameType.Call) {
-			terminate('the answering end made a call');
+			terminate('the responder made a call');
 		} else if (frame.type === FrameType.Leaving) {
 			state = LinkState.Leaving;
 			options.onLeaving();
--- a/tests/leadership/primary-reachability-tests.ts
+++ b/tests/leadership/primary-reachability-tests.ts
@@ -16,7 +16,7 @@
 		ownPeerAddress: 'own',
 		directory: {get: () => undefined},
 		mirror: {state: {hosts}},
-		lenders: {isShared: () => false, getHosts: () => hosts},
+		poolHosts: {isShared: () => false, getHosts: () => hosts},
 		peers: {
 			handle: () => undefined,
 			async call(address: string, kind: string, _req: unknown, timeoutMs: number) {
@@ -48,7 +48,7 @@
 	doTest('is lost as soon as half of the hosts cannot reach it', [false, false, true, 'silent'], 'lost after 5 ms');
 	doTest('is reached by others as soon as most hosts reach it', [true, true, true, 'silent'], 'reached-by-others after 5 ms');
 	doTest('waits for silent hosts if they can change it', [true, false, 'silent', 'silent'], 'lost after 400 ms');
-	doTest('is open if too few respond', [false, 'silent', 'silent', 'silent'], 'open after 400 ms');
+	doTest('is undecided if too few respond', [false, 'silent', 'silent', 'silent'], 'open after 400 ms');
 
 	it('is rejected with an unexpected error of a call', async () => {
 		const err: unknown = await evaluate(['bug', 'silent']).catch((err_: unknown) => err_);
--- a/tests/mirror/change-feed-client-tests.ts
+++ b/tests/mirror/change-feed-client-tests.ts
@@ -37,8 +37,8 @@
 		getSilent: () => [],
 		noteUnfenced() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 	});
-	const answer = await client.poll('b:7000', 900);
-	return {copy, answer};
+	const result = await client.poll('b:7000', 900);
+	return {copy, result};
 }
 
 describe('what a host applies of a response', () => {
@@ -59,13 +59,13 @@
 	 * one did at its request; if that were taken for what this host holds now, the entry would stay.
 	 */
 	it('no later revision if the contents have changed since the request', async () => {
-		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(15, ['a', 'b']));
-		expect([copy.state.revision, copy.confirmedAt, answer?.confirmed]).to.deep.equal([15, undefined, false]);
+		const {copy, result} = await poll({revision: 20, ageMs: 0}, createState(15, ['a', 'b']));
+		expect([copy.state.revision, copy.confirmedAt, result?.confirmed]).to.deep.equal([15, undefined, false]);
 	});
 
 	/** Guards against a copy of a restored store that counts as confirmed because other hosts, which still hold what was lost, confirm each other. */
 	it('no confirmation of an earlier generation', async () => {
-		const {copy, answer} = await poll({revision: 20, ageMs: 0}, createState(qualifyByGeneration(1, 8), ['a']));
-		expect([copy.confirmedAt, answer?.confirmed]).to.deep.equal([undefined, false]);
+		const {copy, result} = await poll({revision: 20, ageMs: 0}, createState(qualifyByGeneration(1, 8), ['a']));
+		expect([copy.confirmedAt, result?.confirmed]).to.deep.equal([undefined, false]);
 	});
 });
--- a/tests/peers/peers-tests.ts
+++ b/tests/peers/peers-tests.ts
@@ -49,9 +49,9 @@
 			other.handle('echo', async (_req, from) => from.address === host.address);
 			return host.call(other.address, 'echo', 0, 1000);
 		});
-		doTestOutcome('turns a handler\'s rejection into an error with `sent: true`', 'sent true: gave no answer to echo: the night is lost', async ({host, other}) => {
+		doTestOutcome('turns a handler\'s rejection into an error with `sent: true`', 'sent true: gave no answer to echo: the row is lost', async ({host, other}) => {
 			other.handle('echo', async () => {
-				throw new Error('the night is lost');
+				throw new Error('the row is lost');
 			});
 			return host.call(other.address, 'echo', 0, 1000);
 		});
