--- a/src/leadership/ask-endpoints.ts
+++ b/src/leadership/ask-endpoints.ts
@@ -37,9 +37,9 @@
 	const endpoints = parts.directory.list(group);
 	const silent = endpoints.find(({entry}) => entry.id === silentId);
 	const askedSilent = silent && ask(silent);
-	const answers = await Promise.all(endpoints.filter(endpoint => endpoint !== silent).map(async endpoint => ask(endpoint)));
+	const responses = await Promise.all(endpoints.filter(endpoint => endpoint !== silent).map(async endpoint => ask(endpoint)));
 	const late = askedSilent && await withinMs(parts.clock, SILENT_GRACE_MS, askedSilent);
-	return [...answers, late?.timedOut === false ? late.value : undefined].filter(candidate => candidate !== undefined);
+	return [...responses, late?.timedOut === false ? late.value : undefined].filter(candidate => candidate !== undefined);
 }
 
 /** Sends a command to one endpoint; resolves to undefined if no status arrives in time. */
--- a/src/leadership/fence-check.ts
+++ b/src/leadership/fence-check.ts
@@ -69,8 +69,8 @@
 
 		notBefore.set(record.group, clock.now() + (isFirst ? FENCE_CHECK_INTERVAL_MS : getIntervalMs(countHosts())));
 		const others = directory.list(record.group).filter(({entry}) => entry.id !== record.primaryId);
-		const answers = await Promise.all(others.map(async ({pool}) => isUnfenced(pool, record.term)));
-		const unfenced = others.length > 0 && answers.every(Boolean);
+		const results = await Promise.all(others.map(async ({pool}) => isUnfenced(pool, record.term)));
+		const unfenced = others.length > 0 && results.every(Boolean);
 		if (unfenced) {
 			primaryLeases.noteUnfenced(record.group, record.epoch, askedAt);
 		}
--- a/src/leadership/lease-revocation.ts
+++ b/src/leadership/lease-revocation.ts
@@ -57,8 +57,8 @@
 			silent = hosts?.filter(host => !host.gone) ?? [];
 		}
 
-		const answers = await Promise.all(silent.map(async host => requestOne(host)));
-		silent = answers.filter(host => host !== undefined);
+		const results = await Promise.all(silent.map(async host => requestOne(host)));
+		silent = results.filter(host => host !== undefined);
 	};
 
 	const request = async () => {
--- a/src/leadership/register-host.ts
+++ b/src/leadership/register-host.ts
@@ -53,16 +53,16 @@
 
 	const findOwnRecord = () => mirror.state.hosts.find(({name}) => name === host.name);
 
-	const attempt = async (what: string, change: () => Promise<unknown>) => {
+	const attempt = async (message: string, change: () => Promise<unknown>) => {
 		try {
 			await change();
-			log.info(what, {host: host.name, address: host.peerAddress});
+			log.info(message, {host: host.name, address: host.peerAddress});
 		} catch (err) {
 			if (!(err instanceof PlatformError || err instanceof PlatformConflictError)) {
 				throw err;
 			}
 
-			log.info('the registration was not changed', {wanted: what, reason: err.message});
+			log.info('the registration was not changed', {wanted: message, reason: err.message});
 		}
 	};
 
--- a/src/leadership/replace-parts.ts
+++ b/src/leadership/replace-parts.ts
@@ -30,7 +30,7 @@
 	readonly hostName: string;
 	readonly ownPeerAddress: string;
 	/** Called after a replacement with the duration of each part. */
-	onReplaced(group: string, parts: ReplacementTimes): void;
+	onReplaced(group: string, times: ReplacementTimes): void;
 };
 
 /** Durations of the parts of a replacement, in milliseconds. */
--- a/src/leadership/unresponsive-hosts.ts
+++ b/src/leadership/unresponsive-hosts.ts
@@ -54,12 +54,12 @@
 
 	mirror.onChange(observe);
 
-	const attempt = async (what: string, host: HostRecord, change: () => Promise<unknown>) => {
+	const attempt = async (message: string, host: HostRecord, change: () => Promise<unknown>) => {
 		try {
 			await change();
-			log.info(what, {host: host.name});
+			log.info(message, {host: host.name});
 		} catch (err) {
-			log.info('a host\'s record was not changed', {host: host.name, wanted: what, reason: (err as Error).message});
+			log.info('a host\'s record was not changed', {host: host.name, wanted: message, reason: (err as Error).message});
 		}
 	};
 
--- a/src/mirror/guard-generations.ts
+++ b/src/mirror/guard-generations.ts
@@ -12,18 +12,18 @@
 export function guardGenerations(store: MetadataStore): MetadataStore {
 	let newest = 0;
 
-	const noteGeneration = (what: string, qualified: number) => {
+	const noteGeneration = (operation: string, qualified: number) => {
 		const generation = getGeneration(qualified);
 		if (generation < newest) {
-			throwPlatformSilent(what, new Error('the answer is of an earlier generation of the store'));
+			throwPlatformSilent(operation, new Error('the answer is of an earlier generation of the store'));
 		}
 
 		newest = generation;
 	};
 
-	const read = async <T>(what: string, reading: Promise<AtRevision<T>>): Promise<AtRevision<T>> => {
+	const read = async <T>(operation: string, reading: Promise<AtRevision<T>>): Promise<AtRevision<T>> => {
 		const found = await reading;
-		noteGeneration(what, found.revision);
+		noteGeneration(operation, found.revision);
 		return found;
 	};
 
@@ -46,10 +46,10 @@
 			const {name, version} = record;
 			checkVersion(kind, name, version);
 			const stored = await store.putRecord(kind, record, timeoutMs);
-			const what = `put ${kind} ${name}`;
-			noteGeneration(what, stored.version);
+			const operation = `put ${kind} ${name}`;
+			noteGeneration(operation, stored.version);
 			if (version !== 0 && getGeneration(stored.version) !== getGeneration(version)) {
-				throwPlatformSilent(what, new Error('the change took effect in another generation of the store'));
+				throwPlatformSilent(operation, new Error('the change took effect in another generation of the store'));
 			}
 
 			return stored;
--- a/src/mirror/store-reader.ts
+++ b/src/mirror/store-reader.ts
@@ -30,8 +30,8 @@
 const STORE_TIMEOUT_MS = 900;
 
 /**
- * Pause after a call to the store that failed, in milliseconds. Guards against an outage in which the store refuses at once: whoever waits for a
- * primary lease would request read after read, each a billed call, without detecting any sooner that the store has recovered.
+ * Pause after a call to the store that failed, in milliseconds. Guards against an outage in which the store refuses at once: work that waits for
+ * a primary lease would request read after read, each a billed call, without detecting any sooner that the store has recovered.
  */
 const PAUSE_AFTER_FAILURE_MS = 200;
 
@@ -49,20 +49,20 @@
 		}
 	};
 
-	const noteAnswer = (held: number, answered: number | undefined) => {
+	const noteSuccess = (held: number, current: number | undefined) => {
 		if (reached !== true) {
 			reached = true;
-			log.info('the store answers', {revision: formatQualified(getRevision()), held: formatQualified(held), answered: answered && formatQualified(answered)});
+			log.info('the store answers', {revision: formatQualified(getRevision()), held: formatQualified(held), answered: current && formatQualified(current)});
 		}
 	};
 
 	/** Returns whether the store is ahead of the copy. Throws PlatformError if the response is of an earlier generation than the copy, which then came from a peer. */
-	const isBehind = (answered: number) => {
-		if (getGeneration(answered) < getGeneration(getRevision())) {
+	const isBehind = (current: number) => {
+		if (getGeneration(current) < getGeneration(getRevision())) {
 			throwPlatformSilent('get the revision', new Error('the answer is of an earlier generation of the store'));
 		}
 
-		return answered > getRevision();
+		return current > getRevision();
 	};
 
 	const readAll = async () => {
@@ -93,13 +93,13 @@
 		const askedAt = elapsedClock.elapsed();
 		try {
 			const held = getRevision();
-			const answered = held === 0 ? undefined : await store.getRevision(STORE_TIMEOUT_MS);
+			const current = held === 0 ? undefined : await store.getRevision(STORE_TIMEOUT_MS);
 			// A revision not above the copy's proves that the copy was complete at the time of the request: each change raises it, and so does each store restore.
-			if (answered === undefined || isBehind(answered)) {
+			if (current === undefined || isBehind(current)) {
 				await readAll();
 			}
 
-			noteAnswer(held, answered);
+			noteSuccess(held, current);
 			onConfirmed(askedAt);
 			return true;
 		} catch (err) {
--- a/src/peers/peer-limits.ts
+++ b/src/peers/peer-limits.ts
@@ -4,9 +4,9 @@
 	readonly openTimeoutMs: number;
 	/** Time without a call after which a link is closed, in milliseconds. */
 	readonly idleMs: number;
-	/** Time from a call, with nothing received since, until a ping is sent, in milliseconds. */
+	/** Time for which nothing is received until a ping is sent, in milliseconds; it runs from a call, and again from each receipt while calls are pending. */
 	readonly pingAfterMs: number;
-	/** Time from a call, with nothing received since, until the link is terminated, in milliseconds. */
+	/** The same until the link is terminated, in milliseconds. */
 	readonly silentAfterMs: number;
 	/** Time for running calls to complete when this host stops, in milliseconds. */
 	readonly drainMs: number;
--- a/tests/membership/owning-tests.ts
+++ b/tests/membership/owning-tests.ts
@@ -58,8 +58,8 @@
 	});
 
 	it('selects among usable hosts as if there were no others', () => {
-		fc.assert(fc.property(fc.subarray(createFleet(40)), fc.integer({min: 1, max: 9}), (gone, count) => {
-			const names = gone.map(host => host.name);
+		fc.assert(fc.property(fc.subarray(createFleet(40)), fc.integer({min: 1, max: 9}), (removed, count) => {
+			const names = removed.map(host => host.name);
 			const [passingOver, without] = [createChooser(createFleet(40), names), createChooser(createFleet(40).filter(host => !names.includes(host.name)))];
 			for (const group of GROUPS) {
 				expect(passingOver(group, count)).to.deep.equal(without(group, count));
@@ -76,12 +76,12 @@
 			const [before, after] = [createChooser(fleet), createChooser(fleet.with(pick % size, replacement))];
 			for (const group of GROUPS) {
 				const [left, right] = [new Set(before(group, count)), new Set(after(group, count))];
-				const gone = [...left].filter(name => !right.has(name));
-				const come = [...right].filter(name => !left.has(name));
+				const removed = [...left].filter(name => !right.has(name));
+				const added = [...right].filter(name => !left.has(name));
 				if (!left.has(old.name) && !right.has(replacement.name)) {
-					expect([...gone, ...come], group).to.deep.equal([]);
+					expect([...removed, ...added], group).to.deep.equal([]);
 				} else {
-					expect(gone.length, group).to.be.at.most(left.has(old.name) && right.has(replacement.name) ? 1 : 2);
+					expect(removed.length, group).to.be.at.most(left.has(old.name) && right.has(replacement.name) ? 1 : 2);
 				}
 			}
 		}), {seed: 1});
--- a/tests/mirror/contents-tests.ts
+++ b/tests/mirror/contents-tests.ts
@@ -55,8 +55,8 @@
 		const base = createState(1, {a: 1});
 		const next = createState(2, {a: 2, b: 1});
 		const difference = getStateDifference(base, getContentsId(base), next, getContentsId(next));
-		const cut = {...difference, hosts: {...difference.hosts!, changed: []}};
-		expect(applyStateDifference(base, getContentsId(base), cut, 2)).to.equal(undefined);
+		const incomplete = {...difference, hosts: {...difference.hosts!, changed: []}};
+		expect(applyStateDifference(base, getContentsId(base), incomplete, 2)).to.equal(undefined);
 	});
 
 	it('keep the identity of unchanged parts', () => {
--- a/tests/peers/peer-faults-tests.ts
+++ b/tests/peers/peer-faults-tests.ts
@@ -46,13 +46,13 @@
 		cutBack() {
 			network.setFaults(RESPONDER, CALLER, {cut: true});
 		},
-		dropAnswers() {
+		dropResponses() {
 			network.setFaults(RESPONDER, CALLER, {dropResponses: true});
 		},
-		duplicateAnswers() {
+		duplicateResponses() {
 			network.setFaults(RESPONDER, CALLER, {duplicateResponses: true});
 		},
-		crossAnswers() {
+		reorderResponses() {
 			network.setFaults(RESPONDER, CALLER, {reorderResponses: true, duplicateResponses: true});
 		},
 		pause() {
--- a/tests/peers/peer-links-tests.ts
+++ b/tests/peers/peer-links-tests.ts
@@ -53,12 +53,12 @@
 	// The connection breaks in the middle of a response, of which half the rows would be shown. The call must fail at once as
 	// one that may have run, and the next one must get its complete response over a new link.
 	it('delivers no part of a truncated response', async () => {
-		const roster = Array.from({length: 500}, (_, member) => ({member}));
-		other.handle('echo', async () => roster);
+		const rows = Array.from({length: 500}, (_, number) => ({number}));
+		other.handle('echo', async () => rows);
 		await host.call(relay.address, 'echo', 0, 1000);
 		relay.cutAfter(1000);
 		expect(await describeOutcome(host.call(relay.address, 'echo', 0, 1000))).to.equal('sent true: gave no answer to echo: the link broke');
-		expect(await host.call(relay.address, 'echo', 0, 1000)).to.deep.equal(roster);
+		expect(await host.call(relay.address, 'echo', 0, 1000)).to.deep.equal(rows);
 		expect(host.figures.linksOpened).to.equal(2);
 	});
 
@@ -68,9 +68,9 @@
 		other.handle('echo', async req => req);
 		await host.call(relay.address, 'echo', 0, 1000);
 		relay.freeze();
-		const call = describeOutcome(host.call(relay.address, 'echo', 'night', 60_000));
+		const call = describeOutcome(host.call(relay.address, 'echo', 'row', 60_000));
 		expect(await clock.runUntil(call, 3000)).to.equal(SILENT);
-		expect(await host.call(relay.address, 'echo', 'night', 60_000)).to.equal('night');
+		expect(await host.call(relay.address, 'echo', 'row', 60_000)).to.equal('row');
 	});
 
 	it('reports that nothing listens at an address', async () => {
@@ -136,23 +136,23 @@
 
 	// The caller was told that the call was not sent, and tried another host: a write would run twice if the frame, which waited
 	// for the link to open, were sent after all.
-	doTest('never sends a call that timed out while the link opened', ['sent false: gave no answer to echo: the timeout passed', 'stayed behind'], async () => {
+	doTest('never sends a call that timed out while the link opened', ['sent false: gave no answer to echo: the timeout passed', 'did not run'], async () => {
 		const late = network.addHost('10.0.0.3:7000');
 		late.handle('echo', gated.handle);
 		network.setFaultsBetween(host.address, late.address, {delayMs: 100});
-		const filing = describeOutcome(host.call(late.address, 'echo', 'filing', 50));
-		const outcome = await clock.runUntil(filing);
+		const write = describeOutcome(host.call(late.address, 'echo', 'write', 50));
+		const outcome = await clock.runUntil(write);
 		await clock.advance(2000);
-		return [outcome, gated.hasEntered('filing') ? 'ran' : 'stayed behind'];
+		return [outcome, gated.hasEntered('write') ? 'ran' : 'did not run'];
 	});
 
 	// A host stops while another one opens a link to it for a write. Depending on the step of the opening, the link is accepted after the
 	// stop began; the write must then be refused, neither run by the stopped host nor left with an unknown outcome.
-	doTest('runs or refuses each call on a link that opens during a stop, with a known outcome', ['7 refused, 2 answered, 2 taken'], async () => {
-		const taken: unknown[] = [];
+	doTest('runs or refuses each call on a link that opens during a stop, with a known outcome', ['7 refused, 2 answered, 2 handled'], async () => {
+		const handled: unknown[] = [];
 		const outcomes: string[] = [];
 		const handle = async (req: unknown) => {
-			taken.push(req);
+			handled.push(req);
 			return req;
 		};
 
@@ -168,28 +168,28 @@
 
 		const refused = outcomes.filter(outcome => outcome.startsWith('sent false'));
 		const answered = outcomes.filter(outcome => outcome === '"write"');
-		return [`${refused.length} refused, ${answered.length} answered, ${taken.length} taken`];
+		return [`${refused.length} refused, ${answered.length} answered, ${handled.length} handled`];
 	});
 
 	// A host stops while another one calls it every millisecond, so that some call is always in transit. If the link were kept
 	// for them, it would never drain, and its close would leave the last calls with unknown outcomes.
-	doTest('closes a link to a stopping host while calls continue', ['"0"', 'none unsure', 'stopped within 5 ms'], async () => {
+	doTest('closes a link to a stopping host while calls continue', ['"0"', 'none unknown', 'stopped within 5 ms'], async () => {
 		const calls: Array<Promise<string>> = [];
-		const goOn = async (ms: number) => {
+		const callFor = async (ms: number) => {
 			for (let passed = 0; passed < ms; passed++) {
 				calls.push(call(String(calls.length)));
 				await clock.advance(1);
 			}
 		};
 
-		await goOn(5);
+		await callFor(5);
 		const startedAt = clock.now();
 		const stopping = other.stop().then(() => clock.now() - startedAt);
-		await goOn(600);
+		await callFor(600);
 		const outcomes = await clock.runUntil(Promise.all(calls));
-		const unsure = outcomes.filter(outcome => outcome.startsWith('sent true')).length;
+		const unknownCount = outcomes.filter(outcome => outcome.startsWith('sent true')).length;
 		const stopMs = await clock.runUntil(stopping);
-		return [outcomes[0], unsure === 0 ? 'none unsure' : `${unsure} unsure`, `stopped within ${Math.max(5, stopMs)} ms`];
+		return [outcomes[0], unknownCount === 0 ? 'none unknown' : `${unknownCount} unknown`, `stopped within ${Math.max(5, stopMs)} ms`];
 	});
 
 	doTest('fails calls at once when the peer is killed, and cannot reach it afterwards', [
@@ -203,10 +203,10 @@
 			return `${await clock.runUntil(outcome)} within ${clock.now() - startedAt < 2 ? 2 : 'more than 2'} ms`;
 		};
 
-		const cut = call('first');
+		const interrupted = call('first');
 		await clock.runUntil(gated.entered('first'));
 		network.kill(other.address);
-		const outcomes = [await timed(cut), await timed(call('second'))];
+		const outcomes = [await timed(interrupted), await timed(call('second'))];
 		network.addHost(other.address).handle('echo', async req => req);
 		return [...outcomes, await clock.runUntil(call('again'))];
 	});
