--- a/src/groups/create-group-knowledge.ts
+++ b/src/groups/create-group-knowledge.ts
@@ -21,7 +21,7 @@
  * Returns whether a status is outdated. Responses to concurrent requests may arrive in any order, and one with a lower promised term, or with the same
  * term observed earlier, would make a superseded primary count as primary again.
  */
-function isOvertaken(status: EndpointStatus, now: number, known: EndpointKnowledge | undefined): boolean {
+function isOutdated(status: EndpointStatus, now: number, known: EndpointKnowledge | undefined): boolean {
 	if (!known?.status || status.term > known.status.term) {
 		return false;
 	}
@@ -59,7 +59,7 @@
 
 	return {
 		observe(endpoint, status, now) {
-			if (getAddress(endpoint) === undefined || isOvertaken(status, now, getKnowledge(endpoint))) {
+			if (getAddress(endpoint) === undefined || isOutdated(status, now, getKnowledge(endpoint))) {
 				return;
 			}
 
--- a/src/leadership/cut-offs.ts
+++ b/src/leadership/cut-offs.ts
@@ -8,8 +8,8 @@
 	isCutOff(group: string, now: number): boolean;
 };
 
-/** How long a record is valid, in milliseconds: the hosts are asked about twice in that time while the primary stays silent. */
-const HOLDS_MS = 1000;
+/** Time for which a cut-off counts after it was last recorded, in milliseconds: the hosts are asked about twice in that time while the primary stays silent. */
+const CUT_OFF_TTL_MS = 1000;
 
 /** Creates an empty set. */
 export function createCutOffs(): CutOffs {
@@ -17,7 +17,7 @@
 
 	return {
 		note(group, now) {
-			until.set(group, now + HOLDS_MS);
+			until.set(group, now + CUT_OFF_TTL_MS);
 		},
 		clear(group) {
 			until.delete(group);
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -131,18 +131,18 @@
 	const evaluate = async (group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict> => {
 		const {hosts, count: all} = getPoolHosts(group, endpointId);
 		const others = hosts.filter(host => host.peerAddress !== ownPeerAddress);
-		const known = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
-		const against = 1 + known.filter(reachable => !reachable).length;
-		const asked = known.length + 1;
-		const enough = asked * 2 > all || suspectedMs > MAJORITY_NOT_REQUIRED_AFTER_MS;
+		const reports = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
+		const against = 1 + reports.filter(reachable => !reachable).length;
+		const answered = reports.length + 1;
+		const isEnough = answered * 2 > all || suspectedMs > MAJORITY_NOT_REQUIRED_AFTER_MS;
 		log.info('hosts were asked about a primary', {
-			group, endpoint: endpointId, against, answered: asked, hosts: all, suspectedMs: Math.round(suspectedMs),
+			group, endpoint: endpointId, against, answered, hosts: all, suspectedMs: Math.round(suspectedMs),
 		});
-		if (!enough) {
+		if (!isEnough) {
 			return ReachVerdict.Undecided;
 		}
 
-		return against * 2 >= asked ? ReachVerdict.Lost : ReachVerdict.ReachedByOthers;
+		return against * 2 >= answered ? ReachVerdict.Lost : ReachVerdict.ReachedByOthers;
 	};
 
 	/**
@@ -159,32 +159,32 @@
 	 */
 	const gatherReports = async (addresses: readonly string[], endpointId: string): Promise<readonly boolean[]> => {
 		const all = addresses.length + 1;
-		const known: boolean[] = [];
+		const reports: boolean[] = [];
 		await new Promise<void>((resolve, reject) => {
-			let open = addresses.length;
-			const note = (reachable: boolean | undefined) => {
-				open--;
+			let outstanding = addresses.length;
+			const addReport = (reachable: boolean | undefined) => {
+				outstanding--;
 				if (reachable !== undefined) {
-					known.push(reachable);
+					reports.push(reachable);
 				}
 
-				const reaching = known.filter(Boolean).length;
-				const against = 1 + known.length - reaching;
-				const isDecided = (known.length + 1) * 2 > all && (against * 2 >= all || reaching * 2 > all);
-				if (open === 0 || isDecided) {
+				const reaching = reports.filter(Boolean).length;
+				const against = 1 + reports.length - reaching;
+				const isDecided = (reports.length + 1) * 2 > all && (against * 2 >= all || reaching * 2 > all);
+				if (outstanding === 0 || isDecided) {
 					resolve();
 				}
 			};
 
-			if (open === 0) {
+			if (outstanding === 0) {
 				resolve();
 			}
 
 			for (const address of addresses) {
-				requestReport(address, endpointId).then(note).catch(reject);
+				requestReport(address, endpointId).then(addReport).catch(reject);
 			}
 		});
-		return [...known];
+		return [...reports];
 	};
 
 	const requestReport = async (address: string, endpointId: string) => {
@@ -201,8 +201,8 @@
 	};
 
 	const probeEarly = (endpointId: string) => {
-		const owesSince = directory.get(endpointId)?.pool.health.awaitingSince;
-		if (owesSince !== undefined && clock.now() - owesSince > EARLY_PROBE_AFTER_MS) {
+		const awaitingSince = directory.get(endpointId)?.pool.health.awaitingSince;
+		if (awaitingSince !== undefined && clock.now() - awaitingSince > EARLY_PROBE_AFTER_MS) {
 			probe(endpointId).catch((err: unknown) => {
 				log.error('a probe failed', {err});
 			});
--- a/tests/groups/create-group-knowledge-tests.ts
+++ b/tests/groups/create-group-knowledge-tests.ts
@@ -89,7 +89,7 @@
 	doAgeTest('uses no sample of a newer term for a log of an older one', [[100, 1, 5], [200, 2, 6]], [1, 900], 900);
 	doAgeTest('uses a later, lower sample of the same term', [[100, 1, 9], [200, 1, 4]], [1, 4], 800);
 	doAgeTest('uses a sample that arrives after a newer one, at its own time', [[200, 1, 9], [100, 1, 4]], [1, 4], 900);
-	doAgeTest('keeps the newer sample where an older one arrives late', [[200, 1, 9], [100, 1, 4]], [1, 9], 800);
+	doAgeTest('keeps the newer sample if an older one arrives late', [[200, 1, 9], [100, 1, 4]], [1, 9], 800);
 	doAgeTest('does not become smaller by a late sample at a further position', [[200, 1, 4], [100, 1, 9]], [1, 9], 800);
 	doAgeTest('ignores a late sample of a term that had ended by then', [[100, 2, 6], [300, 2, 8], [200, 1, 7]], [1, 7], Infinity);
 	doAgeTest('ignores a late sample of a term that had not begun by then', [[100, 1, 4], [300, 1, 6], [200, 2, 5]], [2, 5], Infinity);
--- a/tests/mirror/mirror-state-tests.ts
+++ b/tests/mirror/mirror-state-tests.ts
@@ -4,7 +4,7 @@
 
 /*
  * Another program overwrites a group's record in the store. A host that throws on it can no longer read anything and refuses all callers; one that ignores the
- * record writes a first one while other hosts still use the old primary; and one that treats it as an error leaves the group without a primary for ever.
+ * record writes a first one while other hosts still use the old primary; and one that treats it as an error leaves the group without a primary forever.
  */
 
 const GOOD = {
