--- a/src/leadership/fence-check.ts
+++ b/src/leadership/fence-check.ts
@@ -47,7 +47,7 @@
 
 /** Creates the check. */
 export function createFenceCheck({directory, primaryLeases, clock, elapsedClock, log, readsForAll, countHosts}: FenceCheckOptions): FenceCheck {
-	/** By group, the monotonic time before which its endpoints are not asked again. */
+	/** By group, the steady time before which its endpoints are not asked again. */
 	const notBefore = new Map<string, number>();
 
 	/**
@@ -69,8 +69,8 @@
 
 		notBefore.set(record.group, clock.now() + (isFirst ? FENCE_CHECK_INTERVAL_MS : getIntervalMs(countHosts())));
 		const others = directory.list(record.group).filter(({entry}) => entry.id !== record.primaryId);
-		const answers = await Promise.all(others.map(async ({pool}) => isUnfenced(pool, record.term)));
-		const unfenced = others.length > 0 && answers.every(Boolean);
+		const results = await Promise.all(others.map(async ({pool}) => isUnfenced(pool, record.term)));
+		const unfenced = others.length > 0 && results.every(Boolean);
 		if (unfenced) {
 			primaryLeases.noteUnfenced(record.group, record.epoch, askedAt);
 		}
--- a/src/leadership/primary-reachability.ts
+++ b/src/leadership/primary-reachability.ts
@@ -39,7 +39,7 @@
 export type PrimaryReachabilityOptions = {
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly lenders: PoolHosts;
+	readonly poolHosts: PoolHosts;
 	readonly peers: Peers;
 	readonly clock: Clock;
 	readonly log: Log;
@@ -62,7 +62,7 @@
 const MAJORITY_NOT_REQUIRED_AFTER_MS = 8000;
 
 /** Creates the reachability checks and responds to those of other hosts. */
-export function createPrimaryReachability({mirror, directory, lenders, peers, clock, log, ownPeerAddress}: PrimaryReachabilityOptions): PrimaryReachability {
+export function createPrimaryReachability({mirror, directory, poolHosts, peers, clock, log, ownPeerAddress}: PrimaryReachabilityOptions): PrimaryReachability {
 	/** Probes in progress, by endpoint. */
 	const probes = new Map<string, Promise<boolean>>();
 	/** Time at which a probe last failed, by endpoint. */
@@ -89,9 +89,9 @@
 	};
 
 	const probe = async (endpointId: string): Promise<boolean> => {
-		const heardAt = directory.get(endpointId)?.pool.health.lastReceivedAt ?? 0;
+		const lastReceivedAt = directory.get(endpointId)?.pool.health.lastReceivedAt ?? 0;
 		const failed = failedAt.get(endpointId);
-		if (failed !== undefined && heardAt < failed && clock.now() - failed < PROBE_TIMEOUT_MS) {
+		if (failed !== undefined && lastReceivedAt < failed && clock.now() - failed < PROBE_TIMEOUT_MS) {
 			return false;
 		}
 
@@ -102,12 +102,12 @@
 
 	const probeOnce = async (endpointId: string): Promise<boolean> => {
 		try {
-			const answers = await probeAnew(endpointId);
-			if (!answers) {
+			const responds = await probeAnew(endpointId);
+			if (!responds) {
 				failedAt.set(endpointId, clock.now());
 			}
 
-			return answers;
+			return responds;
 		} finally {
 			probes.delete(endpointId);
 		}
@@ -129,20 +129,20 @@
 	 * Most hosts must respond, since otherwise the smaller part of a partitioned fleet would take the primary from the hosts that use it.
 	 */
 	const evaluate = async (group: string, endpointId: string, suspectedMs: number): Promise<ReachVerdict> => {
-		const {keepers, count: all} = getPoolHosts(group, endpointId);
-		const others = keepers.filter(host => host.peerAddress !== ownPeerAddress);
-		const known = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
-		const against = 1 + known.filter(reachable => !reachable).length;
-		const asked = known.length + 1;
-		const enough = asked * 2 > all || suspectedMs > MAJORITY_NOT_REQUIRED_AFTER_MS;
+		const {hosts, count: all} = getPoolHosts(group, endpointId);
+		const others = hosts.filter(host => host.peerAddress !== ownPeerAddress);
+		const reports = await gatherReports(others.map(({peerAddress}) => peerAddress), endpointId);
+		const against = 1 + reports.filter(reachable => !reachable).length;
+		const answered = reports.length + 1;
+		const isEnough = answered * 2 > all || suspectedMs > MAJORITY_NOT_REQUIRED_AFTER_MS;
 		log.info('hosts were asked about a primary', {
-			group, endpoint: endpointId, against, answered: asked, hosts: all, suspectedMs: Math.round(suspectedMs),
+			group, endpoint: endpointId, against, answered, hosts: all, suspectedMs: Math.round(suspectedMs),
 		});
-		if (!enough) {
+		if (!isEnough) {
 			return ReachVerdict.Undecided;
 		}
 
-		return against * 2 >= asked ? ReachVerdict.Lost : ReachVerdict.ReachedByOthers;
+		return against * 2 >= answered ? ReachVerdict.Lost : ReachVerdict.ReachedByOthers;
 	};
 
 	/**
@@ -150,8 +150,8 @@
 	 * connections, hosts that are marked as unresponsive count as well: the smaller part of a partitioned fleet may have marked the larger.
 	 */
 	const getPoolHosts = (group: string, id: string) => {
-		const keepers = lenders.getHosts({id, group});
-		return {keepers, count: lenders.isShared({id, group}) ? keepers.length : mirror.state.hosts.length};
+		const hosts = poolHosts.getHosts({id, group});
+		return {hosts, count: poolHosts.isShared({id, group}) ? hosts.length : mirror.state.hosts.length};
 	};
 
 	/**
@@ -159,32 +159,32 @@
 	 */
 	const gatherReports = async (addresses: readonly string[], endpointId: string): Promise<readonly boolean[]> => {
 		const all = addresses.length + 1;
-		const known: boolean[] = [];
+		const reports: boolean[] = [];
 		await new Promise<void>((resolve, reject) => {
-			let open = addresses.length;
-			const note = (reachable: boolean | undefined) => {
-				open--;
+			let outstanding = addresses.length;
+			const addReport = (reachable: boolean | undefined) => {
+				outstanding--;
 				if (reachable !== undefined) {
-					known.push(reachable);
+					reports.push(reachable);
 				}
 
-				const reaching = known.filter(Boolean).length;
-				const against = 1 + known.length - reaching;
-				const isDecided = (known.length + 1) * 2 > all && (against * 2 >= all || reaching * 2 > all);
-				if (open === 0 || isDecided) {
+				const reaching = reports.filter(Boolean).length;
+				const against = 1 + reports.length - reaching;
+				const isDecided = (reports.length + 1) * 2 > all && (against * 2 >= all || reaching * 2 > all);
+				if (outstanding === 0 || isDecided) {
 					resolve();
 				}
 			};
 
-			if (open === 0) {
+			if (outstanding === 0) {
 				resolve();
 			}
 
 			for (const address of addresses) {
-				requestReport(address, endpointId).then(note).catch(reject);
+				requestReport(address, endpointId).then(addReport).catch(reject);
 			}
 		});
-		return [...known];
+		return [...reports];
 	};
 
 	const requestReport = async (address: string, endpointId: string) => {
@@ -201,8 +201,8 @@
 	};
 
 	const probeEarly = (endpointId: string) => {
-		const owesSince = directory.get(endpointId)?.pool.health.awaitingSince;
-		if (owesSince !== undefined && clock.now() - owesSince > EARLY_PROBE_AFTER_MS) {
+		const awaitingSince = directory.get(endpointId)?.pool.health.awaitingSince;
+		if (awaitingSince !== undefined && clock.now() - awaitingSince > EARLY_PROBE_AFTER_MS) {
 			probe(endpointId).catch((err: unknown) => {
 				log.error('a probe failed', {err});
 			});
