--- a/src/audit/audit-errors.ts
+++ b/src/audit/audit-errors.ts
@@ -4,6 +4,6 @@
 export const AuditError = ModernError.subclass('AuditError');
 
 /** @internal */
-export function throwUnreadableObject(what: string, cause?: unknown): never {
-	throw new AuditError(`the platform holds no ${what} that this version can read`, {cause});
+export function throwUnreadableObject(description: string, cause?: unknown): never {
+	throw new AuditError(`the platform holds no ${description} that this version can read`, {cause});
 }
--- a/src/explanations/batch-recorder.ts
+++ b/src/explanations/batch-recorder.ts
@@ -32,7 +32,7 @@
 	readonly kept: number;
 	/** Refusals that stored batches count but whose records were omitted to stay within the limits. */
 	readonly leftOut: number;
-	/** Records lost because their batches were dropped during a platform outage. The next stored batch states how many. */
+	/** Records lost because their batches were dropped during a platform outage. The next batch that is created states how many. */
 	readonly lost: number;
 	/** Write calls made to the platform. */
 	readonly calls: number;
--- a/src/explanations/batch-sweeper.ts
+++ b/src/explanations/batch-sweeper.ts
@@ -9,7 +9,7 @@
 
 const MINUTE_MS = 60_000;
 
-/** Delay of the second sweep of each minute, in milliseconds. It deletes what a host that stopped during the first sweep left. */
+/** Delay of the second sweep of each minute, in milliseconds. It deletes what the first one left, because its host stopped or a call failed. */
 const SECOND_SWEEP_DELAY_MS = 3_600_000;
 
 const CALL_TIMEOUT_MS = 5000;
--- a/src/failover/choose-candidate.ts
+++ b/src/failover/choose-candidate.ts
@@ -26,8 +26,8 @@
 /**
  * Chooses the server to promote among the majority that granted the term; undefined where there are none.
  *
- * The log decides first: an acknowledged write is certain to be in the highest log of every majority, and in no other
- * log. A drained endpoint may therefore be promoted; a planned change replaces it later.
+ * The log decides first: the highest log of every majority contains each acknowledged write, and any other log may lack
+ * some of them. A drained endpoint may therefore be promoted; a planned change replaces it later.
  */
 export function chooseCandidate(fenced: readonly FencedServer[], preference: CandidatePreference): FencedServer | undefined {
 	const getPenalty = ({endpoint, status}: FencedServer) => {
--- a/src/failover/failover-errors.ts
+++ b/src/failover/failover-errors.ts
@@ -14,7 +14,7 @@
 	/** Another host claimed the term; this host defers to it for a while. */
 	Contested: 'contested',
 	/** The group has a primary after all. */
-	PrimaryStands: 'primary-stands',
+	PrimaryExists: 'primary-stands',
 	/** A planned change was refused; the primary is the same as before, or failover replaces it. */
 	SwitchRefused: 'switch-refused',
 	/** Anything else. */
@@ -30,8 +30,8 @@
 }
 
 /** @internal */
-export function throwNoMajority(what: string, count: number, majority: number): never {
-	throw new FailoverError(`${count} of the group's servers ${what}, ${majority} are needed`, {props: {code: FailoverErrorCode.NoMajority}});
+export function throwNoMajority(predicate: string, count: number, majority: number): never {
+	throw new FailoverError(`${count} of the group's servers ${predicate}, ${majority} are needed`, {props: {code: FailoverErrorCode.NoMajority}});
 }
 
 /** @internal */
@@ -55,8 +55,8 @@
 }
 
 /** @internal */
-export function throwPrimaryStands(endpoint: string): never {
-	throw new FailoverError(`${endpoint} is primary after all`, {props: {code: FailoverErrorCode.PrimaryStands}});
+export function throwPrimaryExists(endpoint: string): never {
+	throw new FailoverError(`${endpoint} is primary after all`, {props: {code: FailoverErrorCode.PrimaryExists}});
 }
 
 /** @internal */
--- a/src/failover/failover-settings.ts
+++ b/src/failover/failover-settings.ts
@@ -4,11 +4,11 @@
 	readonly primaryPollMs: number;
 	/** The same age for owners of lower rank. */
 	readonly standbyPollMs: number;
-	/** Interval at which the status of replicas is requested. */
+	/** Age of a replica's last status at which another one is requested. */
 	readonly replicaPollMs: number;
 	/** Time without work on this host after which a group is idle and its servers are polled less often. */
 	readonly idleAfterMs: number;
-	/** The three poll intervals for an idle group. */
+	/** The same three ages for an idle group. */
 	readonly idlePrimaryPollMs: number;
 	readonly idleStandbyPollMs: number;
 	readonly idleReplicaPollMs: number;
@@ -63,7 +63,7 @@
 	readonly stallFactor: number;
 	/** The same time where no catch-up was seen in the primary's term. */
 	readonly stallUnknownMs: number;
-	/** Interval at which the status of replicas is requested while a majority is behind. */
+	/** The same age as `replicaPollMs` while a majority is behind, and the longest pause between two checks of these ages. */
 	readonly stallPollMs: number;
 	/** Interval of the checks whether a server must be ordered to follow the primary, and whether the primary must be replaced as planned. */
 	readonly repairMs: number;
--- a/src/failover/promote-group.ts
+++ b/src/failover/promote-group.ts
@@ -2,7 +2,7 @@
 import {getMajority, type GroupConfig} from '../groups/group-config.js';
 import type {GroupKnowledge} from '../groups/group-knowledge.js';
 import type {Clock} from '../time/clock.js';
-import {throwNoMajority, throwPrimaryStands} from './failover-errors.js';
+import {throwNoMajority, throwPrimaryExists} from './failover-errors.js';
 import type {FailoverSettings} from './failover-settings.js';
 import {gatherAnswers, type Gathered} from './gather-answers.js';
 import type {GroupControl} from './group-control.js';
@@ -113,12 +113,12 @@
 	// that. Without this check it was deposed at once: two promotions 200 ms apart, the second one stopping writes again.
 	const promoted = options.knowledge.getPrimary();
 	if (promoted && options.knowledge.highestTerm > options.loss.term) {
-		throwPrimaryStands(promoted.name);
+		throwPrimaryExists(promoted.name);
 	}
 
 	const primary = answers.find(({answer}) => answer.role === EndpointRole.Primary && answer.term >= options.knowledge.highestTerm);
 	if (primary) {
-		throwPrimaryStands(primary.endpoint.name);
+		throwPrimaryExists(primary.endpoint.name);
 	}
 
 	const majority = getMajority(options.cfg);
--- a/src/failover/replace-primary.ts
+++ b/src/failover/replace-primary.ts
@@ -87,7 +87,7 @@
 
 		log.warn('did not promote a new primary', {group, reason: err.message});
 		recordFailure(options, err.code, err.message);
-		if (err.code === FailoverErrorCode.PrimaryStands) {
+		if (err.code === FailoverErrorCode.PrimaryExists) {
 			return true;
 		}
 
@@ -102,7 +102,7 @@
 	}
 
 	const phases: Partial<Record<FailoverErrorCode, FailoverPhase>> = {
-		[FailoverErrorCode.PrimaryStands]: FailoverPhase.Watching,
+		[FailoverErrorCode.PrimaryExists]: FailoverPhase.Watching,
 		[FailoverErrorCode.NoMajority]: FailoverPhase.NoMajority,
 	};
 	setState(phases[code] ?? FailoverPhase.Promoting, reason);
--- a/src/object-store/platform-errors.ts
+++ b/src/object-store/platform-errors.ts
@@ -10,8 +10,8 @@
 export const PlatformConflictError = ModernError.subclass('PlatformConflictError');
 
 /** @internal */
-export function throwPlatformSilent(what: string, cause?: unknown): never {
-	throw new PlatformError(`the platform gave no answer to ${what}`, {cause});
+export function throwPlatformSilent(call: string, cause?: unknown): never {
+	throw new PlatformError(`the platform gave no answer to ${call}`, {cause});
 }
 
 /** @internal */
@@ -20,6 +20,6 @@
 }
 
 /** @internal */
-export function throwPlatformRefused(what: string, reason: string): never {
-	throw new PlatformRefusedError(`the platform refused ${what}: ${reason}`);
+export function throwPlatformRefused(call: string, reason: string): never {
+	throw new PlatformRefusedError(`the platform refused ${call}: ${reason}`);
 }
--- a/src/reports/fleet-report.ts
+++ b/src/reports/fleet-report.ts
@@ -142,10 +142,10 @@
 		});
 	};
 
-	const addToSpread = (spreads: Map<number, Spread>, what: string, key: number, {at, host}: LogEvent) => {
+	const addToSpread = (spreads: Map<number, Spread>, listName: string, key: number, {at, host}: LogEvent) => {
 		const known = spreads.get(key) ?? {hosts: new Set(), firstAt: at, lastAt: at};
 		if (spreads.size >= MAX_ENTRIES && !spreads.has(key)) {
-			count(counts.leftOut, what);
+			count(counts.leftOut, listName);
 			return;
 		}
 
--- a/src/transactions/create-transaction-entry.ts
+++ b/src/transactions/create-transaction-entry.ts
@@ -22,12 +22,12 @@
 };
 
 type Step = {
-	readonly asked: ReceivedRequest;
+	readonly request: ReceivedRequest;
 	readonly group: VersionedGroup;
 	readonly id: TransactionId;
 };
 
-type StepParts = Pick<ReceivedRequest, 'asked' | 'class'> & {readonly deadlineMs: number};
+type StepOptions = Pick<ReceivedRequest, 'asked' | 'class'> & {readonly deadlineMs: number};
 
 /** Creates the entry's handling of transactions; each step is sent to the host named in the transaction's id. */
 export function createTransactionEntry(options: TransactionEntryOptions): Pick<Entry, 'begin' | 'run' | 'commit' | 'rollback'> {
@@ -35,35 +35,35 @@
 		requestReceiver: receiver, answers, tries, ownerClient, hosts,
 	} = options;
 
-	const refuseUnknown = (asked: ReceivedRequest, reason: string): CallerResponse => answers.refuseWithUnknownOutcome(asked, createUnknownRefusal(reason));
+	const refuseUnknown = (request: ReceivedRequest, reason: string): CallerResponse => answers.refuseWithUnknownOutcome(request, createUnknownRefusal(reason));
 
-	const openStep = (transactionId: string, header: string | undefined, parts: StepParts): Step | CallerResponse => {
+	const openStep = (transactionId: string, header: string | undefined, stepOptions: StepOptions): Step | CallerResponse => {
 		const id = parseTransactionId(transactionId);
-		const received = receiver.receive(id?.group ?? '', header, {...parts, requestId: id?.requestId, attempt: 2});
-		const {asked} = received;
+		const received = receiver.receive(id?.group ?? '', header, {...stepOptions, requestId: id?.requestId, attempt: 2});
+		const {asked: request} = received;
 		if (!id) {
-			return answers.refuse(asked, createUnknownRefusal('this is no transaction id of this system'));
+			return answers.refuse(request, createUnknownRefusal('this is no transaction id of this system'));
 		}
 
 		const validation = receiver.validate(received);
-		return 'refusal' in validation ? answers.refuse(asked, validation.refusal) : {asked, group: validation.group, id};
+		return 'refusal' in validation ? answers.refuse(request, validation.refusal) : {request, group: validation.group, id};
 	};
 
-	const answerOnce = (asked: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerResponse => {
+	const answerOnce = (request: ReceivedRequest, id: TransactionId, answer: OwnerResponse): CallerResponse => {
 		const end: TriesResult = {answer, tries: 1, outcomeUnknown: answer.outcome === Outcome.Unknown};
-		return {...answers.answer(asked, end), requestId: formatTransactionId(id)};
+		return {...answers.answer(request, end), requestId: formatTransactionId(id)};
 	};
 
 	const callHost = async (step: Step, call: (host: NonNullable<ReturnType<typeof findHost>>, remainingMs: number) => Promise<OwnerResponse>) => {
 		const host = findHost(hosts, step.id.host);
-		const {deadlineAt, startedAt} = step.asked;
+		const {deadlineAt, startedAt} = step.request;
 		return host ? call(host, deadlineAt - startedAt) : undefined;
 	};
 
 	// Where the answer to a commit is lost, the transaction's key shows at any owner whether it is committed, and a
 	// tombstone there keeps it from being committed later. Otherwise the caller would not learn the outcome.
 	const resolveCommit = async (step: Step, answer: OwnerResponse | undefined): Promise<OwnerResponse> => {
-		const resolved = await tries.resolve(step.asked, step.group, step.asked.deadlineAt);
+		const resolved = await tries.resolve(step.request, step.group, step.request.deadlineAt);
 		if (resolved.answer.outcome === Outcome.Done || resolved.answer.refusal?.code === RefusalCode.Resolved) {
 			return resolved.answer;
 		}
@@ -74,22 +74,22 @@
 	return {
 		async begin(name, req, header) {
 			const received = receiver.receive(name, header, {...req, asked: 'begin', attempt: 1});
-			const {asked} = received;
+			const {asked: request} = received;
 			const validation = receiver.validate(received);
 			if ('refusal' in validation) {
-				return answers.refuse(asked, validation.refusal);
+				return answers.refuse(request, validation.refusal);
 			}
 
 			const {group} = validation;
 			let holder = hosts.self.name;
-			const end = await tries.sendToOwners(asked, group, asked.deadlineAt, async (host, {remainingMs}) => {
+			const end = await tries.sendToOwners(request, group, request.deadlineAt, async (host, {remainingMs}) => {
 				holder = host.name;
 				return ownerClient.call(host, 'begin', {
-					group: name, requestId: asked.requestId, class: req.class, remainingMs, configVersion: group.version,
+					group: name, requestId: request.requestId, class: req.class, remainingMs, configVersion: group.version,
 				});
 			});
-			const requestId = formatTransactionId({requestId: asked.requestId, group: name, host: holder});
-			return {...answers.answer(asked, end), requestId};
+			const requestId = formatTransactionId({requestId: request.requestId, group: name, host: holder});
+			return {...answers.answer(request, end), requestId};
 		},
 		async run(transactionId, req, header) {
 			const step = openStep(transactionId, header, {asked: 'statement', class: req.class, deadlineMs: req.deadlineMs});
@@ -101,7 +101,7 @@
 			const answer = await callHost(step, async (host, remainingMs) => ownerClient.call(host, 'run', {
 				group: step.id.group, requestId: step.id.requestId, statement, values, class: req.class, remainingMs,
 			}));
-			return answer ? answerOnce(step.asked, step.id, answer) : refuseUnknown(step.asked, 'the host that held the transaction is gone, so it was rolled back');
+			return answer ? answerOnce(step.request, step.id, answer) : refuseUnknown(step.request, 'the host that held the transaction is gone, so it was rolled back');
 		},
 		async commit(transactionId, header) {
 			const step = openStep(transactionId, header, {asked: 'commit', class: 'deadline', deadlineMs: DEFAULT_DEADLINE_MS});
@@ -113,7 +113,7 @@
 				group: step.id.group, requestId: step.id.requestId, remainingMs: remainingMs / 2,
 			}));
 			const end = answer?.outcome === Outcome.Done ? answer : await resolveCommit(step, answer);
-			return answerOnce(step.asked, step.id, end);
+			return answerOnce(step.request, step.id, end);
 		},
 		async rollback(transactionId, header) {
 			const step = openStep(transactionId, header, {asked: 'rollback', class: 'deadline', deadlineMs: DEFAULT_DEADLINE_MS});
@@ -124,7 +124,7 @@
 			const answer = await callHost(step, async (host, remainingMs) => ownerClient.call(host, 'rollback', {
 				group: step.id.group, requestId: step.id.requestId, remainingMs,
 			}));
-			return answerOnce(step.asked, step.id, answer ?? {outcome: Outcome.Unknown, refusal: createUnknownRefusal('the host that held the transaction is gone')});
+			return answerOnce(step.request, step.id, answer ?? {outcome: Outcome.Unknown, refusal: createUnknownRefusal('the host that held the transaction is gone')});
 		},
 	};
 }
--- a/tests/cli/run-cli-tests.ts
+++ b/tests/cli/run-cli-tests.ts
@@ -30,8 +30,8 @@
 	beforeEach(async () => {
 		received = [];
 		server = createServer(async (req, res) => {
-			const parts = await req.setEncoding('utf8').toArray();
-			const body = JSON.parse(parts.join('')) as {command: string; changeId: string};
+			const chunks = await req.setEncoding('utf8').toArray();
+			const body = JSON.parse(chunks.join('')) as {command: string; changeId: string};
 			received.push({...body, authorization: req.headers.authorization});
 			(steps.shift() ?? lose)(res);
 		});
@@ -48,7 +48,7 @@
 
 	const never = new Promise<void>(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 
-	// Pauses pass at once; a try's own bound, which is longer, never does.
+	// Delays between attempts pass at once; the timeout of an attempt, which is longer, never expires.
 	const impatientClock: Clock = {
 		...createVirtualClock(),
 		async sleep(ms) {
--- a/tests/failover/decisions-tests.ts
+++ b/tests/failover/decisions-tests.ts
@@ -139,7 +139,7 @@
 	const doTest = (title: string, servers: Array<Server | undefined>, expected: string, pauseMs = 0) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
-			// A pause makes a sleep end long after its time.
+			// A pause makes a sleep end long after it was due.
 			let pausedMs = 0;
 			const pausingClock = {
 				...clock, now: () => clock.now() + pausedMs, async sleep(ms: number, signal?: AbortSignal) {
