--- a/src/cli/run-report.ts
+++ b/src/cli/run-report.ts
@@ -39,19 +39,19 @@
 
 async function readLog(file: string, input: NodeJS.ReadableStream, reporter: FleetReporter) {
 	if (file === STANDARD_INPUT) {
-		await noteLines(createInterface({input}), reporter);
+		await addLines(createInterface({input}), reporter);
 		return;
 	}
 
 	try {
 		const handle = await open(file);
-		await noteLines(handle.readLines(), reporter);
+		await addLines(handle.readLines(), reporter);
 	} catch (err) {
 		throwUsage(`${file} cannot be read: ${(err as Error).message}`);
 	}
 }
 
-async function noteLines(lines: AsyncIterable<string>, reporter: FleetReporter) {
+async function addLines(lines: AsyncIterable<string>, reporter: FleetReporter) {
 	for await (const line of lines) {
 		reporter.addLine(line);
 	}
--- a/src/operators/why-command.ts
+++ b/src/operators/why-command.ts
@@ -6,7 +6,7 @@
 import {answerOk, answerRefused} from './answers.js';
 import type {CommandAnswer} from './operator-commands.js';
 
-const SOURCES: Readonly<Record<RecordSource, string>> = {
+const SOURCE_HEADINGS: Readonly<Record<RecordSource, string>> = {
 	[RecordSource.Memory]: 'From this host\'s memory:',
 	[RecordSource.Peer]: 'From the memory of another host:',
 	[RecordSource.Platform]: 'From the records in the platform:',
@@ -31,8 +31,8 @@
 }
 
 function explainRecords({source, records}: ExplanationSearchResult): string {
-	const parts = records.map((record, index) => explainRecord(record, records.length > 1 ? index + 1 : undefined));
-	return [SOURCES[source], ...parts].join('\n');
+	const texts = records.map((record, index) => explainRecord(record, records.length > 1 ? index + 1 : undefined));
+	return [SOURCE_HEADINGS[source], ...texts].join('\n');
 }
 
 function explainRecord(record: RefusalRecord, number: number | undefined): string {
--- a/tests/configuration/configuration-fleet.ts
+++ b/tests/configuration/configuration-fleet.ts
@@ -50,7 +50,7 @@
 export const createFleet = ({size = 3, seed = 1, withoutHosts = false}: FleetOptions = {}) => {
 	const clock = createVirtualClock();
 	const store = createObjectStore({clock});
-	const gate = createFaultInjector({clock});
+	const sharedFaultInjector = createFaultInjector({clock});
 	const addresses = Array.from({length: size}, (_, index) => `127.0.0.1:${7000 + index}`);
 	const handlers = new Map<string, (req: unknown, from: {readonly address: string}) => Promise<unknown>>();
 	const cut = new Set<string>();
@@ -97,7 +97,7 @@
 		const random = createSeededRandom(nextSeed++);
 		const errors: string[] = [];
 		const log = createErrorLog(errors);
-		const platform = createInMemoryPlatform({store, clock, sharedFaultInjector: gate});
+		const platform = createInMemoryPlatform({store, clock, sharedFaultInjector});
 		const configuration = createConfiguration({log});
 		const usable = () => withoutHosts ? [hosts[index]!] : hosts;
 		const configurationPeers = createConfigurationPeers({
@@ -133,7 +133,7 @@
 	};
 
 	return {
-		clock, store, gate, cut, reverts, peerCalls, put, start,
+		clock, store, sharedFaultInjector, cut, reverts, peerCalls, put, start,
 		/** Starts all proxies and lets them load the configuration from the store. */
 		async startAll() {
 			const proxies = [];
--- a/tests/configuration/configuration-peers-tests.ts
+++ b/tests/configuration/configuration-peers-tests.ts
@@ -135,8 +135,8 @@
 	},
 	{
 		title: 'entries from a peer that has not loaded its configuration do not make this one loaded',
-		async run({clock, start, gate}) {
-			gate.faults.outage = 'silent';
+		async run({clock, start, sharedFaultInjector}) {
+			sharedFaultInjector.faults.outage = 'silent';
 			const first = await start(0);
 			const second = await start(1);
 			await clock.advance(10_000);
--- a/tests/configuration/configuration-property-tests.ts
+++ b/tests/configuration/configuration-property-tests.ts
@@ -55,10 +55,10 @@
 			faults.outage = Outage.Silent;
 		},
 		outage() {
-			fleet.gate.faults.outage = pauseMs % 2 ? Outage.Silent : Outage.Refusing;
+			fleet.sharedFaultInjector.faults.outage = pauseMs % 2 ? Outage.Silent : Outage.Refusing;
 		},
 		'silence-watches'() {
-			fleet.gate.silenceOpenWatches();
+			fleet.sharedFaultInjector.silenceOpenWatches();
 		},
 		'stale-offer'() {
 			const entry = proxies[(index + 1) % SIZE]!.configuration.getEntry(group);
@@ -87,7 +87,7 @@
 
 const heal = (fleet: Fleet, proxies: readonly FleetProxy[]) => {
 	fleet.cut.clear();
-	for (const {faults} of [fleet.gate, ...proxies.map(({platform}) => platform.faultInjector)]) {
+	for (const {faults} of [fleet.sharedFaultInjector, ...proxies.map(({platform}) => platform.faultInjector)]) {
 		Object.assign(faults, {
 			outage: Outage.None, answerDelayMs: 0, overtakenMs: 0, lostAnswers: 0,
 		});
--- a/tests/configuration/configuration-watch-tests.ts
+++ b/tests/configuration/configuration-watch-tests.ts
@@ -33,16 +33,16 @@
 	},
 	{
 		title: 'an outage that refuses at once',
-		async run({clock, gate}) {
-			gate.faults.outage = 'refusing';
+		async run({clock, sharedFaultInjector}) {
+			sharedFaultInjector.faults.outage = 'refusing';
 			await clock.advance(MINUTE_MS);
 		},
 		maxCalls: 31,
 	},
 	{
 		title: 'an outage that is silent',
-		async run({clock, gate}) {
-			gate.faults.outage = 'silent';
+		async run({clock, sharedFaultInjector}) {
+			sharedFaultInjector.faults.outage = 'silent';
 			await clock.advance(MINUTE_MS);
 		},
 		maxCalls: 31,
--- a/tests/configuration/in-force-everywhere-tests.ts
+++ b/tests/configuration/in-force-everywhere-tests.ts
@@ -46,8 +46,8 @@
 		// front of the platform. Only the proxy that wrote the change has it.
 		title: 'a change spreads at once from the proxy that wrote it when no watch works',
 		size: 9,
-		async run({put, clock, gate}, proxies) {
-			gate.faults.deadWatches = true;
+		async run({put, clock, sharedFaultInjector}, proxies) {
+			sharedFaultInjector.faults.deadWatches = true;
 			await clock.advance(60_000);
 			proxies[4]!.configuration.offer('a', put('a', 2000));
 			await clock.advance(50);
@@ -59,8 +59,8 @@
 		// As before, with more proxies than one proxy sends offers to.
 		title: 'a change spreads over many proxies when no watch works',
 		size: 60,
-		async run({put, clock, gate}, proxies) {
-			gate.faults.deadWatches = true;
+		async run({put, clock, sharedFaultInjector}, proxies) {
+			sharedFaultInjector.faults.deadWatches = true;
 			await clock.advance(10_000);
 			proxies[4]!.configuration.offer('a', put('a', 2000));
 			await clock.advance(50);
@@ -72,8 +72,8 @@
 		// The platform is down, and a host is replaced. Callers that the load balancer sends to the new host would be
 		// refused until the platform is back, although every other proxy has the configuration.
 		title: 'a proxy that starts in an outage loads from a peer',
-		async run({clock, gate, start}) {
-			gate.faults.outage = 'silent';
+		async run({clock, sharedFaultInjector, start}) {
+			sharedFaultInjector.faults.outage = 'silent';
 			await clock.advance(60_000);
 			const restarted = await start(1);
 			await clock.advance(IN_FORCE_MS);
@@ -86,8 +86,8 @@
 		// lists its address forwards a request to it.
 		title: 'a proxy that starts in an outage without a host list loads from a peer that calls it',
 		withoutHosts: true,
-		async run({clock, gate, start}, proxies) {
-			gate.faults.outage = 'silent';
+		async run({clock, sharedFaultInjector, start}, proxies) {
+			sharedFaultInjector.faults.outage = 'silent';
 			const restarted = await start(1);
 			await clock.advance(5000);
 			restarted.configurationPeers.reconcile('a', 1, proxies[0]!.address);
@@ -118,14 +118,14 @@
 		// The store sends a full list just before a change, and the list arrives after the watch has returned the change.
 		// If the list replaced newer entries, the change would be undone and a new group would be marked as deleted.
 		title: 'a list that arrives after newer changes does not undo them',
-		async run({put, clock, gate}, proxies) {
+		async run({put, clock, sharedFaultInjector}, proxies) {
 			const late = await proxies[0]!.platform.list('group', '', 1000);
 			put('a', 2000);
 			put('c', 1000);
 			await clock.advance(IN_FORCE_MS);
 			proxies[0]!.configuration.applyList(late, clock.now());
 			proxies[0]!.configuration.applyChanges({...late, objects: late.objects.slice(0, 1)}, clock.now());
-			gate.faults.overtakenMs = 900;
+			sharedFaultInjector.faults.overtakenMs = 900;
 			put('b', 2000);
 			await clock.advance(IN_FORCE_MS);
 			return proxies;
@@ -135,8 +135,8 @@
 	{
 		// The store commits a change, but its response is lost, so the proxy that wrote it can't tell and offers nothing.
 		title: 'a change whose response was lost still comes into force',
-		async run({clock, gate}, proxies) {
-			gate.faults.lostAnswers = 1;
+		async run({clock, sharedFaultInjector}, proxies) {
+			sharedFaultInjector.faults.lostAnswers = 1;
 			const value = {
 				cfg: createGroupConfig('a', 2000), audit: [], nextArchive: 0, deleted: false,
 			};
@@ -227,8 +227,8 @@
 		// never waited longer would give up on every response just before it arrived.
 		title: 'late responses of a slow store are accepted',
 		size: 1,
-		async run({put, clock, gate}, proxies) {
-			gate.faults.answerDelayMs = 3500;
+		async run({put, clock, sharedFaultInjector}, proxies) {
+			sharedFaultInjector.faults.answerDelayMs = 3500;
 			await clock.advance(60_000);
 			put('a', 2000);
 			await clock.advance(30_000);
--- a/tests/failover/decisions-tests.ts
+++ b/tests/failover/decisions-tests.ts
@@ -102,12 +102,12 @@
 
 	it('returns the time until the primary counts as cut off', () => {
 		const detector = createStallDetector(DEFAULT_FAILOVER_SETTINGS);
-		const note = (position: number, now: number) => {
+		const record = (position: number, now: number) => {
 			detector.record({primary: createStatus(1, position), replicas: [createStatus(1, 5), createStatus(1, 5)], majority: 2}, now);
 			return detector.getMsUntilCutOff(now);
 		};
 
-		expect([note(5, 0), note(6, 1000), note(6, 2500), note(6, 4000)]).to.deep.equal([Infinity, 2000, 500, 0]);
+		expect([record(5, 0), record(6, 1000), record(6, 2500), record(6, 4000)]).to.deep.equal([Infinity, 2000, 500, 0]);
 	});
 });
 
--- a/tests/failover/failover-bench.ts
+++ b/tests/failover/failover-bench.ts
@@ -23,7 +23,7 @@
 	readonly network: PeerNetwork;
 	readonly store: ObjectStore;
 	/** Injects faults of the platform for all hosts. */
-	readonly platformGate: FaultInjector;
+	readonly platformFaultInjector: FaultInjector;
 	readonly proxies: readonly PlatformHost[];
 	readonly servers: readonly DatabaseServer[];
 	/** The hosts, the group's owners first in order of rank. */
@@ -81,7 +81,7 @@
 		settings: {...DEFAULT_FAILOVER_SETTINGS, ...options.settings},
 		network: createPeerNetwork(clock, {latencyMs: LATENCY_MS}),
 		store,
-		platformGate: createFaultInjector({clock}),
+		platformFaultInjector: createFaultInjector({clock}),
 		proxies,
 		servers,
 		hosts: [],
--- a/tests/failover/primary-loss-tests.ts
+++ b/tests/failover/primary-loss-tests.ts
@@ -29,8 +29,8 @@
 				expect(await measureGap(bench)).to.be.below(maxMs);
 				expect(bench.getPrimary()?.address).not.to.equal(bench.getServer('db-1').address);
 				expect(bench.getPromotions()).to.have.length(1);
-				const {stepDurations: parts} = bench.hosts.flatMap(host => host.promotions)[0]!;
-				expect(Object.values(parts).reduce((sum, ms) => sum + ms, 0)).to.be.below(maxMs + 250);
+				const {stepDurations} = bench.hosts.flatMap(host => host.promotions)[0]!;
+				expect(Object.values(stepDurations).reduce((sum, ms) => sum + ms, 0)).to.be.below(maxMs + 250);
 				await bench.stop();
 			}
 		});
--- a/tests/failover/promoters-tests.ts
+++ b/tests/failover/promoters-tests.ts
@@ -28,7 +28,7 @@
 			// next term at the same moment, and so on. Each is nearer to a different server, so that the split is exact.
 			for (const seed of [1, 2, 3, 4, 5]) {
 				const bench = await createFailoverBench({seed, settings: SAME_TURN});
-				Object.assign(bench.platformGate.faults, faults);
+				Object.assign(bench.platformFaultInjector.faults, faults);
 				bench.hosts[0]!.endpoints.getLink('10.0.0.3:5432').setDelay(20);
 				bench.hosts[1]!.endpoints.getLink('10.0.0.2:5432').setDelay(20);
 				bench.getServer('db-1').kill();
@@ -92,7 +92,7 @@
 		it(`does not wait for a platform that is ${title}`, async () => {
 			// Writes fail for as long as the platform's outage lasts, although the servers and proxies could promote a primary.
 			const bench = await createFailoverBench();
-			Object.assign(bench.platformGate.faults, faults);
+			Object.assign(bench.platformFaultInjector.faults, faults);
 			bench.getServer('db-1').kill();
 			await bench.until(() => bench.getPromotions().length > 0, MAX_GAP_MS);
 
@@ -110,7 +110,7 @@
 	it('succeeds now and at the next loss when the answer to its claim is lost', async () => {
 		// The claim was stored; a promoter that took it for another host's would defer to itself.
 		const bench = await createFailoverBench();
-		bench.platformGate.faults.lostAnswers = 1;
+		bench.platformFaultInjector.faults.lostAnswers = 1;
 		bench.getServer('db-1').kill();
 		await bench.until(() => bench.getPromotions().length === 1, MAX_GAP_MS);
 		expect(bench.store.get(ObjectKind.Claim, 'filings')?.value).to.deep.equal({term: 2, host: bench.hosts[0]!.name});
--- a/tests/failover/test-host.ts
+++ b/tests/failover/test-host.ts
@@ -119,7 +119,7 @@
 	const random = createSeededRandom(bench.seed + index);
 	const log = createSilentLog();
 	const peers = bench.network.addHost(address);
-	const platform = createInMemoryPlatform({store: bench.store, clock, sharedFaultInjector: bench.platformGate});
+	const platform = createInMemoryPlatform({store: bench.store, clock, sharedFaultInjector: bench.platformFaultInjector});
 	const hosts = createHosts({
 		self, platform, clock, random, log,
 	});
--- a/tests/object-store/platform-contract-tests.ts
+++ b/tests/object-store/platform-contract-tests.ts
@@ -12,7 +12,7 @@
 type Bench = {
 	readonly platform: Platform;
 	readonly store: ObjectStore;
-	readonly gate: FaultInjector;
+	readonly faultInjector: FaultInjector;
 	readonly clock: VirtualClock;
 };
 
@@ -179,24 +179,24 @@
 	},
 	{
 		title: 'rejects at once in a refusing outage',
-		async run({platform, gate}) {
-			gate.faults.outage = 'refusing';
+		async run({platform, faultInjector}) {
+			faultInjector.faults.outage = 'refusing';
 			return platform.get('group', 'a', TIMEOUT_MS);
 		},
 		expected: 'PlatformError: the platform gave no answer to get group a',
 	},
 	{
 		title: 'rejects at its timeout in a silent outage',
-		async run({platform, gate, clock}) {
-			gate.faults.outage = 'silent';
+		async run({platform, faultInjector, clock}) {
+			faultInjector.faults.outage = 'silent';
 			return clock.runUntil(platform.hosts(TIMEOUT_MS));
 		},
 		expected: 'PlatformError: the platform gave no answer to hosts',
 	},
 	{
 		title: 'loses the response to a change that took effect, once',
-		async run({platform, gate, clock, store}) {
-			gate.faults.lostAnswers = 1;
+		async run({platform, faultInjector, clock, store}) {
+			faultInjector.faults.lostAnswers = 1;
 			const lost = put(platform, 'a', 1);
 			await until(() => store.calls.put === 1);
 			const errorName = await clock.runUntil(lost.catch((err: unknown) => (err as Error).name));
@@ -207,15 +207,15 @@
 ];
 
 describe('platform contract', () => {
-	const doTest = ({title, run, expected}: Case, create: (store: ObjectStore, gate: FaultInjector, clock: VirtualClock) => Promise<{platform: Platform; close(): Promise<void>}>) => {
+	const doTest = ({title, run, expected}: Case, create: (store: ObjectStore, faultInjector: FaultInjector, clock: VirtualClock) => Promise<{platform: Platform; close(): Promise<void>}>) => {
 		it(title, async () => {
 			const clock = createVirtualClock();
 			const store = createObjectStore({clock});
-			const gate = createFaultInjector({clock});
-			const {platform, close} = await create(store, gate, clock);
+			const faultInjector = createFaultInjector({clock});
+			const {platform, close} = await create(store, faultInjector, clock);
 			try {
 				const result = await run({
-					platform, store, gate, clock,
+					platform, store, faultInjector, clock,
 				}).then(value => JSON.stringify(value), getErrorLine);
 				expect(result ?? 'undefined').to.equal(expected);
 			} finally {
@@ -226,8 +226,8 @@
 
 	describe('in memory', () => {
 		for (const example of cases) {
-			doTest(example, async (store, sharedGate, clock) => ({
-				platform: createInMemoryPlatform({store, clock, sharedFaultInjector: sharedGate}),
+			doTest(example, async (store, sharedFaultInjector, clock) => ({
+				platform: createInMemoryPlatform({store, clock, sharedFaultInjector}),
 				async close() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 			}));
 		}
@@ -235,8 +235,8 @@
 
 	describe('over HTTP', () => {
 		for (const example of cases) {
-			doTest(example, async (store, gate, clock) => {
-				const app = createPlatformServer({store, faultInjector: gate});
+			doTest(example, async (store, faultInjector, clock) => {
+				const app = createPlatformServer({store, faultInjector});
 				const baseUrl = await app.listen({host: '127.0.0.1', port: 0});
 				const platform = createHttpPlatform({baseUrl, clock});
 				return {
