--- a/src/admission/class-queues.ts
+++ b/src/admission/class-queues.ts
@@ -13,7 +13,7 @@
 	/** Wait that the model estimated when the request was queued, before any correction, in milliseconds. */
 	readonly modelWaitMs: number;
 	/** Resolves the request with a slot or a refusal; called once. */
-	resolve(answer: AdmissionResult): void;
+	resolve(result: AdmissionResult): void;
 };
 
 /** One queue for each class, each sorted by a {@link QueueOrder}. */
--- a/src/admission/create-admission.ts
+++ b/src/admission/create-admission.ts
@@ -210,8 +210,8 @@
 		close(refusal) {
 			closedBy = refusal;
 			for (const workClass of WORK_CLASSES) {
-				for (const {resolve: answer} of queues.removeWhere(workClass, () => true)) {
-					answer({admitted: false, refusal});
+				for (const {resolve} of queues.removeWhere(workClass, () => true)) {
+					resolve({admitted: false, refusal});
 				}
 			}
 
--- a/src/callers/http-callers.ts
+++ b/src/callers/http-callers.ts
@@ -125,7 +125,7 @@
 	/** Responds to every caller before its connection is closed: to those whose work exceeds the bound and to those not yet read. */
 	const respondBeforeClosing = async () => {
 		isClosing = true;
-		responses.cut();
+		responses.abandonAll();
 		await finalRead.read();
 		if (arriving.size > 0 || incompleteHeads.getSockets().length > 0) {
 			refuseArriving();
--- a/src/callers/http-responses.ts
+++ b/src/callers/http-responses.ts
@@ -54,7 +54,7 @@
 	/** Refuses a request that no handler has received, because this host is leaving: sets status and headers and returns the body. */
 	refuseUnhandled(reply: FastifyReply, req: RequestSummary): string;
 	/** Responds to every request in progress with `unknown` at once; the entry's later response to it is dropped. */
-	cut(): void;
+	abandonAll(): void;
 };
 
 /** Creates the part of the caller port that responds to requests. */
@@ -98,9 +98,9 @@
 
 		abandonCallbacks.add(abandon);
 		const forget = () => abandonCallbacks.delete(abandon);
-		const answered = callEntry();
-		answered.then(resolve, reject);
-		answered.then(forget, forget);
+		const response = callEntry();
+		response.then(resolve, reject);
+		response.then(forget, forget);
 	});
 
 	const callOrRefuse = async (req: ServedRequest, callEntry: () => Promise<CallerResponse>) => {
@@ -146,7 +146,7 @@
 			return prepare(reply, refuse(req, getRefusedOutcome(req), {code, reason, facts: {}}), status);
 		},
 		refuseUnhandled: (reply, req) => prepare(reply, refuse(req, getRefusedOutcome(req), LEAVING_REFUSAL)),
-		cut() {
+		abandonAll() {
 			for (const abandon of abandonCallbacks) {
 				abandon();
 			}
--- a/src/daemon/register-owners.ts
+++ b/src/daemon/register-owners.ts
@@ -84,8 +84,8 @@
 	const {clock, random, log} = getCommonDependencies(kernel);
 	const {detectMs, claimMs, fenceMs, promoteMs, learnMs} = promotion.stepDurations;
 	kernel.get('metrics')?.observeFailover(promotion.group, (detectMs + claimMs + fenceMs + promoteMs + learnMs) / 1000);
-	const answer = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionChange(promotion), {
+	const response = await kernel.getOrThrow('changes').apply(groupKind, promotion.group, createPromotionChange(promotion), {
 		who: `failover ${kernel.getOrThrow('hosts').self.name}`, changeId: createRequestId(clock.wall(), random),
 	});
-	log.withPrefix('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: answer.result});
+	log.withPrefix('audit: ').info('a promotion was submitted to the audit trail', {group: promotion.group, term: promotion.term, result: response.result});
 }
--- a/src/daemon/run-daemon.ts
+++ b/src/daemon/run-daemon.ts
@@ -43,7 +43,7 @@
 
 /** Runs the daemon until it is asked to stop or fails. Resolves with the exit code; the caller then exits the process. */
 export async function runDaemon(options: RunDaemonOptions): Promise<DaemonExitCode> {
-	const {args, output, errors, events, createDependencies: createParts} = options;
+	const {args, output, errors, events, createDependencies} = options;
 	if (args.includes('--help') || args.includes('-h')) {
 		output.write(`${await getUsage()}\n`);
 		return DaemonExitCode.Ok;
@@ -66,9 +66,9 @@
 		throw err;
 	}
 
-	const parts = createParts(settings);
-	const uncaught = waitForUncaught(events, parts.log);
-	const served = serve(createDaemon({...options, dependencies: parts}), events, parts.log);
+	const dependencies = createDependencies(settings);
+	const uncaught = waitForUncaught(events, dependencies.log);
+	const served = serve(createDaemon({...options, dependencies}), events, dependencies.log);
 	return Promise.race([uncaught, served]);
 }
 
--- a/src/metrics/prom-metrics.ts
+++ b/src/metrics/prom-metrics.ts
@@ -16,10 +16,10 @@
 };
 
 /** Creates metrics with their own registry, so that several daemons can run in one process. */
-export function createPromMetrics({processMetrics: processFigures = false}: PromMetricsOptions = {}): Metrics {
+export function createPromMetrics({processMetrics = false}: PromMetricsOptions = {}): Metrics {
 	const registry = new Registry();
 	const registers = [registry];
-	if (processFigures) {
+	if (processMetrics) {
 		collectDefaultMetrics({register: registry});
 	}
 
--- a/src/owners/group-owner.ts
+++ b/src/owners/group-owner.ts
@@ -149,7 +149,7 @@
 		knowledge,
 		control: async <T>(endpoint: string, exchange: (connection: EndpointConnection) => Promise<T>) => getChannel(endpoint, 'control').run(exchange),
 		holdWrites: async ms => writeGate.hold(ms),
-		// A new owner knows of no earlier work, so it counts as busy when it is created and is polled at the short interval.
+		// A new owner knows of no earlier work, so its group counts as busy when it is created: failover polls the endpoints at the short interval.
 		getIdleMs: now => Math.min(now - createdAt, running.getIdleMs(now)),
 	};
 	const failover = options.createFailover(failoverContext);
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -26,14 +26,15 @@
  * Penalty of the primary, in mean statement times of the fastest candidate: writes and the reads that need every commit can run nowhere else.
  *
  * It is in statements and not in milliseconds, since a queue of one statement takes 40 ms at one site and 3 at another. Compared with penalties of
- * 25 ms for another zone and 30 for the primary (`npm run bench -- site-load`, 3 seeds), requests that only a primary serves get 0.975 of their credit
- * instead of 0.919 at the sleep logs, whose replicas serve 86% of the reads instead of 77; the filings stay at 0.993.
+ * 25 ms for another zone and 30 for the primary (`npm run bench -- site-load`, 3 seeds), requests that only a primary serves earn 0.975 of the credit
+ * that the bench gives for response times instead of 0.919 at its site of sleep logs, whose replicas serve 86% of the reads instead of 77%. Its site
+ * of filings stays at 0.993.
  */
 const PRIMARY_PENALTY_STATEMENTS = 6;
 
 /**
- * Maximum predicted catch-up time at which a replica is a candidate, in milliseconds: predictions are best for short times, and reads do not wait
- * longer on one. Their latency targets are 300 to 600 ms.
+ * Maximum predicted catch-up time at which a replica is a candidate, in milliseconds: predictions are best for short times, and no read
+ * waits longer because of one. The latency targets of reads are 300 to 600 ms.
  */
 export const MAX_CATCH_UP_MS = 250;
 
--- a/src/routing/create-entry.ts
+++ b/src/routing/create-entry.ts
@@ -31,7 +31,7 @@
 /** Creates the part of the entry that handles single requests; transactions are handled separately. */
 export function createEntry(options: EntryOptions): Pick<Entry, 'execute' | 'resolveOutcome'> {
 	const {
-		receiver: asker, answers, tries, ownerClient, retries,
+		receiver, answers, tries, ownerClient, retries,
 	} = options;
 
 	const runTries = async (received: ReceivedRequest, group: VersionedGroup, req: CallerRequest): Promise<TriesResult> => {
@@ -59,9 +59,9 @@
 
 	return {
 		async execute(name, req, header) {
-			const unvalidated = asker.receive(name, header, {...req, asked: req.kind});
+			const unvalidated = receiver.receive(name, header, {...req, asked: req.kind});
 			const {asked: received} = unvalidated;
-			const validation = asker.validate(unvalidated);
+			const validation = receiver.validate(unvalidated);
 			const refusal = 'refusal' in validation ? validation.refusal : validateReadAge(req, validation.group);
 			if ('refusal' in validation || refusal) {
 				return answers.refuse(received, refusal!);
@@ -71,11 +71,11 @@
 			return answers.answer(received, await runTries(received, validation.group, req));
 		},
 		async resolveOutcome(name, requestId, header) {
-			const unvalidated = asker.receive(name, header, {
+			const unvalidated = receiver.receive(name, header, {
 				asked: 'outcome', requestId, class: 'deadline', deadlineMs: OUTCOME_DEADLINE_MS, attempt: 2,
 			});
 			const {asked: received} = unvalidated;
-			const validation = asker.validate(unvalidated);
+			const validation = receiver.validate(unvalidated);
 			if ('refusal' in validation) {
 				return answers.refuseWithUnknownOutcome(received, validation.refusal);
 			}
--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -109,7 +109,7 @@
 	const getRefusedOutcome = (received: ReceivedRequest, refusal: Refusal) =>
 		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown: isUnknown, hasTombstone: isTombstoned}: TriesResult): CallerResponse => {
+	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown, hasTombstone}: TriesResult): CallerResponse => {
 		if (answer.outcome === Outcome.Done) {
 			return answerDone(received, answer);
 		}
@@ -121,11 +121,11 @@
 			return answerRefusal({...received, session, token: undefined}, Outcome.NotRun, refusal);
 		}
 
-		if (isUnknown || answer.outcome === Outcome.Unknown) {
+		if (outcomeUnknown || answer.outcome === Outcome.Unknown) {
 			return answerRefusal(received, Outcome.Unknown, refusal);
 		}
 
-		return answerRefusal(received, isTombstoned ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
+		return answerRefusal(received, hasTombstone ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
 	const finish = (received: ReceivedRequest, answer: CallerResponse) => {
--- a/src/routing/owner-client.ts
+++ b/src/routing/owner-client.ts
@@ -67,21 +67,21 @@
 			}
 
 			try {
-				const answer: OwnerResponse = await peers.call(host.address, kind, req, req.remainingMs + RESPONSE_MARGIN_MS);
+				const response: OwnerResponse = await peers.call(host.address, kind, req, req.remainingMs + RESPONSE_MARGIN_MS);
 				hosts.reportReachable(host.address);
-				if (answer.refusal?.code === RefusalCode.HostLeaving) {
+				if (response.refusal?.code === RefusalCode.HostLeaving) {
 					hosts.reportLeaving(host.address, clock.now());
 				}
 
-				return answer;
+				return response;
 			} catch (err) {
-				const answer = createSilentResponse(host, err);
+				const response = createSilentResponse(host, err);
 				// A call that was sent may have failed only because its own time ran out.
-				if (answer.outcome === Outcome.NotRun) {
+				if (response.outcome === Outcome.NotRun) {
 					hosts.reportUnreachable(host.address, clock.now());
 				}
 
-				return answer;
+				return response;
 			}
 		},
 	};
--- a/src/routing/request-tries.ts
+++ b/src/routing/request-tries.ts
@@ -29,7 +29,7 @@
 	readonly ownerClient: OwnerClient;
 	readonly retries: Retries;
 	/** Called before every retry with the failed response, for metrics. */
-	onRetry?(answer: OwnerResponse): void;
+	onRetry?(response: OwnerResponse): void;
 };
 
 /** Creates the tries of one host's entry. */
--- a/src/routing/try-owners.ts
+++ b/src/routing/try-owners.ts
@@ -42,7 +42,7 @@
 	readonly isRead: boolean;
 	readonly deadlineAt: number;
 	readonly retries: Retries;
-	onRetry?(answer: OwnerResponse): void;
+	onRetry?(response: OwnerResponse): void;
 };
 
 /** Tries the owners of a group in turn until one completes the request or no further try is allowed, as when its deadline is near. No other layer retries. */
@@ -80,31 +80,31 @@
 	return outcome === Outcome.Done || refusal?.code === RefusalCode.Resolved || refusal?.code === RefusalCode.RequestMismatch;
 }
 
-function describeFailedTry(answer: OwnerResponse, isRead: boolean, otherOwnerLeft: boolean): FailedTry {
+function describeFailedTry(response: OwnerResponse, isRead: boolean, otherOwnerLeft: boolean): FailedTry {
 	return {
-		provedNotRun: answer.outcome === Outcome.NotRun,
+		provedNotRun: response.outcome === Outcome.NotRun,
 		isRead,
 		// Every write is sent with its request id as key.
 		hasKey: !isRead,
-		code: answer.refusal?.code,
-		retryAfterMs: answer.refusal?.retryAfterMs,
-		otherOwnerLeft: Boolean(answer.tryNext) && otherOwnerLeft,
+		code: response.refusal?.code,
+		retryAfterMs: response.refusal?.retryAfterMs,
+		otherOwnerLeft: Boolean(response.tryNext) && otherOwnerLeft,
 	};
 }
 
-function createBudgetResponse(options: TryOwnersOptions, answer: OwnerResponse, tries: number, now: number): OwnerResponse {
+function createBudgetResponse(options: TryOwnersOptions, response: OwnerResponse, tries: number, now: number): OwnerResponse {
 	const refusal = createRetryBudgetRefusal({
 		group: options.group,
 		tries,
 		budget: options.retries.getBudget(options.group, now).getState(now),
-		lastCode: answer.refusal?.code,
-		retryAfterMs: answer.refusal?.retryAfterMs ?? 0,
+		lastCode: response.refusal?.code,
+		retryAfterMs: response.refusal?.retryAfterMs ?? 0,
 	});
-	return {...answer, refusal};
+	return {...response, refusal};
 }
 
-function withRetryAfter(answer: OwnerResponse, retryAfterMs: number | undefined): OwnerResponse {
-	return answer.refusal && retryAfterMs !== undefined ? {...answer, refusal: {...answer.refusal, retryAfterMs}} : answer;
+function withRetryAfter(response: OwnerResponse, retryAfterMs: number | undefined): OwnerResponse {
+	return response.refusal && retryAfterMs !== undefined ? {...response, refusal: {...response.refusal, retryAfterMs}} : response;
 }
 
 /** Creates the selection of the next owner to try: the preferred host first if it is an owner, then each other owner once before any is tried again. */
--- a/src/workspaces/caller-access.ts
+++ b/src/workspaces/caller-access.ts
@@ -42,7 +42,7 @@
  * requested, so a key in the copy was valid at the time of the request. A caller's request that arrives within the bound after that time was sent within the bound
  * after any revocation that the copy lacks. What confirms primaries during an outage of the store does not cover keys and does not count.
  */
-export function createCallerAccess({getRoutingState: getKnown, revokeWithinMs}: CallerAccessOptions): CallerAccess {
+export function createCallerAccess({getRoutingState, revokeWithinMs}: CallerAccessOptions): CallerAccess {
 	let indexedRouting: Routing | undefined;
 	let index: KeyIndex = createKeyIndex([]);
 
@@ -60,7 +60,7 @@
 
 	return {
 		authorize(fingerprint, route, now) {
-			const {routing, routingConfirmedAt} = getKnown();
+			const {routing, routingConfirmedAt} = getRoutingState();
 			const workspace = routing && getIndex(routing).getWorkspace(fingerprint);
 			if (!route.needsKey) {
 				return {allowed: true, workspace};
--- a/src/workspaces/rate-limiter.ts
+++ b/src/workspaces/rate-limiter.ts
@@ -31,7 +31,7 @@
 /** Maximum number of tokens that one host requests in advance. */
 const MAX_PREFETCHED_TOKENS = 16;
 
-/** Maximum time for which this host refuses operations without a request after a refusal, in milliseconds; tokens that become free meanwhile stay in the bucket. */
+/** Maximum time for which this host refuses operations without a request to the issuer after a refusal, in milliseconds; tokens that become free meanwhile stay in the bucket. */
 const MAX_REFUSING_MS = 100;
 
 /** Time after a grant that was made far below the limit in which an operation may run while its token is requested, in milliseconds. */
@@ -49,7 +49,7 @@
 	requestedAt: number;
 	/** Operations that were started and whose tokens are still to be requested. */
 	spent: number;
-	waiting: Array<(verdict: RateLimitDecision) => void>;
+	waiting: Array<(decision: RateLimitDecision) => void>;
 	isRequesting: boolean;
 	readonly retryDelays: RetryAfterSlots;
 	/** This host's part of the limit while no issuer responds. */
