--- a/tests/owners/barrier-tests.ts
+++ b/tests/owners/barrier-tests.ts
@@ -15,9 +15,9 @@
 
 describe('barrier', () => {
 	describe('evaluateRound', () => {
-		const doTest = (shown: string[], expected: string) => {
-			it(`${shown.join(', ')} gives ${expected}`, () => {
-				const statuses = new Map(shown.map((text, index) => [`e${index + 1}`, parseStatus(text)]));
+		const doTest = (reported: string[], expected: string) => {
+			it(`${reported.join(', ')} gives ${expected}`, () => {
+				const statuses = new Map(reported.map((text, index) => [`e${index + 1}`, parseStatus(text)]));
 				const found = evaluateRound(statuses, 2);
 				expect(found ? `${found.primary} (${found.floor.term}, ${found.floor.position})` : 'nothing').to.equal(expected);
 			});
--- a/tests/owners/confirmer-tests.ts
+++ b/tests/owners/confirmer-tests.ts
@@ -26,10 +26,10 @@
 	});
 
 	describe('confirm', () => {
-		const doTest = (title: string, answers: Record<string, EndpointStatus[]>, expected: string) => {
+		const doTest = (title: string, statuses: Record<string, EndpointStatus[]>, expected: string) => {
 			it(`${title}: ${expected}`, async () => {
 				const clock = createVirtualClock();
-				const asked: Record<string, number> = {};
+				const requestCounts: Record<string, number> = {};
 				const confirmer = createConfirmer({
 					clock,
 					getEndpoints: () => ['e1', 'e2', 'e3'],
@@ -38,10 +38,10 @@
 							const connection = {
 								async waitFor() {
 									await clock.sleep(10);
-									const turn = asked[name] ?? 0;
-									asked[name] = turn + 1;
-									const shown = answers[name]?.[Math.min(turn, answers[name].length - 1)];
-									return shown ?? Promise.reject(new Error('no answer'));
+									const requestIndex = requestCounts[name] ?? 0;
+									requestCounts[name] = requestIndex + 1;
+									const status = statuses[name]?.[Math.min(requestIndex, statuses[name].length - 1)];
+									return status ?? Promise.reject(new Error('no answer'));
 								},
 							};
 							return exchange(connection as unknown as EndpointConnection);
--- a/tests/routing/session-floor-tests.ts
+++ b/tests/routing/session-floor-tests.ts
@@ -18,8 +18,8 @@
 		it(`${title}: ${expected}`, () => {
 			const read = readSessionHeader(header, sessions, WALL_MS);
 			const floor = getFloor(read.session, 'nights');
-			const shown = floor ? `floor (${floor.term}, ${floor.position})` : 'barrier';
-			expect(read.kind === 'bad' ? 'bad' : shown).to.equal(expected);
+			const requirement = floor ? `floor (${floor.term}, ${floor.position})` : 'barrier';
+			expect(read.kind === 'bad' ? 'bad' : requirement).to.equal(expected);
 		});
 	};
 
