--- a/src/admission/service-time.ts
+++ b/src/admission/service-time.ts
@@ -15,22 +15,22 @@
 
 /** Creates the means; they are `initialMs` until the first sample. */
 export function createServiceTime(initialMs: number): ServiceTime {
-	const createFigure = () => ({meanMs: initialMs, samples: 0});
-	const all = createFigure();
-	const classes = {deadline: createFigure(), interactive: createFigure(), background: createFigure()};
+	const createEstimate = () => ({meanMs: initialMs, samples: 0});
+	const all = createEstimate();
+	const classes = {deadline: createEstimate(), interactive: createEstimate(), background: createEstimate()};
 
-	const add = (figure: typeof all, heldMs: number) => {
+	const add = (estimate: typeof all, heldMs: number) => {
 		// The first samples have equal weights, so that a wrong initial value soon has no effect.
-		const weight = Math.max(SAMPLE_WEIGHT, 1 / (figure.samples + 1));
-		figure.meanMs += weight * (heldMs - figure.meanMs);
-		figure.samples++;
+		const weight = Math.max(SAMPLE_WEIGHT, 1 / (estimate.samples + 1));
+		estimate.meanMs += weight * (heldMs - estimate.meanMs);
+		estimate.samples++;
 	};
 
-	const getFigure = (workClass: WorkClass) => classes[workClass].samples > 0 ? classes[workClass] : all;
+	const getEstimate = (workClass: WorkClass) => classes[workClass].samples > 0 ? classes[workClass] : all;
 
 	return {
 		observe(workClass, heldMs, served) {
-			const isUninformative = !served && heldMs < getFigure(workClass).meanMs;
+			const isUninformative = !served && heldMs < getEstimate(workClass).meanMs;
 			if (isUninformative) {
 				return;
 			}
@@ -39,6 +39,6 @@
 			add(classes[workClass], heldMs);
 		},
 		getMeanMs: () => all.meanMs,
-		getClassMeanMs: workClass => getFigure(workClass).meanMs,
+		getClassMeanMs: workClass => getEstimate(workClass).meanMs,
 	};
 }
--- a/src/owners/confirmer.ts
+++ b/src/owners/confirmer.ts
@@ -21,7 +21,7 @@
 	readonly term: number;
 	readonly position: number;
 	/** Endpoint whose answer named the entry; `status` is the one in that answer. */
-	readonly shownBy: string;
+	readonly reportedBy: string;
 	readonly status: EndpointStatus;
 	readonly deadlineAt: number;
 };
@@ -181,7 +181,7 @@
 			},
 		};
 		waiters.add(waiter);
-		count(waiter, req.shownBy, req.status);
+		count(waiter, req.reportedBy, req.status);
 		if (!waiters.has(waiter)) {
 			return;
 		}
--- a/src/owners/lost-writes.ts
+++ b/src/owners/lost-writes.ts
@@ -31,7 +31,7 @@
 	}
 
 	const confirmation = await group.confirmer.confirm({
-		term: status.term, position: ANY_POSITION, shownBy: endpoint.name, status, deadlineAt,
+		term: status.term, position: ANY_POSITION, reportedBy: endpoint.name, status, deadlineAt,
 	});
 	if (confirmation !== Confirmation.Confirmed) {
 		return undefined;
--- a/src/owners/predicted-placement.ts
+++ b/src/owners/predicted-placement.ts
@@ -71,12 +71,12 @@
 		return 0;
 	}
 
-	const shownAt = knowledge.getReachedAt(log);
+	const logReachedAt = knowledge.getReachedAt(log);
 	const floorAt = knowledge.getReachedAt(floor);
-	if (shownAt === undefined || floorAt === undefined || now - known.seenAt > LAG_VALIDITY_MS) {
+	if (logReachedAt === undefined || floorAt === undefined || now - known.seenAt > LAG_VALIDITY_MS) {
 		return Infinity;
 	}
 
-	const lagMs = Math.max(0, known.seenAt - shownAt);
+	const lagMs = Math.max(0, known.seenAt - logReachedAt);
 	return Math.max(0, floorAt + lagMs - now);
 }
--- a/src/owners/write-path.ts
+++ b/src/owners/write-path.ts
@@ -95,8 +95,8 @@
 		return undefined;
 	};
 
-	const noteFailure = (primary: Primary, given: TimeWindow) => {
-		if (isServerFailure(given, clock.now())) {
+	const noteFailure = (primary: Primary, window: TimeWindow) => {
+		if (isServerFailure(window, clock.now())) {
 			group.suspect(primary.endpoint.name, clock.now());
 		}
 	};
@@ -118,7 +118,7 @@
 		}
 
 		return group.confirmer.confirm({
-			term, position: status.log.position, shownBy: primary.name, status, deadlineAt,
+			term, position: status.log.position, reportedBy: primary.name, status, deadlineAt,
 		});
 	};
 
--- a/src/placement/position-samples.ts
+++ b/src/placement/position-samples.ts
@@ -67,8 +67,9 @@
 /**
  * Clamps a position of a superseded term to the start of the later term; returns others as they are. What lay beyond the start was rolled back, and no log will ever hold it.
  *
- * The term of the primary decides, and not that of its first log end: the log of a primary that has written nothing yet ends with an entry of an earlier term. Every host would
- * reject that primary as one that has lost its log, because of a position of that earlier term beyond the entry, or of a term in between whose entries no endpoint kept.
+ * The term of the primary decides, and not that of its first log end: the log of a primary that has written nothing yet ends with an entry of an earlier term. If the log end
+ * decided, a position of that earlier term beyond the entry, or of a term in between whose entries no endpoint kept, would make every host reject the primary as one that has
+ * lost its log.
  */
 export function clampToTermStart(position: LogPosition, {term, start}: TermStart): LogPosition {
 	const isBeyond = position.position > start.position || compareLogPositions(position, start) > 0;
--- a/tests/owners/confirmer-tests.ts
+++ b/tests/owners/confirmer-tests.ts
@@ -52,7 +52,7 @@
 					onFailure() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 				});
 				const end = await clock.runUntil(confirmer.confirm({
-					term: 2, position: 7, shownBy: 'e1', status: createStatus(2, 2, 7), deadlineAt: clock.now() + 1000,
+					term: 2, position: 7, reportedBy: 'e1', status: createStatus(2, 2, 7), deadlineAt: clock.now() + 1000,
 				}));
 				confirmer.stop();
 				expect(end).to.equal(expected);
