--- a/src/admission/class-shares.ts
+++ b/src/admission/class-shares.ts
@@ -15,7 +15,7 @@
 export type ClassShares = {
 	/** Returns the class that runs next among those with waiting requests; undefined where there is none. */
 	pick(hasWork: (workClass: WorkClass) => boolean): WorkClass | undefined;
-	/** Charges a class for a slot that it is expected to hold for `expectedMs`; returns the reservation to complete on release. */
+	/** Charges a class, if it has credit, for a slot that it is expected to hold for `expectedMs`; returns the reservation to complete on release. */
 	reserve(workClass: WorkClass, expectedMs: number): SlotReservation;
 	/** Corrects the charge to the time for which the slot was held, and credits all classes with their shares of it. */
 	complete(reservation: SlotReservation, heldMs: number): void;
--- a/tests/admission/create-admission-tests.ts
+++ b/tests/admission/create-admission-tests.ts
@@ -18,7 +18,7 @@
 
 	const enter = async (name: string, workClass: WorkClass, deadlineMs: number) => {
 		const answer = await admission.acquire({class: workClass, deadlineAt: clock.now() + deadlineMs}, clock.now());
-		const text = answer.admitted ? 'runs' : `${answer.refusal.code}, back in ${answer.refusal.retryAfterMs}`;
+		const text = answer.admitted ? 'runs' : `${answer.refusal.code}, retry after ${answer.refusal.retryAfterMs}`;
 		lines.push(`${clock.now()} ${name} ${text}`);
 		if (answer.admitted) {
 			running.push(answer);
@@ -61,7 +61,7 @@
 		await bench.send('short', 'interactive', 8);
 		await bench.send('short too', 'interactive', 8);
 		expect(bench.lines).to.deep.equal([
-			'0 a runs', '0 passed deadline-passed, back in 10', '0 short deadline-too-short, back in 15', '0 short too deadline-too-short, back in 20',
+			'0 a runs', '0 passed deadline-passed, retry after 10', '0 short deadline-too-short, retry after 15', '0 short too deadline-too-short, retry after 20',
 		]);
 	});
 
@@ -73,7 +73,7 @@
 		await bench.send('d', 'background', 1000);
 		await bench.send('e', 'deadline', 1000);
 		await bench.release(5);
-		expect(bench.lines).to.deep.equal(['0 a runs', '0 d queue-full, back in 15', '5 e runs']);
+		expect(bench.lines).to.deep.equal(['0 a runs', '0 d queue-full, retry after 15', '5 e runs']);
 	});
 
 	// Guards against late refusals: a request waits behind a statement that hangs, and its caller would get no answer until the
@@ -83,7 +83,7 @@
 		await bench.send('a', 'interactive', 1000);
 		await bench.send('waits', 'interactive', 100);
 		await bench.clock.advance(200);
-		expect(bench.lines).to.deep.equal(['0 a runs', '96 waits deadline-too-short, back in 33']);
+		expect(bench.lines).to.deep.equal(['0 a runs', '96 waits deadline-too-short, retry after 33']);
 	});
 
 	// Guards against stale predictions: when a server stops answering, each new request would wait until its deadline, since
@@ -99,7 +99,7 @@
 
 		expect(waits).to.deep.equal([5, 5, 10, 100]);
 		await bench.send('b', 'interactive', 90);
-		expect(bench.lines[1]).to.equal('300 b deadline-too-short, back in 15');
+		expect(bench.lines[1]).to.equal('300 b deadline-too-short, retry after 15');
 	});
 
 	// A server was slow for a while and is fast again. If a request with a short deadline were refused a free slot, no statement
@@ -149,7 +149,7 @@
 		}, bench.clock.now());
 		await bench.clock.advance(0);
 		await bench.send('c', 'deadline', 1000);
-		expect(bench.lines).to.deep.equal(['0 a runs', '0 b host-leaving, back in 0', '0 c host-leaving, back in 0']);
+		expect(bench.lines).to.deep.equal(['0 a runs', '0 b host-leaving, retry after 0', '0 c host-leaving, retry after 0']);
 	});
 
 	it('records every input of a refusal as a fact', async () => {
--- a/tests/daemon/create-daemon-tests.ts
+++ b/tests/daemon/create-daemon-tests.ts
@@ -69,17 +69,17 @@
 		const [status, refused] = await sendRead();
 		expect([status, (refused.refusal as CallerRefusal).code]).to.deep.equal([503, 'host-leaving']);
 		await stub.clock.advance(3000);
-		expect(stub.events).to.deep.equal(['inside starts', 'reading']);
+		expect(stub.events).to.deep.equal(['service starts', 'reading']);
 
 		finish({outcome: 'done', requestId: ''});
 		const [answered] = await inFlight;
 		expect(answered).to.equal(200);
 		await stub.clock.advance(3000);
-		expect(stub.events).to.deep.equal(['inside starts', 'reading']);
+		expect(stub.events).to.deep.equal(['service starts', 'reading']);
 
 		openTransactions = 0;
 		await stub.clock.runUntil(stopping);
-		expect(stub.events).to.deep.equal(['inside starts', 'reading', 'inside stops', 'platform stops']);
+		expect(stub.events).to.deep.equal(['service starts', 'reading', 'service stops', 'platform stops']);
 	});
 
 	it('keeps answering callers with 503 until the balancer has had time to notice', async () => {
@@ -88,7 +88,7 @@
 		await stub.clock.advance(1999);
 		const [status] = await sendRead();
 		expect(status).to.equal(503);
-		expect(stub.events).to.not.include('inside stops');
+		expect(stub.events).to.not.include('service stops');
 		await stub.clock.runUntil(stopping);
 	});
 
@@ -101,14 +101,14 @@
 				kernel.register('owners', {
 					async leave(ms: number) {
 						await stub.clock.sleep(5000);
-						stub.events.push(`handed on within ${ms} ms`);
+						stub.events.push(`groups handed over within ${ms} ms`);
 					},
 				} as never);
 			},
 		});
 		await daemonWithOwners.start();
 		await stub.clock.runUntil(daemonWithOwners.stop());
-		expect(stub.events).to.deep.equal(['inside starts', 'handed on within 8000 ms', 'inside stops', 'platform stops']);
+		expect(stub.events).to.deep.equal(['service starts', 'groups handed over within 8000 ms', 'service stops', 'platform stops']);
 	});
 
 	// A read takes longer than the host may keep running. Its caller gets an answer before the services stop and the process ends.
@@ -124,12 +124,12 @@
 
 		const stopping = daemon.stop();
 		await stub.clock.advance(7999);
-		expect(stub.events).to.deep.equal(['inside starts', 'reading']);
+		expect(stub.events).to.deep.equal(['service starts', 'reading']);
 		await stub.clock.runUntil(stopping);
 		const [status, answer] = await inFlight;
 		expect([status, answer.outcome, (answer.refusal as CallerRefusal).code]).to.deep.equal([504, 'unknown', 'host-leaving']);
 		expect(stub.events.slice(2)).to.deep.equal([
-			'work did not end within the bound', 'work did not end within the bound', 'inside stops', 'platform stops',
+			'work did not end within the bound', 'work did not end within the bound', 'service stops', 'platform stops',
 		]);
 	});
 
@@ -150,7 +150,7 @@
 		await starting;
 		await stub.clock.runUntil(stopping);
 		expect(() => daemon.kernel.getOrThrow('callers').port).to.throw(TypeError);
-		expect(stub.events).to.deep.equal(['inside stops', 'platform stops']);
+		expect(stub.events).to.deep.equal(['service stops', 'platform stops']);
 	});
 
 	it('stops within shutdownMs even if a service does not stop', async () => {
--- a/tests/daemon/run-daemon-tests.ts
+++ b/tests/daemon/run-daemon-tests.ts
@@ -67,7 +67,7 @@
 				emit(signal);
 				emit(signal);
 				expect(await stub.clock.runUntil(running)).to.equal(0);
-				expect(stub.events).to.deep.equal(['inside starts', 'serving', 'leaving', 'inside stops', 'platform stops', 'left']);
+				expect(stub.events).to.deep.equal(['service starts', 'serving', 'leaving', 'service stops', 'platform stops', 'left']);
 			});
 		};
 
--- a/tests/daemon/stub-daemon.ts
+++ b/tests/daemon/stub-daemon.ts
@@ -52,10 +52,10 @@
 		loaded: true,
 		execute: async () => ({outcome: 'done', requestId: ''}),
 		async start() {
-			events.push('inside starts');
+			events.push('service starts');
 		},
 		async stop() {
-			events.push('inside stops');
+			events.push('service stops');
 		},
 	};
 	const write = (sentence: string, fields?: LogFields) => {
--- a/tests/workspaces/rate-limiter-tests.ts
+++ b/tests/workspaces/rate-limiter-tests.ts
@@ -11,8 +11,9 @@
 const HOSTS = 12;
 const LIMIT: RateLimit = {ratePerSecond: 40, burst: 40};
 
-/** Operations allowed in a window of five seconds: rate and burst, a tenth above them, and 20. */
 const WINDOW_MS = 5000;
+
+/** Returns the number of operations that the users allow in a window of five seconds: rate and burst, a tenth above them, and 20. */
 const getAllowed = ({ratePerSecond, burst}: RateLimit) => (((ratePerSecond * WINDOW_MS / 1000) + burst) * 1.1) + 20;
 
 type Operation = {readonly at: number; readonly tookMs: number; readonly decision: RateLimitDecision};
