--- a/src/routing/entry-answers.ts
+++ b/src/routing/entry-answers.ts
@@ -28,7 +28,7 @@
 	readonly sessions: Sessions;
 	readonly explanations: Explanations;
 	/** Called with every answer, for metrics and operators. */
-	onAnswer?(received: ReceivedRequest, answer: CallerResponse, now: number): void;
+	onAnswer?(received: ReceivedRequest, response: CallerResponse, now: number): void;
 	/** Called with the role of the endpoint that served a read, for metrics. */
 	onServed?(role: EndpointRole): void;
 };
@@ -57,7 +57,7 @@
 		return sessions.sign(isRecent ? session : {...session, issuedAt: wallMs});
 	};
 
-	const answerRefusal = (received: ReceivedRequest, outcome: Outcome, refusal: Refusal): CallerResponse => {
+	const createRefusalResponse = (received: ReceivedRequest, outcome: Outcome, refusal: Refusal): CallerResponse => {
 		const ticket = explanations.record({
 			...refusal,
 			requestId: received.requestId,
@@ -81,21 +81,21 @@
 		};
 	};
 
-	const answerDone = (received: ReceivedRequest, answer: OwnerResponse): CallerResponse => {
+	const createDoneResponse = (received: ReceivedRequest, ownerResponse: OwnerResponse): CallerResponse => {
 		const isWrite = received.asked !== RequestKind.Read;
-		if (!isWrite && answer.role) {
-			options.onServed?.(answer.role);
+		if (!isWrite && ownerResponse.role) {
+			options.onServed?.(ownerResponse.role);
 		}
 
-		const session = isWrite && answer.log ? raiseFloor(received.session, received.group, answer.log, clock.wall()) : received.session;
+		const session = isWrite && ownerResponse.log ? raiseFloor(received.session, received.group, ownerResponse.log, clock.wall()) : received.session;
 		return {
 			outcome: Outcome.Done,
 			requestId: received.requestId,
-			rows: answer.rows,
-			servedBy: answer.servedBy,
-			term: answer.log?.term,
-			position: answer.log?.position,
-			ageMs: answer.ageMs === undefined ? undefined : Math.ceil(answer.ageMs),
+			rows: ownerResponse.rows,
+			servedBy: ownerResponse.servedBy,
+			term: ownerResponse.log?.term,
+			position: ownerResponse.log?.position,
+			ageMs: ownerResponse.ageMs === undefined ? undefined : Math.ceil(ownerResponse.ageMs),
 			session: sign(received, session),
 		};
 	};
@@ -109,33 +109,33 @@
 	const getRefusedOutcome = (received: ReceivedRequest, refusal: Refusal) =>
 		received.mayBeRepeat && !FINAL_CODES.has(refusal.code) ? Outcome.Unknown : Outcome.NotRun;
 
-	const answerResult = (received: ReceivedRequest, {answer, outcomeUnknown, hasTombstone}: TriesResult): CallerResponse => {
-		if (answer.outcome === Outcome.Done) {
-			return answerDone(received, answer);
+	const createResultResponse = (received: ReceivedRequest, {answer: ownerResponse, outcomeUnknown, hasTombstone}: TriesResult): CallerResponse => {
+		if (ownerResponse.outcome === Outcome.Done) {
+			return createDoneResponse(received, ownerResponse);
 		}
 
-		const refusal = answer.refusal!;
-		if (refusal.code === RefusalCode.WriteLost && answer.log) {
+		const refusal = ownerResponse.refusal!;
+		if (refusal.code === RefusalCode.WriteLost && ownerResponse.log) {
 			// Reported once: the session continues from the log that lacks the write.
-			const session = raiseFloor(received.session, received.group, answer.log, clock.wall());
-			return answerRefusal({...received, session, token: undefined}, Outcome.NotRun, refusal);
+			const session = raiseFloor(received.session, received.group, ownerResponse.log, clock.wall());
+			return createRefusalResponse({...received, session, token: undefined}, Outcome.NotRun, refusal);
 		}
 
-		if (outcomeUnknown || answer.outcome === Outcome.Unknown) {
-			return answerRefusal(received, Outcome.Unknown, refusal);
+		if (outcomeUnknown || ownerResponse.outcome === Outcome.Unknown) {
+			return createRefusalResponse(received, Outcome.Unknown, refusal);
 		}
 
-		return answerRefusal(received, hasTombstone ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
+		return createRefusalResponse(received, hasTombstone ? Outcome.NotRun : getRefusedOutcome(received, refusal), refusal);
 	};
 
-	const finish = (received: ReceivedRequest, answer: CallerResponse) => {
-		options.onAnswer?.(received, answer, clock.now());
-		return answer;
+	const finish = (received: ReceivedRequest, response: CallerResponse) => {
+		options.onAnswer?.(received, response, clock.now());
+		return response;
 	};
 
 	return {
-		refuse: (received, refusal) => finish(received, answerRefusal(received, getRefusedOutcome(received, refusal), refusal)),
-		refuseWithUnknownOutcome: (received, refusal) => finish(received, answerRefusal(received, Outcome.Unknown, refusal)),
-		answer: (received, result) => finish(received, answerResult(received, result)),
+		refuse: (received, refusal) => finish(received, createRefusalResponse(received, getRefusedOutcome(received, refusal), refusal)),
+		refuseWithUnknownOutcome: (received, refusal) => finish(received, createRefusalResponse(received, Outcome.Unknown, refusal)),
+		answer: (received, result) => finish(received, createResultResponse(received, result)),
 	};
 }
