--- a/tests/callers/http-stop-tests.ts
+++ b/tests/callers/http-stop-tests.ts
@@ -224,8 +224,8 @@
 		doTestNotAccepted('is refused on a connection that was not accepted yet', 1);
 		doTestNotAccepted('is refused on each of many connections that were not accepted yet', 60);
 
-		// Guards against a request that arrives after the port was closed, while the host polls for the last time: its
-		// connection counts as idle, and the HTTP server's own `close` closes idle connections first.
+		// Guards against closing the connection of a request that arrives after the port was closed, while the host polls for
+		// the last time: the connection counts as idle, and the HTTP server's own `close` closes idle connections first.
 		it('is refused on a kept connection during the last poll', async () => {
 			const socket = await openIdle();
 			const received = readToEnd(socket);
