--- a/src/connection-sharing/checkout-server.ts
+++ b/src/connection-sharing/checkout-server.ts
@@ -241,8 +241,8 @@
 		readonly timeoutMs: number;
 	}) => {
 		try {
-			const asked = directory.get(endpointId)?.ownPool.sendCommand(command, timeoutMs);
-			const bounded = asked && await withinMs(clock, timeoutMs, asked);
+			const response = directory.get(endpointId)?.ownPool.sendCommand(command, timeoutMs);
+			const bounded = response && await withinMs(clock, timeoutMs, response);
 			return bounded?.timedOut === false ? {status: bounded.value} : {};
 		} catch (err) {
 			if (!(err instanceof LinkError)) {
--- a/src/connection-sharing/remote-link.ts
+++ b/src/connection-sharing/remote-link.ts
@@ -27,7 +27,7 @@
 	onReceived(): void;
 };
 
-/** Timeout for an exchange with a pool host, in milliseconds: whoever sends a statement gives it a far shorter timeout. */
+/** Timeout for an exchange with a pool host, in milliseconds: the sender of a statement bounds it by a far shorter time. */
 const EXCHANGE_TIMEOUT_MS = 8000;
 
 /** Timeout for the message that ends a checkout, in milliseconds; where it is lost, the pool host revokes the checkout itself. */
--- a/src/connection-sharing/remote-read.ts
+++ b/src/connection-sharing/remote-read.ts
@@ -33,7 +33,7 @@
 	onUnreachable(): void;
 };
 
-/** Timeout for a read at a pool host, in milliseconds: whoever sends the read gives it a far shorter timeout. */
+/** Timeout for a read at a pool host, in milliseconds: the sender of a read bounds it by a far shorter time. */
 const RUN_TIMEOUT_MS = 8000;
 
 /** Timeout for a heartbeat of a pool host whose answer is late, in milliseconds. */
@@ -57,7 +57,7 @@
 	const runAt = async (poolHost: string, neededNow: CheckoutExchange['needed'], request: EndpointRequest): Promise<Run | undefined> => {
 		const waitMs = Math.max(1, Math.min(POOL_HOST_WAIT_MS, acquireRequest.until - clock.now()));
 		try {
-			const asked = peers.call(poolHost, 'loan-run', {
+			const response = peers.call(poolHost, 'loan-run', {
 				endpointId,
 				priority: acquireRequest.priority,
 				waitMs,
@@ -69,13 +69,13 @@
 				needed: neededNow,
 				request,
 			}, RUN_TIMEOUT_MS);
-			const first = await withinMs(clock, waitMs + POOL_HOST_ROUND_TRIP_MS, asked);
+			const first = await withinMs(clock, waitMs + POOL_HOST_ROUND_TRIP_MS, response);
 			if (first.timedOut && !await isHostAlive(peers, poolHost, HEARTBEAT_TIMEOUT_MS)) {
 				unreachable.add(poolHost, clock.now());
 				return undefined;
 			}
 
-			const run = await asked;
+			const run = await response;
 			unreachable.delete(poolHost);
 			return run;
 		} catch (err) {
@@ -90,14 +90,14 @@
 
 	/** Asks each pool host once; resolves with the answer, else with the most transient reason of those that refused, or undefined where none gave one. */
 	const runAtAny = async (neededNow: CheckoutExchange['needed'], request: EndpointRequest): Promise<EndpointAnswer | CheckoutRefusal | undefined> => {
-		let last: CheckoutRefusal | undefined;
+		let refusal: CheckoutRefusal | undefined;
 		for (const poolHost of options.getPoolHosts()) {
 			const run = await runAt(poolHost, neededNow, request);
 			if (run && 'refused' in run) {
 				if (run.refused === CheckoutRefusal.Stopping) {
 					unreachable.add(poolHost, clock.now());
 				} else {
-					last = getMoreTransient(last, run.refused);
+					refusal = getMoreTransient(refusal, run.refused);
 				}
 			} else if (run?.answer) {
 				return run.answer;
@@ -110,7 +110,7 @@
 			}
 		}
 
-		return last;
+		return refusal;
 	};
 
 	const runAnywhere = async (request: EndpointRequest): Promise<EndpointAnswer> => {
--- a/src/connection-sharing/shared-pool.ts
+++ b/src/connection-sharing/shared-pool.ts
@@ -149,7 +149,7 @@
 	 * with undefined where none gave one; a stopping pool host counts as one that did not answer.
 	 */
 	const checkOutAtAny = async (acquireRequest: AcquireRequest): Promise<CheckoutResult> => {
-		let last: CheckoutRefusal | undefined;
+		let refusal: CheckoutRefusal | undefined;
 		for (const poolHost of getPoolHosts(acquireRequest.workspace)) {
 			if (clock.now() >= acquireRequest.until) {
 				break;
@@ -165,10 +165,10 @@
 				continue;
 			}
 
-			last = result === CheckoutRefusal.Busy ? result : last ?? result;
+			refusal = result === CheckoutRefusal.Busy ? result : refusal ?? result;
 		}
 
-		return last;
+		return refusal;
 	};
 
 	const noteUnreachable = () => {
--- a/src/endpoints/endpoint-errors.ts
+++ b/src/endpoints/endpoint-errors.ts
@@ -16,6 +16,6 @@
 }
 
 /** @internal */
-export function throwNoAnswer(address: string, what: string, cause?: unknown): never {
-	throw new EndpointError(`${address} gave no answer to ${what}`, {cause, props: {sent: true}});
+export function throwNoAnswer(address: string, exchangeName: string, cause?: unknown): never {
+	throw new EndpointError(`${address} gave no answer to ${exchangeName}`, {cause, props: {sent: true}});
 }
--- a/src/endpoints/exchange-runner.ts
+++ b/src/endpoints/exchange-runner.ts
@@ -12,12 +12,12 @@
 	 * A late answer must not reach the connection's next user as the answer to another request. So any
 	 * exchange without an answer ends the connection, and data that still arrives on it is discarded.
 	 */
-	run<T>(what: string, timeoutMs: number, work: () => Promise<T>): Promise<T>;
+	run<T>(exchangeName: string, timeoutMs: number, work: () => Promise<T>): Promise<T>;
 	/** Ends the connection; an exchange in flight rejects at once. */
 	end(cause: unknown): void;
 };
 
-/** What an exchange runner needs. */
+/** Options of an exchange runner. */
 export type ExchangeRunnerOptions = {
 	readonly address: string;
 	readonly clock: Clock;
@@ -47,7 +47,7 @@
 		get usable() {
 			return usable;
 		},
-		async run(what, timeoutMs, work) {
+		async run(exchangeName, timeoutMs, work) {
 			if (!usable) {
 				throwNotConnected(address, 'the connection has ended');
 			}
@@ -64,7 +64,7 @@
 				});
 			} catch (err) {
 				end(err);
-				return throwNoAnswer(address, what, err);
+				return throwNoAnswer(address, exchangeName, err);
 			} finally {
 				rejectCurrent = undefined;
 				watch.clear();
--- a/src/gateway/acquire-link.ts
+++ b/src/gateway/acquire-link.ts
@@ -210,15 +210,15 @@
 			continue;
 		}
 
-		const figures = parts.knowledge.getStats(entry.id);
+		const stats = parts.knowledge.getStats(entry.id);
 		candidates.push({
 			endpointId: entry.id,
 			isPrimary,
 			sameZone: entry.availabilityZone === parts.availabilityZone,
 			load: pool.inUse + pool.waiting,
 			slots: entry.slots,
-			serviceMs: figures.serviceMs,
-			catchUpMs: isPrimary || !floor ? 0 : predictCatchUp(parts.knowledge.getSamples(entry.group), figures, floor, parts.elapsedClock.elapsed()),
+			serviceMs: stats.serviceMs,
+			catchUpMs: isPrimary || !floor ? 0 : predictCatchUp(parts.knowledge.getSamples(entry.group), stats, floor, parts.elapsedClock.elapsed()),
 		});
 	}
 
--- a/src/gateway/caller-transaction.ts
+++ b/src/gateway/caller-transaction.ts
@@ -37,7 +37,7 @@
 const ROLLBACK_TIMEOUT_MS = 1000;
 
 /** Delay before a begin or a commit that an endpoint refused is sent again, in milliseconds. */
-const BEGIN_PAUSE_MS = 20;
+const RETRY_PAUSE_MS = 20;
 
 /**
  * Minimum time left for sending a refused commit again, in milliseconds. A second commit that gets no answer would leave the outcome
@@ -106,7 +106,7 @@
 				}
 
 				excluded.clear();
-				await clock.sleep(BEGIN_PAUSE_MS);
+				await clock.sleep(RETRY_PAUSE_MS);
 				continue;
 			}
 
@@ -123,7 +123,7 @@
 				excluded.add(candidate.endpoint.entry.id);
 			} else {
 				mirror.confirmSoon();
-				await clock.sleep(BEGIN_PAUSE_MS);
+				await clock.sleep(RETRY_PAUSE_MS);
 			}
 
 			const reason = answer?.end.kind === 'error' ? answer.end.code : 'no whole answer came';
@@ -146,7 +146,7 @@
 			}
 
 			metrics.countRetry(AnswerCode.Overloaded);
-			await clock.sleep(BEGIN_PAUSE_MS);
+			await clock.sleep(RETRY_PAUSE_MS);
 		}
 	};
 
--- a/src/links/congestion-window.ts
+++ b/src/links/congestion-window.ts
@@ -1,6 +1,6 @@
 /** Bounds how many statements this host has in flight at an endpoint at once. */
 export type CongestionWindow = {
-	/** At least 1; Infinity while the endpoint has rejected nothing. */
+	/** At least 1; Infinity while the window is unbounded. */
 	readonly size: number;
 	/** Notes that the endpoint ran a statement. */
 	noteServed(): void;
--- a/src/links/link-errors.ts
+++ b/src/links/link-errors.ts
@@ -28,6 +28,6 @@
 }
 
 /** @internal */
-export function throwUnexpectedAnswer(address: string, what: string): never {
-	throw new LinkError(`${address} sent an unexpected answer to ${what}`);
+export function throwUnexpectedAnswer(address: string, requestKind: string): never {
+	throw new LinkError(`${address} sent an unexpected answer to ${requestKind}`);
 }
--- a/src/platform/http-metadata-store.ts
+++ b/src/platform/http-metadata-store.ts
@@ -58,7 +58,7 @@
 
 /** Creates an HTTP client of the platform's metadata store. */
 export function createHttpMetadataStore({address, clock, log: parentLog, onCall, onGeneration}: HttpMetadataStoreOptions): MetadataStore {
-	const exchanger = createHttpClient({baseUrl: `http://${address}`, clock});
+	const httpClient = createHttpClient({baseUrl: `http://${address}`, clock});
 	const log = parentLog.withPrefix('store: ');
 	const unusableEntries = createUnusableEntryLog(log);
 	let lastGeneration: number | undefined;
@@ -74,7 +74,7 @@
 
 	const exchange = async (call: string, req: HttpRequest): Promise<StoreResponse> => {
 		try {
-			const res = await exchanger.exchange(req);
+			const res = await httpClient.exchange(req);
 			onCall(call, String(res.status));
 			if (res.status === Status.TooMany || res.status >= Status.ServerError) {
 				throwPlatformSilent(req.what, new Error(`HTTP status ${res.status}`));
--- a/src/platform/http-promotion-orders.ts
+++ b/src/platform/http-promotion-orders.ts
@@ -17,12 +17,12 @@
 
 /** Creates the HTTP client that orders the platform to promote a server to primary. */
 export function createHttpPromotionOrders({address, clock, onCall}: HttpPromotionOrdersOptions): PromotionOrders {
-	const exchanger = createHttpClient({baseUrl: `http://${address}`, clock});
+	const httpClient = createHttpClient({baseUrl: `http://${address}`, clock});
 
 	return {
 		async promote({group, endpointId, holder, token}, timeoutMs) {
 			try {
-				const res = await exchanger.exchange({
+				const res = await httpClient.exchange({
 					what: `promote ${endpointId}`,
 					method: 'POST',
 					path: '/promote',
--- a/src/platform/tcp-link-opener.ts
+++ b/src/platform/tcp-link-opener.ts
@@ -43,7 +43,7 @@
 	};
 }
 
-/** Splits `ip:port` into the IP number and the port. */
+/** Splits `ip:port` into the IP address and the port. */
 export function splitAddress(address: string): [string, number] {
 	const colon = address.lastIndexOf(':');
 	return [address.slice(0, colon), Number(address.slice(colon + 1))];
@@ -155,15 +155,15 @@
 	return new Promise((resolve, reject) => {
 		let opened = false;
 		const open = (line: string) => {
-			const [word, detail = '', positionText = ''] = line.split(' ');
-			if (word === 'READY') {
+			const [kind, detail = '', positionText = ''] = line.split(' ');
+			if (kind === 'READY') {
 				opened = true;
 				firstPosition = parsePosition(positionText);
 				resolve(link);
 				return;
 			}
 
-			reject(word === 'ERROR' ? createLinkRefused(address, parseCode(detail)) : createLinkLost(address, 'an unknown response to the startup message'));
+			reject(kind === 'ERROR' ? createLinkRefused(address, parseCode(detail)) : createLinkLost(address, 'an unknown response to the startup message'));
 			socket.destroy();
 		};
 
@@ -200,7 +200,7 @@
 const CLOSE_TIMEOUT_MS = 3000;
 
 function parseError(line: string): AnswerEnd {
-	const [, word = '', ...text] = line.split(' ');
-	return {kind: 'error', code: parseCode(word), text: text.join(' ')};
+	const [, codeName = '', ...text] = line.split(' ');
+	return {kind: 'error', code: parseCode(codeName), text: text.join(' ')};
 }
 
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -116,9 +116,9 @@
 		}),
 		getMinPosition({id, group}) {
 			const record = mirror.state.leadership.get(group);
-			const leads = record?.phase === LeadershipPhase.Steady && record.primaryId === id;
+			const isPrimary = record?.phase === LeadershipPhase.Steady && record.primaryId === id;
 			const seen = knowledge.getSamples(group).getNewest()?.position;
-			return leads ? getHigherFloor(record.start, seen && clampToTermStart(seen, record)) : undefined;
+			return isPrimary ? getHigherFloor(record.start, seen && clampToTermStart(seen, record)) : undefined;
 		},
 	});
 	const checkoutServer = createCheckoutServer({
--- a/tests/connection-sharing/checkout-server-tests.ts
+++ b/tests/connection-sharing/checkout-server-tests.ts
@@ -128,10 +128,10 @@
 	 */
 	it('refuses a checkout that was waiting when the host is told to stop', async () => {
 		const bench = createBench();
-		const asked = bench.open();
+		const response = bench.open();
 		bench.checkoutServer.retire();
 		bench.give();
-		expect([await asked, bench.checkoutServer.checkouts, bench.released]).to.deep.equal([{refused: 'stopping'}, 0, 1]);
+		expect([await response, bench.checkoutServer.checkouts, bench.released]).to.deep.equal([{refused: 'stopping'}, 0, 1]);
 	});
 
 	/**
--- a/tests/connection-sharing/remote-read-tests.ts
+++ b/tests/connection-sharing/remote-read-tests.ts
@@ -23,7 +23,7 @@
 /** Runs one read through some pool hosts; resolves with its outcome, the time that it took, and the calls that were made. */
 async function runRead(poolHosts: Readonly<Record<string, FakePoolHost>>, options: {readonly untilMs?: number; readonly own?: EndpointAnswer} = {}) {
 	const clock = createVirtualClock(0);
-	const asked: string[] = [];
+	const calls: string[] = [];
 	let unreachable = 0;
 	const hosts = createUnreachableHosts();
 	const peers = {
@@ -33,7 +33,7 @@
 				return {alive: true};
 			}
 
-			asked.push(`${kind} ${address}`);
+			calls.push(`${kind} ${address}`);
 			await clock.sleep(Math.min(failed ? timeoutMs : afterMs, timeoutMs));
 			return failed ? throwPeerSilent(address, kind) : run;
 		},
@@ -56,19 +56,19 @@
 	const answer = await clock.runUntil(sessionLink.link.exchange({id: 's1', command: {kind: 'run', text: 'READ a'}}).catch((err: unknown) => (err as Error).name));
 	const outcome = typeof answer === 'object' && answer.end.kind === 'complete' ? answer.rows.join(' ') : 'not run';
 	return {
-		outcome: typeof answer === 'string' ? answer : outcome, ms: clock.now(), asked, unreachable,
+		outcome: typeof answer === 'string' ? answer : outcome, ms: clock.now(), calls, unreachable,
 	};
 }
 
 describe('a read that is sent with its checkout request', () => {
 	it('takes one call', async () => {
-		const {outcome, asked} = await runRead({a: {run: {answer: DONE}}});
-		expect([outcome, asked]).to.deep.equal(['7', ['loan-run a']]);
+		const {outcome, calls} = await runRead({a: {run: {answer: DONE}}});
+		expect([outcome, calls]).to.deep.equal(['7', ['loan-run a']]);
 	});
 
 	it('goes on to the next pool host where one has no free connection', async () => {
-		const {outcome, asked} = await runRead({a: {run: {refused: CheckoutRefusal.Busy}, afterMs: 120}, b: {run: {answer: DONE}}});
-		expect([outcome, asked]).to.deep.equal(['7', ['loan-run a', 'loan-run b']]);
+		const {outcome, calls} = await runRead({a: {run: {refused: CheckoutRefusal.Busy}, afterMs: 120}, b: {run: {answer: DONE}}});
+		expect([outcome, calls]).to.deep.equal(['7', ['loan-run a', 'loan-run b']]);
 	});
 
 	/** A pool host has lost power. A remote host that waited for it as long as the read may take would fail each of its callers until the link times out. */
@@ -80,8 +80,8 @@
 
 	/** An endpoint is slow. Its pool host is healthy, and must not be skipped for every endpoint to which it keeps connections. */
 	it('waits for a healthy pool host of a slow endpoint', async () => {
-		const {outcome, asked} = await runRead({a: {run: {answer: DONE}, afterMs: 900}, b: {run: {answer: DONE}}});
-		expect([outcome, asked]).to.deep.equal(['7', ['loan-run a']]);
+		const {outcome, calls} = await runRead({a: {run: {answer: DONE}, afterMs: 900}, b: {run: {answer: DONE}}});
+		expect([outcome, calls]).to.deep.equal(['7', ['loan-run a']]);
 	});
 
 	it('is answered as not run, in time, where no pool host has a free connection', async () => {
@@ -96,8 +96,8 @@
 	});
 
 	it('is answered as not run at once where no pool host holds the primary lease', async () => {
-		const {outcome, asked} = await runRead({a: {run: {refused: CheckoutRefusal.NoLease}}, b: {run: {refused: CheckoutRefusal.NoLease}}});
-		expect([outcome, asked]).to.deep.equal(['not run', ['loan-run a', 'loan-run b']]);
+		const {outcome, calls} = await runRead({a: {run: {refused: CheckoutRefusal.NoLease}}, b: {run: {refused: CheckoutRefusal.NoLease}}});
+		expect([outcome, calls]).to.deep.equal(['not run', ['loan-run a', 'loan-run b']]);
 	});
 
 	it('runs on a connection of this host where no pool host answers', async () => {
--- a/tests/proxy/outage-tests.ts
+++ b/tests/proxy/outage-tests.ts
@@ -62,12 +62,12 @@
 
 	/** Each query for fences uses a slot of an endpoint, for which callers wait as well. */
 	it('has few hosts query the endpoints for fences', async () => {
-		const asked: string[] = [];
+		const fenceQueries: string[] = [];
 		const log = {
 			debug() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 			info(sentence: string) {
 				if (sentence.startsWith('endpoints were asked for fences')) {
-					asked.push(sentence);
+					fenceQueries.push(sentence);
 				}
 			},
 			warn() {}, // eslint-disable-line @typescript-eslint/no-empty-function
@@ -76,7 +76,7 @@
 		};
 		const bench = await createProxyBench({proxies: HOSTS, maxConnections: 100, log});
 		await playOutage(bench, () => true);
-		expect(asked.length).to.be.lessThan(2 * OUTAGE_MS / 400);
+		expect(fenceQueries.length).to.be.lessThan(2 * OUTAGE_MS / 400);
 		bench.system.stop();
 	});
 });
--- a/tests/proxy/power-loss-tests.ts
+++ b/tests/proxy/power-loss-tests.ts
@@ -16,8 +16,8 @@
 		const {clock, system} = bench;
 		const busy = await Promise.all(bench.proxies.flatMap(proxy => [0, 1, 2].map(async () => bench.open(proxy, 'sync'))));
 		for (let round = 0; round < 5; round++) {
-			const asked = busy.map(async caller => bench.send(caller, 'WRITE a 1'));
-			await clock.runUntil(Promise.all(asked));
+			const answers = busy.map(async caller => bench.send(caller, 'WRITE a 1'));
+			await clock.runUntil(Promise.all(answers));
 		}
 
 		await clock.advance(5000);
