--- a/src/connection-sharing/checkout-server.ts
+++ b/src/connection-sharing/checkout-server.ts
@@ -183,14 +183,14 @@
 		}
 
 		try {
-			const askedAt = elapsedClock.elapsed();
+			const sentAt = elapsedClock.elapsed();
 			const {group, id: endpointId} = checkout.endpoint.entry;
-			const isPrimary = primaryLeases.get(group, askedAt)?.primaryId === endpointId;
+			const isPrimary = primaryLeases.get(group, sentAt)?.primaryId === endpointId;
 			const answer = await checkout.sessionLink.link.exchange(request);
 			checkout.lastAt = clock.now();
 			checkout.state = answer.state;
 			if (isPrimary && answer.position && answer.state === SessionState.Idle) {
-				knowledge.getSamples(group).note(askedAt, answer.position);
+				knowledge.getSamples(group).note(sentAt, answer.position);
 			}
 
 			if (last) {
--- a/src/connection-sharing/sample-fetcher.ts
+++ b/src/connection-sharing/sample-fetcher.ts
@@ -9,7 +9,7 @@
 /** Fetches position samples of primaries from hosts that send them more requests. */
 export type SampleFetcher = {
 	/**
-	 * Fetches a position of the group's primary and notes it; resolves with false where no host had one.
+	 * Fetches a position of the group's primary and notes it; resolves with false where none was fetched.
 	 *
 	 * A host of a large fleet reaches each primary only about once a second. Without a position that is recent enough for a route's maximum age, its reads have to go
 	 * to the primary, whose connections are needed for all writes and transactions.
@@ -45,12 +45,12 @@
 			return false;
 		}
 
-		const askedAt = elapsedClock.elapsed();
+		const sentAt = elapsedClock.elapsed();
 		try {
 			const {sample} = await peers.call(poolHost.peerAddress, 'loan-sample', {group}, FETCH_TIMEOUT_MS);
 			if (sample) {
 				// The pool host sent its request to the primary at this time or later, since its response was made after the request here was sent.
-				knowledge.getSamples(group).note(askedAt - sample.ageMs, sample.position);
+				knowledge.getSamples(group).note(sentAt - sample.ageMs, sample.position);
 			}
 
 			return sample !== undefined;
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -68,15 +68,15 @@
 	return answer;
 
 	function noteAnswer({end, position, state}: EndpointAnswer) {
-		const figures = knowledge.getStats(endpoint.entry.id);
+		const stats = knowledge.getStats(endpoint.entry.id);
 		const isLagging = end.kind === 'error' && end.code === AnswerCode.Lagging;
 		if (!isLagging && (req.command.kind === 'run' || req.command.kind === 'execute')) {
-			figures.noteAnswer(clock.now() - sentAt);
+			stats.noteAnswer(clock.now() - sentAt);
 		}
 
 		// Inside a transaction the position may still be the one at its begin.
 		if (position && state === SessionState.Idle) {
-			figures.noteHeld(elapsedClock.elapsed(), position);
+			stats.noteHeld(elapsedClock.elapsed(), position);
 		}
 
 		if (isSample && position && state === SessionState.Idle) {
--- a/src/links/create-endpoint-pool.ts
+++ b/src/links/create-endpoint-pool.ts
@@ -174,9 +174,9 @@
 	/** Assigns an idle connection that was held back from a transaction, once another one may be opened. */
 	const serveIdle = () => {
 		const waiter = waiters.find(request => mayAcquire(request) && idle.has(request.workspace));
-		const free = waiter && idle.take(waiter.values, waiter.workspace);
-		if (free) {
-			assignTo(waiter, free);
+		const sessionLink = waiter && idle.take(waiter.values, waiter.workspace);
+		if (sessionLink) {
+			assignTo(waiter, sessionLink);
 		}
 	};
 
--- a/src/platform/caller-lines.ts
+++ b/src/platform/caller-lines.ts
@@ -18,8 +18,8 @@
 
 /** Parses one line from a caller. */
 export function parseCallerLine(line: string): CallerMessage {
-	const [word, rest] = splitFirstWord(line);
-	switch (word) {
+	const [keyword, rest] = splitFirstWord(line);
+	switch (keyword) {
 		case 'STARTUP': {
 			const [database, key] = splitFirstWord(rest);
 			return database === '' ? {kind: 'malformed'} : {kind: 'open', database, key};
@@ -42,8 +42,8 @@
 
 /** Parses the text of a statement. */
 export function parseStatement(text: string): Statement {
-	const [word, rest] = splitFirstWord(text);
-	switch (word) {
+	const [keyword, rest] = splitFirstWord(text);
+	switch (keyword) {
 		case 'BEGIN': {
 			return rest === '' || rest === 'READ' ? {kind: 'begin', readOnly: rest === 'READ'} : MALFORMED;
 		}
--- a/src/platform/wire-codes.ts
+++ b/src/platform/wire-codes.ts
@@ -2,7 +2,7 @@
 import {SessionState} from '../statements/statement.js';
 
 /** The platform's names for answer codes, both on callers' and on endpoints' connections. */
-const CODE_WORDS: Readonly<Record<AnswerCode, string>> = {
+const CODE_NAMES: Readonly<Record<AnswerCode, string>> = {
 	[AnswerCode.Overloaded]: 'BUSY',
 	[AnswerCode.Aborted]: 'ABORTED',
 	[AnswerCode.Lagging]: 'LAGGING',
@@ -21,7 +21,7 @@
 	[AnswerCode.OutcomeUnknown]: 'INDOUBT',
 };
 
-const CODES_BY_WORD = new Map(Object.entries(CODE_WORDS).toReversed().map(([code, word]) => [word, code as AnswerCode]));
+const CODES_BY_NAME = new Map(Object.entries(CODE_NAMES).toReversed().map(([code, name]) => [name, code as AnswerCode]));
 
 const STATES_BY_LETTER = new Map<string, SessionState>([['I', SessionState.Idle], ['T', SessionState.Open], ['E', SessionState.Failed]]);
 
@@ -33,15 +33,15 @@
 
 /** Formats an answer code under the platform's name. */
 export function formatCode(code: AnswerCode): string {
-	return CODE_WORDS[code];
+	return CODE_NAMES[code];
 }
 
 /**
  * Parses an answer code. Of several codes with the same name it returns the first one. An unknown name counts as a statement that ran and failed,
  * since the proxy cannot promise that it did not run.
  */
-export function parseCode(word: string): AnswerCode {
-	return CODES_BY_WORD.get(word) ?? AnswerCode.Failed;
+export function parseCode(name: string): AnswerCode {
+	return CODES_BY_NAME.get(name) ?? AnswerCode.Failed;
 }
 
 /** Formats a session state as the platform's letter. */
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -45,7 +45,7 @@
 	const floorPerMs = (options.floorPerSecond ?? DEFAULT_FLOOR_PER_SECOND) / 1000;
 	let left = floorPerMs * keepMs;
 	/** Number of fresh requests, with exponential decay by the time constant. */
-	let fresh = 0;
+	let freshCount = 0;
 	let decayedTo = now;
 
 	const decay = (until: number) => {
@@ -56,19 +56,19 @@
 		const kept = Math.exp((decayedTo - until) / keepMs);
 		// Without fresh requests the budget converges to what the minimum rate yields in one time constant.
 		left = (left * kept) + (floorPerMs * keepMs * (1 - kept));
-		fresh *= kept;
+		freshCount *= kept;
 		decayedTo = until;
 	};
 
 	const getNextAfterMs = () => {
-		const incomePerMs = (share * fresh / keepMs) + floorPerMs;
+		const incomePerMs = (share * freshCount / keepMs) + floorPerMs;
 		return left >= 1 ? 0 : Math.ceil((1 - left) / incomePerMs);
 	};
 
 	return {
 		noteFresh(at) {
 			decay(at);
-			fresh++;
+			freshCount++;
 			left += share;
 		},
 		take(at, cost = 1) {
@@ -82,7 +82,7 @@
 		},
 		getState(at) {
 			decay(at);
-			return {left, nextAfterMs: getNextAfterMs(), freshEveryMs: keepMs / fresh};
+			return {left, nextAfterMs: getNextAfterMs(), freshEveryMs: keepMs / freshCount};
 		},
 	};
 }
--- a/src/sessions/signed-sessions.ts
+++ b/src/sessions/signed-sessions.ts
@@ -49,8 +49,8 @@
 
 			const body = bytes.subarray(0, -SIGNATURE_BYTES);
 			const signature = bytes.subarray(-SIGNATURE_BYTES);
-			const genuine = tokenKeys.some(key => timingSafeEqual(signBytes(key, body), signature));
-			return genuine ? decodeSession(body) : undefined;
+			const isValid = tokenKeys.some(key => timingSafeEqual(signBytes(key, body), signature));
+			return isValid ? decodeSession(body) : undefined;
 		},
 	};
 }
@@ -71,6 +71,6 @@
 
 	const bytes = Buffer.from(token, 'base64url');
 	// The decoder skips characters that are not base64url; only the canonical encoding is valid.
-	const genuine = bytes.length > SIGNATURE_BYTES && bytes.toString('base64url') === token;
-	return genuine ? bytes : undefined;
+	const isValid = bytes.length > SIGNATURE_BYTES && bytes.toString('base64url') === token;
+	return isValid ? bytes : undefined;
 }
--- a/tests/proxy/play-revocation.ts
+++ b/tests/proxy/play-revocation.ts
@@ -4,7 +4,7 @@
 import {createProxyBench, ROUTES, type ProxyBench} from './proxy-bench.js';
 
 /** The result of a schedule of revoked keys. */
-export type RevocationFigures = {
+export type RevocationResult = {
 	/** Statements that ran under a key that had been revoked for longer than the bound when the statement was sent. */
 	readonly ranTooLate: readonly string[];
 	/** Statements that ran for a workspace other than that of their caller's key. */
@@ -32,7 +32,7 @@
 }
 
 /** Revokes keys at random times while the store is unavailable to hosts and hosts are cut off from each other; callers go on sending with each key. */
-export async function playRevocation(seed: number): Promise<RevocationFigures> {
+export async function playRevocation(seed: number): Promise<RevocationResult> {
 	const random = createSeededRandom(seed);
 	const bench = await createProxyBench({proxies: PROXIES, workspaces: WORKSPACES, revokeWithinMs: REVOKE_WITHIN_MS});
 	const {clock, system, proxies} = bench;
@@ -100,10 +100,10 @@
 
 	await clock.advance(3000);
 	system.stop();
-	return getFigures(bench.ran, sent, revokedAt);
+	return getResult(bench.ran, sent, revokedAt);
 }
 
-function getFigures(ran: readonly string[], sent: ReadonlyMap<string, {readonly key: string; readonly at: number}>, revokedAt: ReadonlyMap<string, number>): RevocationFigures {
+function getResult(ran: readonly string[], sent: ReadonlyMap<string, {readonly key: string; readonly at: number}>, revokedAt: ReadonlyMap<string, number>): RevocationResult {
 	const ranTooLate: string[] = [];
 	const ranForOther: string[] = [];
 	for (const line of ran) {
--- a/tests/proxy/play-stop-schedule.ts
+++ b/tests/proxy/play-stop-schedule.ts
@@ -5,7 +5,7 @@
 import {SessionState} from '../../src/statements/statement.js';
 import {createProxyBench} from './proxy-bench.js';
 import {
-	noteOutcome, findFaultsAtEnd, findCommitFaults, getPromise, NOTHING_KEPT, noteStates, watchBegun, watchChannel, type Ask, type Played,
+	noteOutcome, findFaultsAtEnd, findCommitFaults, getPromise, NOTHING_KEPT, noteStates, watchBegun, watchChannel, type SentStatement, type CallerRecord,
 } from './stop-observations.js';
 import {
 	AFTERMATH_MS, GRACE_MS, MIN_REST_MS, MAX_UNREAD_MS, PLAY_MS, type CallerPlan, type CallerStep, type StopOrder, type StopSchedule, type StopTally,
@@ -19,14 +19,14 @@
 	const since = () => clock.now() - startedAt;
 	const faults: string[] = [];
 	const begun = watchBegun(bench, since);
-	const players: Played[] = [];
+	const callerRecords: CallerRecord[] = [];
 	const closedPorts = new Set<number>();
 	const endedHosts = new Set<number>();
 	const count = (what: string, times = 1) => {
 		tally[what] = (tally[what] ?? 0) + times;
 	};
 
-	const play = async (plan: CallerPlan, number: number) => {
+	const runCaller = async (plan: CallerPlan, number: number) => {
 		await clock.sleep(plan.opensAtMs);
 		const proxy = bench.proxies[plan.host]!;
 		if (closedPorts.has(plan.host)) {
@@ -35,35 +35,35 @@
 
 		const name = `h${plan.host}c${number}`;
 		const caller = createScriptedCaller(name, {clock, requestMs: plan.requestMs});
-		const player: Played = {
-			name, plan, caller, taken: [], asks: [], promises: new Map(), acknowledged: new Set(), greeted: false,
+		const callerRecord: CallerRecord = {
+			name, plan, caller, readRequests: [], sentStatements: [], promises: new Map(), acknowledged: new Set(), greeted: false,
 		};
-		players.push(player);
-		void proxy.kernel.getOrThrow('gateway').serve(watchChannel(caller.channel, player.taken, since));
-		player.greeted = await caller.open(plan.database);
-		if (player.greeted) {
+		callerRecords.push(callerRecord);
+		void proxy.kernel.getOrThrow('gateway').serve(watchChannel(caller.channel, callerRecord.readRequests, since));
+		callerRecord.greeted = await caller.open(plan.database);
+		if (callerRecord.greeted) {
 			await clock.sleep(plan.firstRestMs);
-			await act(player);
+			await act(callerRecord);
 		}
 	};
 
-	const act = async (player: Played) => {
-		const isOver = () => player.caller.refusal !== undefined || player.caller.closed || since() >= PLAY_MS;
+	const act = async (callerRecord: CallerRecord) => {
+		const isOver = () => callerRecord.caller.refusal !== undefined || callerRecord.caller.closed || since() >= PLAY_MS;
 		const ask = async (text: string) => {
-			const made: Ask = {id: `${player.name}-${player.asks.length}`, text, ended: false};
-			player.asks.push(made);
-			made.answer = await player.caller.ask(made.id, parseStatement(text));
-			made.ended = true;
-			if (!made.answer && !endedHosts.has(player.plan.host)) {
-				faults.push(`${made.id} (${text}) had no answer when its session ended, at ${since()}`);
+			const sent: SentStatement = {id: `${callerRecord.name}-${callerRecord.sentStatements.length}`, text, ended: false};
+			callerRecord.sentStatements.push(sent);
+			sent.answer = await callerRecord.caller.ask(sent.id, parseStatement(text));
+			sent.ended = true;
+			if (!sent.answer && !endedHosts.has(callerRecord.plan.host)) {
+				faults.push(`${sent.id} (${text}) had no answer when its session ended, at ${since()}`);
 			}
 
-			return made;
+			return sent;
 		};
 
 		const transact = async ({statements, innerRestMs}: Extract<CallerStep, {kind: 'transaction'}>) => {
 			const first = await ask('BEGIN');
-			let broken = getPromise(player, first);
+			let broken = getPromise(callerRecord, first);
 			let wrote = false;
 			for (let i = 0; i < statements && !isOver() && !broken; i++) {
 				await clock.sleep(innerRestMs);
@@ -72,7 +72,7 @@
 				}
 
 				wrote ||= i % 2 === 0;
-				broken = getPromise(player, await ask(i % 2 === 0 ? `WRITE ${player.name} ${i}` : `READ ${player.name}`));
+				broken = getPromise(callerRecord, await ask(i % 2 === 0 ? `WRITE ${callerRecord.name} ${i}` : `READ ${callerRecord.name}`));
 			}
 
 			await clock.sleep(innerRestMs);
@@ -81,11 +81,11 @@
 			}
 
 			const end = await ask('COMMIT');
-			noteOutcome(player, end, wrote, broken);
+			noteOutcome(callerRecord, end, wrote, broken);
 		};
 
 		while (!isOver()) {
-			for (const next of player.plan.steps) {
+			for (const next of callerRecord.plan.steps) {
 				if (isOver()) {
 					return;
 				}
@@ -93,8 +93,8 @@
 				if (next.kind === 'transaction') {
 					await transact(next);
 				} else {
-					const made = await ask(next.kind === 'read' ? `READ ${player.name}` : (next.kind === 'write' ? `WRITE ${player.name} 1` : 'SET studio boston'));
-					noteOutcome(player, made, next.kind === 'write');
+					const sent = await ask(next.kind === 'read' ? `READ ${callerRecord.name}` : (next.kind === 'write' ? `WRITE ${callerRecord.name} 1` : 'SET studio boston'));
+					noteOutcome(callerRecord, sent, next.kind === 'write');
 				}
 
 				await clock.sleep(Math.max(MIN_REST_MS, next.restMs));
@@ -126,8 +126,8 @@
 			faults.push(`host ${host} left after ${tookMs} ms`);
 		}
 
-		const own = players.filter(({plan}) => plan.host === host);
-		faults.push(...own.flatMap(player => findFaultsAtEnd(player, orderedAt)));
+		const own = callerRecords.filter(({plan}) => plan.host === host);
+		faults.push(...own.flatMap(callerRecord => findFaultsAtEnd(callerRecord, orderedAt)));
 		const soFar = begun.length;
 		await clock.sleep(schedule.lastLinesMs);
 		for (const {id, at} of begun.slice(soFar).filter(({id}) => id.startsWith(`h${host}c`))) {
@@ -136,15 +136,15 @@
 
 		endedHosts.add(host);
 		bench.system.kill(proxy);
-		for (const player of own) {
-			noteCut(player, orderedAt);
-			player.caller.leave();
+		for (const callerRecord of own) {
+			noteUnanswered(callerRecord, orderedAt);
+			callerRecord.caller.leave();
 		}
 	};
 
 	/** Records the requests without an answer at the end of a process; only callers that were notified may have any. */
-	const noteCut = ({caller, asks, name, promises}: Played, orderedAt: number) => {
-		for (const {id, text, ended} of asks) {
+	const noteUnanswered = ({caller, sentStatements, name, promises}: CallerRecord, orderedAt: number) => {
+		for (const {id, text, ended} of sentStatements) {
 			if (ended) {
 				continue;
 			}
@@ -171,11 +171,11 @@
 		});
 	}
 
-	const all = Promise.all([...schedule.stops.map(async order => stop(order)), ...schedule.callers.map(async (plan, i) => play(plan, i))]);
+	const all = Promise.all([...schedule.stops.map(async order => stop(order)), ...schedule.callers.map(async (plan, i) => runCaller(plan, i))]);
 	await clock.runUntil(all, PLAY_MS + GRACE_MS + MAX_UNREAD_MS + AFTERMATH_MS);
 	await clock.advance(AFTERMATH_MS);
-	faults.push(...findCommitFaults(bench, players));
-	for (const answer of players.flatMap(({asks}) => asks.map(ask => ask.answer))) {
+	faults.push(...findCommitFaults(bench, callerRecords));
+	for (const answer of callerRecords.flatMap(({sentStatements}) => sentStatements.map(sent => sent.answer))) {
 		count(`answer ${answer ? (answer.end.kind === 'error' ? answer.end.code : 'done') : 'none'}`);
 	}
 
--- a/tests/proxy/stop-observations.ts
+++ b/tests/proxy/stop-observations.ts
@@ -7,7 +7,7 @@
 import type {CallerPlan} from './stop-schedule.js';
 
 /** A request that a host read from a caller. */
-export type Taken = {
+export type ReadRequest = {
 	readonly what: string;
 	readonly atMs: number;
 	/** Whether it has an answer or a refusal. */
@@ -15,7 +15,7 @@
 };
 
 /** A statement that a caller sent. */
-export type Ask = {
+export type SentStatement = {
 	readonly id: string;
 	readonly text: string;
 	answer?: ScriptedAnswer;
@@ -24,12 +24,12 @@
 };
 
 /** A caller with everything exchanged between it and its host. */
-export type Played = {
+export type CallerRecord = {
 	readonly name: string;
 	readonly plan: CallerPlan;
 	readonly caller: ScriptedCaller;
-	readonly taken: Taken[];
-	readonly asks: Ask[];
+	readonly readRequests: ReadRequest[];
+	readonly sentStatements: SentStatement[];
 	/** Ids of its statements that must not be committed, with the reason. */
 	readonly promises: Map<string, string>;
 	/** Ids of its writes and commits that were acknowledged. */
@@ -46,10 +46,10 @@
 const BEGIN_COMMANDS: ReadonlySet<string> = new Set(['run', 'execute', 'begin', 'commit']);
 
 /** Wraps a channel and records the requests that its host reads, and which of them are resolved. */
-export function watchChannel(channel: CallerChannel, taken: Taken[], since: () => number): CallerChannel {
+export function watchChannel(channel: CallerChannel, readRequests: ReadRequest[], since: () => number): CallerChannel {
 	let notified = false;
 	const resolveLast = () => {
-		const last = taken.at(-1);
+		const last = readRequests.at(-1);
 		if (last) {
 			last.resolved = true;
 		}
@@ -69,7 +69,7 @@
 			const req = await channel.next();
 			if (req) {
 				// A caller that was notified before the request was read has its refusal; only a statement still lacks the state after it.
-				taken.push({what: describe(req), atMs: since(), resolved: notified && req.kind === 'open'});
+				readRequests.push({what: describe(req), atMs: since(), resolved: notified && req.kind === 'open'});
 			}
 
 			return req;
@@ -84,7 +84,7 @@
 		},
 		refuse(code, text) {
 			notified = true;
-			if (taken.length === 1) {
+			if (readRequests.length === 1) {
 				resolveLast();
 			}
 
@@ -139,14 +139,14 @@
 }
 
 /** Returns the violations of the rules at the moment when a host has left. */
-export function findFaultsAtEnd({name, caller, taken, asks, greeted}: Played, orderedAt: number): string[] {
+export function findFaultsAtEnd({name, caller, readRequests, sentStatements, greeted}: CallerRecord, orderedAt: number): string[] {
 	const faults: string[] = [];
-	for (const {what, atMs} of taken.filter(({resolved}) => !resolved)) {
+	for (const {what, atMs} of readRequests.filter(({resolved}) => !resolved)) {
 		faults.push(`${what} of ${name}, read at ${atMs}, has neither answer nor refusal when its host has left, ordered at ${orderedAt}`);
 	}
 
-	const isUnderWay = asks.some(({id, ended}) => !ended && !taken.some(({what}) => what === id));
-	const mayBeOpen = greeted ? caller.refusal !== undefined && isUnderWay : taken.length === 0;
+	const isUnderWay = sentStatements.some(({id, ended}) => !ended && !readRequests.some(({what}) => what === id));
+	const mayBeOpen = greeted ? caller.refusal !== undefined && isUnderWay : readRequests.length === 0;
 	if (!caller.closed && !mayBeOpen) {
 		faults.push(`the session of ${name} is open when its host has left, ordered at ${orderedAt}; refusal: ${caller.refusal ?? 'nothing'}`);
 	}
@@ -155,7 +155,7 @@
 }
 
 /** Records what an answer guarantees about a statement; returns whether it guarantees that nothing is committed. */
-export function getPromise({promises}: Played, {id, answer}: Ask): boolean {
+export function getPromise({promises}: CallerRecord, {id, answer}: SentStatement): boolean {
 	const isPromise = answer?.end.kind === 'error' && NOTHING_KEPT.has(answer.end.code);
 	if (isPromise) {
 		promises.set(id, `its answer was ${answer.end.kind === 'error' ? answer.end.code : ''}`);
@@ -165,19 +165,19 @@
 }
 
 /** Records the reported outcome of a write or a transaction. */
-export function noteOutcome(player: Played, ask: Ask, wrote: boolean, broken = false) {
-	getPromise(player, ask);
+export function noteOutcome(callerRecord: CallerRecord, statement: SentStatement, wrote: boolean, broken = false) {
+	getPromise(callerRecord, statement);
 	if (broken) {
-		player.promises.set(ask.id, 'a statement of its transaction had such an answer');
+		callerRecord.promises.set(statement.id, 'a statement of its transaction had such an answer');
 	}
 
-	if (wrote && ask.answer?.end.kind === 'complete') {
-		player.acknowledged.add(ask.id);
+	if (wrote && statement.answer?.end.kind === 'complete') {
+		callerRecord.acknowledged.add(statement.id);
 	}
 }
 
 /** Compares what endpoints committed with what callers were answered; returns the differences. */
-export function findCommitFaults({ran}: ProxyBench, players: readonly Played[]): string[] {
+export function findCommitFaults({ran}: ProxyBench, callerRecords: readonly CallerRecord[]): string[] {
 	const commits = new Map<string, number>();
 	for (const [, what, id = ''] of ran.map(line => line.split(' '))) {
 		if (what === 'commit') {
@@ -186,8 +186,8 @@
 	}
 
 	const faults: string[] = [];
-	for (const {promises, acknowledged, asks} of players) {
-		for (const {id, text} of asks) {
+	for (const {promises, acknowledged, sentStatements} of callerRecords) {
+		for (const {id, text} of sentStatements) {
 			const times = commits.get(id) ?? 0;
 			const promise = promises.get(id);
 			if (promise !== undefined && times > 0) {
