--- a/src/connection-sharing/checkout-server.ts
+++ b/src/connection-sharing/checkout-server.ts
@@ -134,7 +134,7 @@
 			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, minPosition,
 		});
 		if (retired) {
-			// The host was told to stop during the wait: a transaction would begin on a host that is about to end.
+			// The host was ordered to stop during the wait: a transaction would begin on a host that is about to end.
 			if (sessionLink) {
 				ownPool.release(sessionLink);
 			}
--- a/src/connection-sharing/pool-hosts.ts
+++ b/src/connection-sharing/pool-hosts.ts
@@ -41,7 +41,7 @@
 	readonly names: ReadonlySet<string>;
 };
 
-/** Creates the selection. Every host computes the same from its copy of the store; where copies differ, more hosts keep connections for a while. */
+/** Creates the selection. Every host computes the same from its mirror; where mirrors differ, more hosts keep connections for a while. */
 export function createPoolHosts({mirror, hostName, availabilityZone, minShare = MIN_SHARE}: PoolHostsOptions): PoolHosts {
 	let hostCache: {readonly hosts: readonly HostRecord[]; readonly routing: unknown; readonly zones: ReadonlyMap<string, HostRanking<HostRecord>>; readonly live: readonly HostRecord[]} | undefined;
 	let selections = new Map<string, Selection>();
--- a/src/connection-sharing/remote-read.ts
+++ b/src/connection-sharing/remote-read.ts
@@ -53,7 +53,7 @@
 	const pendingSession = createPendingSession();
 	let pending = 0;
 
-	/** Runs the read at one pool host; resolves with undefined where that does not answer. A heartbeat tells a slow endpoint from a failed pool host. */
+	/** Runs the read at one pool host; resolves with undefined where that does not answer. A heartbeat distinguishes a slow endpoint from a failed pool host. */
 	const runAt = async (poolHost: string, neededNow: CheckoutExchange['needed'], request: EndpointRequest): Promise<Run | undefined> => {
 		const waitMs = Math.max(1, Math.min(POOL_HOST_WAIT_MS, acquireRequest.until - clock.now()));
 		try {
--- a/tests/connection-sharing/checkout-server-tests.ts
+++ b/tests/connection-sharing/checkout-server-tests.ts
@@ -123,10 +123,10 @@
 
 describe('a checkout server', () => {
 	/**
-	 * A pool host is told to stop while a remote host waits there for a connection, which is released just after. If it were checked out, a transaction would begin on a host
+	 * A pool host is ordered to stop while a remote host waits there for a connection, which is released just after. If it were checked out, a transaction would begin on a host
 	 * that is about to end; refused, the transaction begins at the next pool host at once.
 	 */
-	it('refuses a checkout that was waiting when the host is told to stop', async () => {
+	it('refuses a checkout that was waiting when the host is ordered to stop', async () => {
 		const bench = createBench();
 		const response = bench.open();
 		bench.checkoutServer.retire();
--- a/tests/connection-sharing/shared-pool-tests.ts
+++ b/tests/connection-sharing/shared-pool-tests.ts
@@ -38,7 +38,7 @@
 	});
 
 	/**
-	 * Two of an endpoint's three pool hosts are told to stop, as in a restart of many hosts. A request that asks only these two would wait at the endpoint itself,
+	 * Two of an endpoint's three pool hosts are ordered to stop, as in a restart of many hosts. A request that asks only these two would wait at the endpoint itself,
 	 * which has no connection left, until its deadline, while the third pool host has a free one.
 	 */
 	it('asks the pool host that is left where those that it asked first are stopping', async () => {
