--- a/src/gateway/caller-session.ts
+++ b/src/gateway/caller-session.ts
@@ -56,7 +56,7 @@
 /** Fingerprint of the key of a session that is not open yet. */
 const NO_KEY = getFingerprint('');
 
-/** Statements that prepare for a later one; a session that is to end stays open after them. */
+/** Statements that prepare for a later one; a draining session stays open after them. */
 const SETUP_KINDS: ReadonlySet<Statement['kind']> = new Set(['set', 'prepare', 'forget']);
 
 /** Creates a session. */
--- a/src/gateway/queue-timeout.ts
+++ b/src/gateway/queue-timeout.ts
@@ -21,8 +21,8 @@
  * Creates the queue timeout of a statement, or of the begin of a transaction, that has not queued yet.
  *
  * Guards against a group whose load exceeds what its endpoints can run. If statements queued until their statement timeout, they would be served when nobody
- * waits for the answer any more, or refused with no time left for another try, and each later statement would meet a queue as long. The time without a known
- * primary does not count, since that state ends without a decrease in load.
+ * waits for the answer any more, or refused with no time left for another try, and each later statement would meet a queue as long. The timeout does not
+ * start while no primary is known, since that state ends without a decrease in load.
  */
 export function createQueueTimeout({targetLatencyMs, statementTimeoutMs}: Route): QueueTimeout {
 	const queueMs = Math.max(MIN_QUEUE_MS, Math.min(targetLatencyMs === 0 ? Number.POSITIVE_INFINITY : targetLatencyMs * TARGET_FACTOR, statementTimeoutMs * TIMEOUT_SHARE));
