--- a/src/connection-sharing/checkout-server.ts
+++ b/src/connection-sharing/checkout-server.ts
@@ -134,7 +134,7 @@
 			priority, until: clock.now() + waitMs, values: new Map(values), workspace, single, minPosition,
 		});
 		if (retired) {
-			// The host was told to stop during the wait: a transaction would begin on a host that is about to end.
+			// The host was ordered to stop during the wait: a transaction would begin on a host that is about to end.
 			if (sessionLink) {
 				ownPool.release(sessionLink);
 			}
@@ -183,14 +183,14 @@
 		}
 
 		try {
-			const askedAt = elapsedClock.elapsed();
+			const sentAt = elapsedClock.elapsed();
 			const {group, id: endpointId} = checkout.endpoint.entry;
-			const isPrimary = primaryLeases.get(group, askedAt)?.primaryId === endpointId;
+			const isPrimary = primaryLeases.get(group, sentAt)?.primaryId === endpointId;
 			const answer = await checkout.sessionLink.link.exchange(request);
 			checkout.lastAt = clock.now();
 			checkout.state = answer.state;
 			if (isPrimary && answer.position && answer.state === SessionState.Idle) {
-				knowledge.getSamples(group).note(askedAt, answer.position);
+				knowledge.getSamples(group).note(sentAt, answer.position);
 			}
 
 			if (last) {
@@ -241,8 +241,8 @@
 		readonly timeoutMs: number;
 	}) => {
 		try {
-			const asked = directory.get(endpointId)?.ownPool.sendCommand(command, timeoutMs);
-			const bounded = asked && await withinMs(clock, timeoutMs, asked);
+			const response = directory.get(endpointId)?.ownPool.sendCommand(command, timeoutMs);
+			const bounded = response && await withinMs(clock, timeoutMs, response);
 			return bounded?.timedOut === false ? {status: bounded.value} : {};
 		} catch (err) {
 			if (!(err instanceof LinkError)) {
