--- a/src/leadership/leadership-watch.ts
+++ b/src/leadership/leadership-watch.ts
@@ -41,7 +41,7 @@
 	readonly store: MetadataStore;
 	readonly mirror: StoreMirror;
 	readonly directory: EndpointDirectory;
-	readonly lenders: PoolHosts;
+	readonly poolHosts: PoolHosts;
 	readonly primaryLeases: PrimaryLeases;
 	readonly primaryWork: PrimaryWork;
 	readonly cutOffs: CutOffs;
@@ -87,7 +87,7 @@
 	const {clock, directory, failoverLease, elapsedClock, primaryLeases, mirror, peers, random, store} = options;
 	const log = options.log.withPrefix('leads: ');
 	const reachability = createPrimaryReachability({
-		mirror, directory, poolHosts: options.lenders, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
+		mirror, directory, poolHosts: options.poolHosts, peers, clock, log, ownPeerAddress: options.ownPeerAddress,
 	});
 	const firstRecord = createFirstRecord({
 		store, mirror, directory, clock, log, hostName: options.hostName,
@@ -167,7 +167,7 @@
 			return;
 		}
 
-		if (!options.lenders.isPoolHost({id: primaryId, group})) {
+		if (!options.poolHosts.isPoolHost({id: primaryId, group})) {
 			// The hosts that keep connections to it monitor it.
 			return;
 		}
@@ -220,7 +220,7 @@
 	/** Hosts that keep connections to the primary act first; all others act only if those have not, since hundreds would send requests to the failover coordinator at once. */
 	const waitForTurn = async ({group, primaryId}: LeadershipRecord) => {
 		await sleepJitter();
-		if (!options.lenders.isPoolHost({id: primaryId, group})) {
+		if (!options.poolHosts.isPoolHost({id: primaryId, group})) {
 			await clock.sleep(UNCONNECTED_WAIT_MS);
 		}
 	};
@@ -246,7 +246,7 @@
 	const checkGroupSafely = async (group: string) => {
 		const watch = getWatch(group);
 		const primaryId = mirror.state.leadership.get(group)?.primaryId;
-		if (primaryId !== undefined && !options.lenders.isPoolHost({id: primaryId, group})) {
+		if (primaryId !== undefined && !options.poolHosts.isPoolHost({id: primaryId, group})) {
 			watch.notBefore = clock.now() + UNCONNECTED_POLL_INTERVAL_MS;
 		}
 
@@ -297,7 +297,7 @@
 	/** Whether this host checks the group at the short interval: it keeps connections to the primary, or the group has no steady one. */
 	const isWatchedClosely = (group: string) => {
 		const record = mirror.state.leadership.get(group);
-		return record?.phase !== LeadershipPhase.Steady || options.lenders.isPoolHost({id: record.primaryId, group});
+		return record?.phase !== LeadershipPhase.Steady || options.poolHosts.isPoolHost({id: record.primaryId, group});
 	};
 
 	const run = async () => {
--- a/src/proxy/create-proxy.ts
+++ b/src/proxy/create-proxy.ts
@@ -158,7 +158,7 @@
 		store,
 		mirror,
 		directory,
-		lenders: poolHosts,
+		poolHosts,
 		primaryLeases,
 		primaryWork,
 		cutOffs,
