--- a/src/bench/pooling.ts
+++ b/src/bench/pooling.ts
@@ -70,7 +70,7 @@
 		[`${name}: wait p50 (ms)`]: getPercentile(waits, 0.5),
 		[`${name}: wait p99 (ms)`]: getPercentile(waits, 0.99),
 		[`${name}: not done in time (%)`]: getPercent(requests.length - done.length, requests.length),
-		[`${name}: most connections open (connections)`]: server.mostOpen,
+		[`${name}: most connections open (connections)`]: server.maxOpen,
 	};
 }
 
--- a/src/bench/pooling/pooled-server.ts
+++ b/src/bench/pooling/pooled-server.ts
@@ -17,7 +17,7 @@
 export type ServerFigures = {
 	opened: number;
 	refused: number;
-	mostOpen: number;
+	maxOpen: number;
 };
 
 const CONNECT_MS = 10;
@@ -30,12 +30,12 @@
 export function createPooledServer(schedule: VirtualSchedule, slots: number, cap: number): PooledServer {
 	const model = createServerModel(schedule, slots, ROUND_TRIP_MS);
 	const openByProxy = new Map<number, number>();
-	const figures: ServerFigures = {opened: 0, refused: 0, mostOpen: 0};
+	const figures: ServerFigures = {opened: 0, refused: 0, maxOpen: 0};
 
 	const countOpen = () => [...openByProxy.values()].reduce((sum, open) => sum + open, 0);
 	const add = (proxy: number, count: number) => {
 		openByProxy.set(proxy, Math.max(0, (openByProxy.get(proxy) ?? 0) + count));
-		figures.mostOpen = Math.max(figures.mostOpen, countOpen());
+		figures.maxOpen = Math.max(figures.maxOpen, countOpen());
 	};
 
 	const createConnection = (proxy: number): EndpointConnection => {
--- a/src/bench/rate-limits/simulate-limit.ts
+++ b/src/bench/rate-limits/simulate-limit.ts
@@ -23,7 +23,7 @@
 
 /** Figures of one run. */
 export type LimitFigures = {
-	/** Operations allowed fewer than by one counter of the whole fleet, as a share of those that it allows. */
+	/** Number of operations by which the fleet allows fewer than one counter for the whole fleet would, as a share of those that the counter allows. */
 	readonly wronglyRefused: number;
 	/** Maximum number of operations in a window, as a share of what the users allow there. */
 	readonly maxInWindow: number;
--- a/src/demo/demo-output.ts
+++ b/src/demo/demo-output.ts
@@ -22,13 +22,13 @@
 
 /** Creates an output that is printed line by line. */
 export function createDemoOutput({print}: DemoOutputOptions): DemoOutput {
-	let chapters = 0;
+	let scenarios = 0;
 
 	return {
 		beginScenario(title, why) {
-			chapters++;
+			scenarios++;
 			print('');
-			print(`${chapters}. ${title}`);
+			print(`${scenarios}. ${title}`);
 			print(`${INDENT}${why}`);
 		},
 		printLine(line) {
--- a/src/stand-ins/metadata-store/in-memory-metadata-store.ts
+++ b/src/stand-ins/metadata-store/in-memory-metadata-store.ts
@@ -67,21 +67,21 @@
 
 	const getFaults = (hostName: string) => faultsByHost.get(hostName) ?? faultsByHost.get(undefined) ?? NO_FAULTS;
 
-	const timeOut = async (what: string, timeoutMs: number): Promise<never> => {
+	const timeOut = async (callName: string, timeoutMs: number): Promise<never> => {
 		await clock.sleep(timeoutMs);
-		return throwPlatformSilent(what);
+		return throwPlatformSilent(callName);
 	};
 
-	const call = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
+	const call = async <T>(hostName: string, callName: string, timeoutMs: number, perform: () => T): Promise<T> => {
 		calls++;
 		const {refused, silent, responseMs: roundTripMs} = getFaults(hostName);
 		await clock.sleep(Math.min(roundTripMs, timeoutMs) / 2);
 		if (refused) {
-			throwPlatformSilent(what, new Error('refused'));
+			throwPlatformSilent(callName, new Error('refused'));
 		}
 
 		if (silent || roundTripMs > timeoutMs) {
-			return timeOut(what, timeoutMs);
+			return timeOut(callName, timeoutMs);
 		}
 
 		const result = perform();
@@ -89,23 +89,23 @@
 		return result;
 	};
 
-	const change = async <T>(hostName: string, what: string, timeoutMs: number, perform: () => T): Promise<T> => {
+	const change = async <T>(hostName: string, callName: string, timeoutMs: number, perform: () => T): Promise<T> => {
 		const {loseShare, lateMs} = getFaults(hostName);
 		if (random.fraction() >= loseShare) {
-			return call(hostName, what, timeoutMs, perform);
+			return call(hostName, callName, timeoutMs, perform);
 		}
 
 		void clock.sleep(random.fraction() * lateMs).then(() => {
 			try {
 				perform();
 			} catch (err) {
-				// The condition no longer holds, so the change is not executed. Its caller no longer waits for a response.
+				// The condition no longer holds, so the change is not executed. Its caller gets no response in either case.
 				if (!(err instanceof PlatformConflictError)) {
 					throw err;
 				}
 			}
 		});
-		return timeOut(what, timeoutMs);
+		return timeOut(callName, timeoutMs);
 	};
 
 	const setRouting = (next: Routing) => {
@@ -128,7 +128,7 @@
 		}
 	};
 
-	/** Compares versions within their generations, so an expected version of an earlier generation may match by chance. */
+	/** Compares versions without their generations, so an expected version of an earlier generation may match by chance. */
 	const checkVersion = (kind: RecordKind, name: string, expectedVersion: number) => {
 		if ((records.get(kind)!.get(name)?.version ?? 0) !== getWithinGeneration(expectedVersion)) {
 			throwVersionConflict(kind, name, expectedVersion);
--- a/src/stand-ins/platform/in-memory-platform.ts
+++ b/src/stand-ins/platform/in-memory-platform.ts
@@ -21,9 +21,9 @@
 	readonly sharedFaultInjector?: FaultInjector;
 };
 
-/** A call to the store; errors name it by `what`. */
+/** A call to the store; errors name it by `callName`. */
 type Call<T> = {
-	readonly what: string;
+	readonly callName: string;
 	readonly effect: CallEffect;
 	readonly timeoutMs: number;
 	run(signal: AbortSignal): T | Promise<T>;
@@ -33,57 +33,57 @@
 export function createInMemoryPlatform({store, clock, sharedFaultInjector: sharedInjector}: InMemoryPlatformOptions): InMemoryPlatform {
 	const injector = createFaultInjector({clock});
 
-	const call = async <T>({what, effect, timeoutMs, run}: Call<T>): Promise<T> => {
+	const call = async <T>({callName, effect, timeoutMs, run}: Call<T>): Promise<T> => {
 		const abort = new AbortController();
 		const runAtStore = async () => run(abort.signal);
 		const runShared = async (): Promise<T> => sharedInjector ? sharedInjector.runWithFaults(effect, runAtStore) : runAtStore();
-		const outcome = await withinMs(clock, timeoutMs, injector.runWithFaults(effect, runShared)).catch((err: unknown) => rethrow(what, err));
+		const outcome = await withinMs(clock, timeoutMs, injector.runWithFaults(effect, runShared)).catch((err: unknown) => rethrow(callName, err));
 		abort.abort();
-		return outcome.timedOut ? throwPlatformSilent(what) : outcome.value;
+		return outcome.timedOut ? throwPlatformSilent(callName) : outcome.value;
 	};
 
 	return {
 		faultInjector: injector,
 		async get(kind, name, timeoutMs) {
 			return call({
-				what: `get ${kind} ${name}`, effect: CallEffect.Read, timeoutMs, run: () => store.get(kind, name),
+				callName: `get ${kind} ${name}`, effect: CallEffect.Read, timeoutMs, run: () => store.get(kind, name),
 			});
 		},
 		async list(kind, prefix, timeoutMs) {
 			return call({
-				what: `list ${kind}`, effect: CallEffect.Read, timeoutMs, run: () => store.list(kind, prefix),
+				callName: `list ${kind}`, effect: CallEffect.Read, timeoutMs, run: () => store.list(kind, prefix),
 			});
 		},
 		async put(object, timeoutMs) {
 			return call({
-				what: `put ${object.kind} ${object.name}`, effect: CallEffect.Change, timeoutMs, run: () => store.put(object),
+				callName: `put ${object.kind} ${object.name}`, effect: CallEffect.Change, timeoutMs, run: () => store.put(object),
 			});
 		},
 		async delete(kind, name, expectedVersion, timeoutMs) {
 			return call({
-				what: `delete ${kind} ${name}`, effect: CallEffect.Change, timeoutMs, run() {
+				callName: `delete ${kind} ${name}`, effect: CallEffect.Change, timeoutMs, run() {
 					store.delete(kind, name, expectedVersion);
 				},
 			});
 		},
 		async watch(kind, revision, waitMs, timeoutMs) {
 			return call({
-				what: `watch ${kind}`, effect: CallEffect.Watch, timeoutMs, run: async signal => store.watch(kind, revision, waitMs, signal),
+				callName: `watch ${kind}`, effect: CallEffect.Watch, timeoutMs, run: async signal => store.watch(kind, revision, waitMs, signal),
 			});
 		},
 		async hosts(timeoutMs) {
 			return call({
-				what: 'hosts', effect: CallEffect.Read, timeoutMs, run: () => store.hosts(),
+				callName: 'hosts', effect: CallEffect.Read, timeoutMs, run: () => store.hosts(),
 			});
 		},
 	};
 }
 
 /** Rethrows a version conflict as it is, and any other error with the name of the call. */
-function rethrow(what: string, err: unknown): never {
+function rethrow(callName: string, err: unknown): never {
 	if (err instanceof PlatformConflictError) {
 		throw err;
 	}
 
-	return err instanceof PlatformRefusedError ? throwPlatformRefused(what, err.message) : throwPlatformSilent(what, err);
+	return err instanceof PlatformRefusedError ? throwPlatformRefused(callName, err.message) : throwPlatformSilent(callName, err);
 }
--- a/tests/bench/pooling/pooled-server-tests.ts
+++ b/tests/bench/pooling/pooled-server-tests.ts
@@ -25,7 +25,7 @@
 		void connect(1);
 		await schedule.runUntil(200);
 		expect(results).to.deep.equal(['0 open', '0 open', '1 refused', '1 open']);
-		expect(server.figures).to.deep.equal({opened: 3, refused: 1, mostOpen: 2});
+		expect(server.figures).to.deep.equal({opened: 3, refused: 1, maxOpen: 2});
 	});
 });
 
--- a/tests/crowd-check/play.ts
+++ b/tests/crowd-check/play.ts
@@ -6,7 +6,7 @@
 import {createSimulatedProxies} from '../../src/stand-ins/proxies/simulated-proxies.js';
 import {createVirtualClock} from '../../src/stand-ins/time/virtual-clock.js';
 
-/** Plays some seconds of a large fleet with few connections and prints the results of its callers. The arguments are a seed and the number of callers that idle in transactions. */
+/** Simulates some seconds of a large fleet with few connections and prints the results of its callers. The arguments are a seed and the number of callers that idle in transactions. */
 
 const PROXIES = 30;
 const GROUPS = ['nights', 'days'];
--- a/tests/demo/guarantees-tests.ts
+++ b/tests/demo/guarantees-tests.ts
@@ -18,7 +18,7 @@
 	const doTest = (run: {broken?: Guarantee; unchecked?: Guarantee}, exitCode: number, expected: string) => {
 		const {guarantees, lines} = createRun();
 		for (const guarantee of ALL.filter(one => one !== run.unchecked)) {
-			guarantees.check(guarantee, guarantee === run.broken ? ['m-17 is there 2 times'] : [], 'as told');
+			guarantees.check(guarantee, guarantee === run.broken ? ['m-17 is there 2 times'] : [], 'as reported');
 		}
 
 		expect(guarantees.conclude()).to.equal(exitCode);
@@ -31,7 +31,7 @@
 
 	for (const guarantee of ALL) {
 		it(`ends with exit code 1 where this was broken: ${guarantee}`, () => {
-			doTest({broken: guarantee}, 1, `BROKEN ${guarantee}: as told`);
+			doTest({broken: guarantee}, 1, `BROKEN ${guarantee}: as reported`);
 		});
 	}
 
--- a/tests/golden/session-script.ts
+++ b/tests/golden/session-script.ts
@@ -70,7 +70,7 @@
 	};
 
 	const createCaller = (name: string, token?: string): ScriptedCaller => {
-		const play = async (proxy: string, description: string, send: () => Promise<CallerResponse>) => {
+		const exchange = async (proxy: string, description: string, send: () => Promise<CallerResponse>) => {
 			note(`${name} at ${proxy}: ${description}, ${describeToken(caller.token)}`);
 			const sentAt = clock.now();
 			const answer = await clock.runUntil(send());
@@ -85,10 +85,10 @@
 			async ask(proxy, group, body) {
 				const req = callerRequestSchema.parse(body);
 				const description = `${req.kind} ${group} ${req.statement} ${JSON.stringify(req.values)}`;
-				return play(proxy, description, async () => getEntry(proxy).execute(group, req, caller.token));
+				return exchange(proxy, description, async () => getEntry(proxy).execute(group, req, caller.token));
 			},
 			async askOutcome(proxy, group, requestId) {
-				return play(proxy, `what became of the request in ${group}?`, async () => getEntry(proxy).resolveOutcome(group, requestId, caller.token));
+				return exchange(proxy, `what became of the request in ${group}?`, async () => getEntry(proxy).resolveOutcome(group, requestId, caller.token));
 			},
 		};
 		return caller;
--- a/tests/lead-check/leadership-history.ts
+++ b/tests/lead-check/leadership-history.ts
@@ -36,7 +36,7 @@
 
 type ExecutedCommit = {
 	readonly commit: PlainCommit;
-	/** Whether another server had been promoted since. */
+	/** Whether another server was the one promoted last when the commit took effect. */
 	readonly superseded: boolean;
 };
 
@@ -64,8 +64,8 @@
 	const reads = new Map<string, ExecutedRead[]>();
 	const violations: string[] = [];
 	const startedAt = getNow();
-	const addViolation = (what: string) => {
-		violations.push(`${Math.round(getNow() - startedAt)} ms: ${what}`);
+	const addViolation = (description: string) => {
+		violations.push(`${Math.round(getNow() - startedAt)} ms: ${description}`);
 	};
 
 	const figures = {
@@ -73,14 +73,14 @@
 	};
 	let group: PlainGroup;
 
-	const getLeader = () => group.latestPrimary;
+	const getPrimary = () => group.latestPrimary;
 
 	const findMissing = (server: PlainServer, requirement: ReadRequirement) => {
 		const now = getNow();
 		const missing: string[] = [];
 		for (const [id, {commit, at}] of acknowledged) {
 			const isRequired = at < requirement.firstByteAt - requirement.maxReadAgeMs || requirement.own.includes(id);
-			if (isRequired && isHeldBy(getLeader(), commit) && !rolledBack.has(commit) && !isVisibleAt(server, commit, now)) {
+			if (isRequired && isHeldBy(getPrimary(), commit) && !rolledBack.has(commit) && !isVisibleAt(server, commit, now)) {
 				missing.push(id);
 			}
 		}
--- a/tests/lead-check/main.ts
+++ b/tests/lead-check/main.ts
@@ -1,5 +1,5 @@
 /**
- * Plays random schedules from the command line: `npm run check:leads -- --first SEED --count N --jobs N`.
+ * Runs random schedules from the command line: `npm run check:leads -- --first SEED --count N --jobs N`.
  *
  * `--trouble-ms MS` sets how long faults are injected, `--callers N` the number of callers per proxy. `--swarms` gives each
  * schedule only a few kinds of faults. `--crowded` runs more proxies than each endpoint has connections for. `--rebirths`
@@ -51,7 +51,7 @@
 	firstBroken?: number;
 };
 
-/** Plays some schedules in a child process and prints its lines as they arrive. */
+/** Runs some schedules in a child process and prints its lines as they arrive. */
 async function playInChildProcess(search: Search, from: number, size: number): Promise<void> {
 	const options: PlayOptions = {
 		first: from,
--- a/tests/lead-check/missing-guards.ts
+++ b/tests/lead-check/missing-guards.ts
@@ -18,7 +18,7 @@
 const inLeadership = (file: string, from: string, to: string): SourceChange => ({file: `src/leadership/${file}`, from, to});
 const inGateway = (file: string, from: string, to: string): SourceChange => ({file: `src/gateway/${file}`, from, to});
 
-/** The guards of leadership, the gateway, the mirror and the stores, each removed on its own. */
+/** The guards of leadership, the gateway and the mirror, and two properties of the stand-ins on which they rely; each is removed on its own. */
 export const MISSING_GUARDS: readonly MissingGuard[] = [
 	{
 		name: 'elapsed-clock',
--- a/tests/lead-check/play-options.ts
+++ b/tests/lead-check/play-options.ts
@@ -1,4 +1,4 @@
-/** Options of a process that plays schedules, which it receives as JSON. */
+/** Options of a process that runs schedules, which it receives as JSON. */
 export type PlayOptions = {
 	readonly first: number;
 	readonly count: number;
--- a/tests/lead-check/play.ts
+++ b/tests/lead-check/play.ts
@@ -8,7 +8,7 @@
 	console.log(Math.round(getNow()), sentence, JSON.stringify(fields));
 });
 
-/** Plays the schedules given by the JSON argument. A schedule that violates a guarantee is printed at once, the totals at the end. */
+/** Runs the schedules given by the JSON argument. A schedule that violates a guarantee is printed at once, the totals at the end. */
 const {first, count, faultsMs, callersPerProxy, swarms, largeFleet, emptyRestarts, restores, log} = JSON.parse(process.argv[2]!) as PlayOptions;
 const totals = createTotals();
 for (let seed = first; seed < first + count; seed++) {
--- a/tests/lead-check/run-leadership-schedule.ts
+++ b/tests/lead-check/run-leadership-schedule.ts
@@ -48,7 +48,7 @@
 const CHECK_INTERVAL_MS = 250;
 const DEFAULT_CALLERS_PER_PROXY = 2;
 
-/** Plays a random schedule of faults against the real leadership code. The same seed gives the same schedule. */
+/** Runs a random schedule of faults against the real leadership code. The same seed gives the same schedule. */
 export async function runLeadershipSchedule(seed: number, options: LeadershipScheduleOptions = {}): Promise<ScheduleOutcome> {
 	const clock = createVirtualClock(undefined, {drainRounds: CLOCK_SETTLE_ROUNDS});
 	const startedAt = clock.now();
--- a/tests/proofs/at-most-once-tests.ts
+++ b/tests/proofs/at-most-once-tests.ts
@@ -28,7 +28,7 @@
 
 		const answers = await proof.clock.runUntil(Promise.all(tries));
 		return [...answers.map(answer => describeAnswer(answer)), proof.getScores()];
-	}, ['done: 41', 'done: 41', 'done: 41', 'stands: 40, 41'], {sizes: {serviceMs: 400}});
+	}, ['done: 41', 'done: 41', 'done: 41', 'stored: 40, 41'], {sizes: {serviceMs: 400}});
 
 	describe('when something is lost after it was sent', () => {
 		const doTest = (title: string, fail: (proof: Proof) => Promise<string>, expected: string) => {
@@ -43,7 +43,7 @@
 				proof.servers[0]!.restart();
 				await proof.clock.advance(RECOVERY_MS);
 				return [held, describeAnswer(answer), proof.getScores()];
-			}, [expected, 'done', 'stands: 40, 41'], {sizes: {replicationLagMs: 20}});
+			}, [expected, 'done', 'stored: 40, 41'], {sizes: {replicationLagMs: 20}});
 		};
 
 		doTest('the connection, for good', async ({clock, servers}) => {
@@ -89,7 +89,7 @@
 				proof.servers[0]!.faults.thaw();
 				const again = await proof.clock.runUntil(sending);
 				return [describeAnswer(first), describeAnswer(again), proof.getScores()];
-			}, ['done', 'unknown: key-expired', 'stands: 41'], {config: {keyRetentionMs: HOUR_MS}});
+			}, ['done', 'unknown: key-expired', 'stored: 41'], {config: {keyRetentionMs: HOUR_MS}});
 		};
 
 		doTest('it is refused', 0, HOUR_MS + 1000);
--- a/tests/proofs/leaving-endpoints-tests.ts
+++ b/tests/proofs/leaving-endpoints-tests.ts
@@ -31,24 +31,24 @@
 }
 
 /** How the proxies learn that an endpoint is leaving. */
-const Way = {
+const LeaveSignal = {
 	Order: 'an order',
 	List: 'the platform\'s list',
 	Status: 'its own status',
 } as const;
 
-type Way = typeof Way[keyof typeof Way];
+type LeaveSignal = typeof LeaveSignal[keyof typeof LeaveSignal];
 
-async function leave(proof: Proof, way: Way, index: number): Promise<void> {
+async function leave(proof: Proof, signal: LeaveSignal, index: number): Promise<void> {
 	const server = proof.servers[index]!;
-	if (way === Way.Order) {
+	if (signal === LeaveSignal.Order) {
 		const {kernel} = proof.system.getProxyOrThrow(proof.outsider);
 		const run = kernel.getOrThrow('operatorCommands').run(`drain endpoint ${GROUP}-${index + 1}`, {name: BOOTSTRAP_OPERATOR, role: 'operate'}, undefined);
 		const {status, text} = await proof.clock.runUntil(run);
 		if (status !== 'ok') {
 			throw new Error(text);
 		}
-	} else if (way === Way.List) {
+	} else if (signal === LeaveSignal.List) {
 		proof.system.store.setHosts([...proof.system.store.hosts(), {
 			name: 'db', role: 'endpoint', address: server.address, availabilityZone: 'hall-a', state: 'leaving',
 		}]);
@@ -58,22 +58,22 @@
 }
 
 /** Makes all servers of the group leave, so that none can be promoted and the primary stays the same. */
-async function leaveAll(proof: Proof, way: Way): Promise<void> {
-	if (way === Way.Order) {
+async function leaveAll(proof: Proof, signal: LeaveSignal): Promise<void> {
+	if (signal === LeaveSignal.Order) {
 		const {cfg} = proof.system.proxies[0]!.kernel.getOrThrow('configuration').getGroupOrThrow(GROUP);
 		proof.system.configure({...cfg, endpoints: cfg.endpoints.map(endpoint => ({...endpoint, order: EndpointOrder.Drain}))});
 		return;
 	}
 
 	for (const index of proof.servers.keys()) {
-		await leave(proof, way, index);
+		await leave(proof, signal, index);
 	}
 }
 
 type LeaveScenario = TrafficOptions & {
 	/** Index of the leaving server. The first one is the primary. */
 	readonly index: number;
-	readonly way?: Way;
+	readonly signal?: LeaveSignal;
 	/** Whether the other servers leave as well. */
 	readonly all?: boolean;
 	before?(proof: Proof): void | Promise<void>;
@@ -86,14 +86,14 @@
 };
 
 function doTest(title: string, scenario: LeaveScenario, options: ProofOptions = {}) {
-	const {index, way = Way.Order} = scenario;
-	doProof(`${title}: ${way}`, async proof => {
+	const {index, signal = LeaveSignal.Order} = scenario;
+	doProof(`${title}: ${signal}`, async proof => {
 		await proof.ask(proof.outsider, createWrite(41), 'new');
 		const traffic = startTraffic(proof, scenario);
 		await scenario.before?.(proof);
 		await proof.clock.advance(1000);
 		const describe = countLateWork(proof, proof.servers[index]!);
-		await (scenario.all ? leaveAll(proof, way) : leave(proof, way, index));
+		await (scenario.all ? leaveAll(proof, signal) : leave(proof, signal, index));
 		await scenario.after?.(proof);
 		await proof.clock.advance(scenario.lastsMs ?? 6000);
 		const refused = await traffic.stop();
@@ -102,17 +102,17 @@
 }
 
 describe('proof: a leaving endpoint gets no new work after three seconds', () => {
-	for (const way of Object.values(Way)) {
+	for (const signal of Object.values(LeaveSignal)) {
 		// A server is about to be removed. Reads and writes continue through all proxies, and none of them may still run at
 		// that server when it stops.
-		doTest('a replica', {index: 1, way});
-		doTest('the primary', {index: 0, way, transactions: true});
+		doTest('a replica', {index: 1, signal});
+		doTest('the primary', {index: 0, signal, transactions: true});
 	}
 
-	for (const way of Object.values(Way)) {
+	for (const signal of Object.values(LeaveSignal)) {
 		// All servers of a group are removed. No other server can become primary, and a write sent to the primary late would be cut off.
 		doTest('a primary that no server can replace', {
-			index: 0, way, all: true, refuses: /./v, transactions: true,
+			index: 0, signal, all: true, refuses: /./v, transactions: true,
 		});
 	}
 
@@ -130,7 +130,7 @@
 	// the writes that wait for the next primary meanwhile.
 	doTest('a primary that is replaced late', {
 		index: 0,
-		way: Way.Status,
+		signal: LeaveSignal.Status,
 		all: true,
 		lastsMs: 7000,
 		refuses: /^read/v,
@@ -161,11 +161,11 @@
 			},
 		});
 
-		for (const way of index === 0 ? Object.values(Way) : [Way.Order]) {
+		for (const signal of index === 0 ? Object.values(LeaveSignal) : [LeaveSignal.Order]) {
 			// An owner fails after the order, and a proxy that has never owned the group takes its place.
 			doTest(`server ${index + 1}, with a new owner after the order`, {
 				index,
-				way,
+				signal,
 				refuses: /./v,
 				all: index === 0,
 				async after(proof) {
@@ -196,7 +196,7 @@
 
 		doTest('the primary', {
 			index: 0,
-			way: Way.Status,
+			signal: LeaveSignal.Status,
 			all: true,
 			refuses: /./v,
 			async before(proof) {
--- a/tests/proofs/lost-writes-tests.ts
+++ b/tests/proofs/lost-writes-tests.ts
@@ -25,10 +25,10 @@
 		const written = await writeUnreplicated(proof);
 		proof.servers[0]!.kill();
 		await proof.clock.advance(5000);
-		const told = await proof.ask(proof.outsider, createRead(), written.session);
-		const next = await proof.ask(proof.owners[0]!, createRead(), told.session);
+		const lossReport = await proof.ask(proof.outsider, createRead(), written.session);
+		const next = await proof.ask(proof.owners[0]!, createRead(), lossReport.session);
 		const stranger = await proof.ask(proof.owners[0]!, createRead(), undefined);
-		return [describeAnswer(written), describeAnswer(told), describeAnswer(next), describeAnswer(stranger)];
+		return [describeAnswer(written), describeAnswer(lossReport), describeAnswer(next), describeAnswer(stranger)];
 	}, ['done', 'not-run: write-lost', 'done: 41', 'done: 41'], PRIMARY_ALONE);
 
 	// The server that was promoted without the write dies before any other follows it. The old primary restarts, and the next
--- a/tests/proofs/not-run-tests.ts
+++ b/tests/proofs/not-run-tests.ts
@@ -38,14 +38,14 @@
 
 describe('proof: "not run" is true', () => {
 	describe('of a refusal at each stage', () => {
-		const doTest = (title: string, fail: (proof: Proof) => void, body: Body, expected: string, stands = 'stands: nothing') => {
+		const doTest = (title: string, fail: (proof: Proof) => void, body: Body, expected: string, stored = 'stored: nothing') => {
 			// A write is refused or not answered, each time at another stage. A caller that is told "not run" sends it again as a
 			// new request, so the first one must not have taken effect once everything has recovered.
 			doProof(title, async proof => {
 				fail(proof);
 				const answer = await proof.ask(proof.outsider, createWrite(41, {deadlineMs: 3000, ...body}), 'new');
 				return [describeAnswer(answer), await getFinalScores(proof)];
-			}, [expected, stands]);
+			}, [expected, stored]);
 		};
 
 		doTest('no owner can be reached', ({system, owners, outsider}) => {
@@ -53,7 +53,7 @@
 				system.network.setFaultsBetween(system.getProxyOrThrow(owner).address, system.getProxyOrThrow(outsider).address, {cut: true});
 			}
 		}, {deadlineMs: 800}, 'not-run: owner-silent');
-		doTest('the owners\' answers are lost', loseOwnersAnswers, {}, 'unknown: owner-silent', 'stands: 41');
+		doTest('the owners\' answers are lost', loseOwnersAnswers, {}, 'unknown: owner-silent', 'stored: 41');
 		doTest('the group has no majority', ({servers}) => {
 			servers[0]!.kill();
 			servers[1]!.kill();
@@ -63,8 +63,8 @@
 		}, {deadlineMs: 300}, 'not-run: no-connection');
 		doTest('the primary\'s answers are lost', ({servers}) => {
 			servers[0]!.faults.dropAnswers(99);
-		}, {deadlineMs: 500}, 'unknown: endpoint-silent', 'stands: 41');
-		doTest('no replica confirms', stallReplicas, {deadlineMs: 500}, 'unknown: not-confirmed', 'stands: 41');
+		}, {deadlineMs: 500}, 'unknown: endpoint-silent', 'stored: 41');
+		doTest('no replica confirms', stallReplicas, {deadlineMs: 500}, 'unknown: not-confirmed', 'stored: 41');
 		doTest('the statement fails', () => undefined, {statement: 'INSERT INTO nights (member) VALUES ($9)'}, 'not-run: statement-failed');
 
 		// Four hundred writes arrive at once, more than the queues can serve in time. Some are refused on arrival, some time out
@@ -91,7 +91,7 @@
 				fail(proof);
 				const again = await proof.ask(proof.owners[0]!, createWrite(41, {requestId, deadlineMs: 300}), 'new');
 				return [describeAnswer(again), await getFinalScores(proof)];
-			}, [expected, 'stands: 41']);
+			}, [expected, 'stored: 41']);
 		};
 
 		doTest('and finds no majority', ({servers}) => {
@@ -123,7 +123,7 @@
 			const second = await proof.ask(other, {...correct, attempt: 2}, 'new');
 			await proof.clock.runUntil(entry.commit(transaction, 'new'));
 			return [describeAnswer(second), await getFinalScores(proof)];
-		}, ['not-run: statement-failed', 'stands: 51']);
+		}, ['not-run: statement-failed', 'stored: 51']);
 	});
 
 	describe('of what is found under a key', () => {
@@ -141,7 +141,7 @@
 			const outcome = await proof.askOutcome(other, requestId);
 			const between = proof.getScores();
 			return [describeAnswer(outcome), between, await getFinalScores(proof)];
-		}, ['not-run: resolved', 'stands: 40', 'stands: 40']);
+		}, ['not-run: resolved', 'stored: 40', 'stored: 40']);
 
 		const doTest = (title: string, firstScore: number | undefined, expected: string) => {
 			// The old primary is cut off together with one owner, and both still take it for the primary. At the other owner a
@@ -161,7 +161,7 @@
 					: await proof.ask(cutOff, createWrite(41, {requestId, deadlineMs: 500, attempt: 2}), 'new');
 				const done = await proof.clock.runUntil(waiting);
 				return [describeAnswer(found), describeAnswer(done), await getFinalScores(proof)];
-			}, [expected, 'done', 'stands: 40, 41']);
+			}, [expected, 'done', 'stored: 40, 41']);
 		};
 
 		// The group acknowledges writes that only its primary holds. One owner reaches every server. The other reaches all but the
@@ -180,7 +180,7 @@
 			const outcome = await proof.askOutcome(reaching, requestId);
 			const done = await proof.clock.runUntil(held);
 			return [describeAnswer(outcome), describeAnswer(done), await getFinalScores(proof)];
-		}, ['done', 'done', 'stands: 40, 41'], {config: {durability: 'primary'}});
+		}, ['done', 'done', 'stored: 40, 41'], {config: {durability: 'primary'}});
 
 		doTest('by a superseded primary: nothing', undefined, 'unknown: not-confirmed');
 		doTest('by a superseded primary: another request', 42, 'unknown: not-confirmed');
@@ -189,10 +189,10 @@
 
 /** Returns descriptions of the answers that are wrong. The write with score `n` is answered by `answers[n - 1]`. */
 function findWrongAnswers(proof: Proof, answers: readonly CallerResponse[]): readonly string[] {
-	const scores = proof.getScores().replace('stands: ', '').split(', ');
+	const scores = proof.getScores().replace('stored: ', '').split(', ');
 	return answers.flatMap((answer, index) => {
 		const count = scores.filter(score => score === String(index + 1)).length;
 		const isTrue = answer.outcome === 'unknown' ? count <= 1 : count === (answer.outcome === 'done' ? 1 : 0);
-		return isTrue ? [] : [`${describeAnswer(answer)}, but it stands ${count} times`];
+		return isTrue ? [] : [`${describeAnswer(answer)}, but it is stored ${count} times`];
 	});
 }
--- a/tests/proofs/own-answers-tests.ts
+++ b/tests/proofs/own-answers-tests.ts
@@ -73,11 +73,11 @@
 	});
 
 	describe('under one request id', () => {
-		const doTest = (title: string, play: (proof: Proof, first: Body, second: Body) => Promise<readonly string[]>, expected: readonly string[]) => {
+		const doTest = (title: string, run: (proof: Proof, first: Body, second: Body) => Promise<readonly string[]>, expected: readonly string[]) => {
 			doProof(title, async proof => {
 				const requestId = proof.createId();
 				const body = {requestId, statement: RETURNING, deadlineMs: 4000};
-				return [...await play(proof, createWrite(41, body), createWrite(42, body)), proof.getScores()];
+				return [...await run(proof, createWrite(41, body), createWrite(42, body)), proof.getScores()];
 			}, expected);
 		};
 
@@ -87,14 +87,14 @@
 			const both = [proof.send(proof.owners[0]!, first), proof.send(proof.owners[1]!, second)];
 			const answers = await proof.clock.runUntil(Promise.all(both));
 			return answers.map(answer => describeAnswer(answer));
-		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
+		}, ['done: 41', 'not-run: request-mismatch', 'stored: 41']);
 
 		// As before, but one after the other. The refusal of the second is lost on its way, so its proxy retries.
 		doTest('a second request whose answer was lost', async (proof, first, second) => {
 			const done = await proof.ask(proof.owners[0]!, first);
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
 			return [describeAnswer(done), describeAnswer(await proof.ask(proof.owners[1]!, second))];
-		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
+		}, ['done: 41', 'not-run: request-mismatch', 'stored: 41']);
 
 		// The answer to the second is lost, so its proxy asks for the outcome under the id. That outcome is the first request's
 		// answer, which the second caller must not receive as its own.
@@ -102,7 +102,7 @@
 			const done = await proof.ask(proof.owners[0]!, first);
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
 			return [describeAnswer(done), describeAnswer(await proof.ask(proof.owners[1]!, {...second, deadlineMs: 400}))];
-		}, ['done: 41', 'not-run: request-mismatch', 'stands: 41']);
+		}, ['done: 41', 'not-run: request-mismatch', 'stored: 41']);
 
 		// A transaction was committed under the id. A second one that begins under it must not be answered as open, and its commit,
 		// which has none of its own statements, not as done.
@@ -115,13 +115,13 @@
 			const committed = await proof.clock.runUntil(entry.commit(begun.requestId, 'new'));
 			const second = await proof.clock.runUntil(entry.begin(GROUP, req, 'new'));
 			return [describeAnswer(begun), describeAnswer(committed), describeAnswer(second)];
-		}, ['done', 'done', 'not-run: transaction-ended', 'stands: 41']);
+		}, ['done', 'done', 'not-run: transaction-ended', 'stored: 41']);
 
 		// The answer to a write is lost, so its proxy asks for the outcome under the id and receives the whole answer.
 		doTest('the same request, resolved', async (proof, first) => {
 			proof.servers[0]!.faults.dropAnswers(1, 'write');
 			return [describeAnswer(await proof.ask(proof.owners[1]!, {...first, deadlineMs: 400}))];
-		}, ['done: 41', 'stands: 41']);
+		}, ['done: 41', 'stored: 41']);
 	});
 });
 
--- a/tests/proofs/planned-stops-tests.ts
+++ b/tests/proofs/planned-stops-tests.ts
@@ -81,8 +81,8 @@
 			}, [], {sizes: {serviceMs: 30}, ...options});
 		};
 
-		// A host is replaced. The balancer sends its callers to other hosts, but it owns the group: it still runs requests from
-		// all other proxies, and transactions are open there.
+		// A host is replaced. The balancer sends its callers to other hosts, but the host owns the group: it still runs requests
+		// from all other proxies, and transactions are open there.
 		doProxyTest('that is the first owner', ({owners}) => owners[0]!);
 		doProxyTest('that is the second owner', ({owners}) => owners[1]!);
 		doProxyTest('that is the only owner', ({owners}) => owners[0]!, {config: {owners: 1}});
@@ -96,10 +96,10 @@
 			const written = await proof.ask(owner, createWrite(41), 'new');
 			await proof.clock.advance(1000);
 			const bodies = [1, 2, 3].flatMap(score => [createRead({deadlineMs: 500}), createWrite(score, {deadlineMs: 500})]);
-			const asked = bodies.map(async body => proof.send(proof.outsider, body, written.session));
+			const pending = bodies.map(async body => proof.send(proof.outsider, body, written.session));
 			await proof.clock.advance(50);
 			await proof.clock.runUntil(proof.system.leave(owner));
-			const answers = await proof.clock.runUntil(Promise.all(asked));
+			const answers = await proof.clock.runUntil(Promise.all(pending));
 			return answers.map(({outcome}) => outcome);
 		}, ['done', 'done', 'done', 'done', 'done', 'done'], {config: {owners: 1}, sizes: {serviceMs: 200}});
 
@@ -123,6 +123,6 @@
 			await proof.clock.runUntil(leaving);
 			const {outcome} = await proof.clock.runUntil(committed);
 			return [scores, first, outcome];
-		}, ['stands: 1', 'done', 'done'], {config: {owners: 1}, sizes: {replicationLagMs: 1000}});
+		}, ['stored: 1', 'done', 'done'], {config: {owners: 1}, sizes: {replicationLagMs: 1000}});
 	});
 });
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -64,8 +64,8 @@
 	kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: [MEMBER], ...more,
 });
 
-/** Declares a test that compares the lines returned by `play` with the expected ones. */
-export function doProof(title: string, play: (proof: Proof) => Promise<readonly string[]>, expected: readonly string[], options: ProofOptions = {}): void {
+/** Declares a test that compares the lines returned by `run` with the expected ones. */
+export function doProof(title: string, run: (proof: Proof) => Promise<readonly string[]>, expected: readonly string[], options: ProofOptions = {}): void {
 	it(title, async () => {
 		const system = createSimulatedSystem({
 			proxies: options.proxies ?? 3,
@@ -77,7 +77,7 @@
 		});
 		await system.start();
 		try {
-			expect(await play(createProof(system))).to.deep.equal(expected);
+			expect(await run(createProof(system))).to.deep.equal(expected);
 		} finally {
 			await system.stop();
 		}
@@ -140,7 +140,7 @@
 		getPrimaryOrThrow,
 		getScores(member = MEMBER) {
 			const rows = getPrimaryOrThrow().member.state.findRows('nights', [{column: 'member', value: member}]);
-			return `stands: ${rows.map(({row}) => String(row.score)).join(', ') || 'nothing'}`;
+			return `stored: ${rows.map(({row}) => String(row.score)).join(', ') || 'nothing'}`;
 		},
 	};
 }
--- a/tests/proofs/retries-tests.ts
+++ b/tests/proofs/retries-tests.ts
@@ -67,7 +67,7 @@
 				const startedAt = proof.clock.now();
 				const answer = await proof.ask(proof.owners[0]!, createWrite(43), 'new');
 				return [describeAnswer(answer), `within ${Math.ceil((proof.clock.now() - startedAt) / 1000)} s of 10`, proof.getScores()];
-			}, ['done', expected, 'stands: 41, 43']);
+			}, ['done', expected, 'stored: 41, 43']);
 		};
 
 		doTest('are found by the check before they are acquired', 5000, 'within 1 s of 10');
@@ -159,7 +159,7 @@
 		await writeAtOnce(proof, 60, 2000);
 		const retries = breaker.writes - 60;
 		return [retries > 0 && retries <= 3 * 7 ? 'within budget' : `${retries} retries`, proof.getScores()];
-	}, ['within budget', 'stands: 40'], {wrapEndpoints: breaker.wrap});
+	}, ['within budget', 'stored: 40'], {wrapEndpoints: breaker.wrap});
 
 	// The answer to a statement of a transaction is lost between the proxies. The statement ran, and it has no request key of its
 	// own. If it were retried, its row would exist twice once the transaction commits.
@@ -175,7 +175,7 @@
 		system.network.heal();
 		const committed = await proof.clock.runUntil(entry.commit(begun.requestId, 'new'));
 		return [describeAnswer(run), describeAnswer(committed), proof.getScores()];
-	}, ['unknown: owner-silent', 'done', 'stands: 41']);
+	}, ['unknown: owner-silent', 'done', 'stored: 41']);
 
 	describe('the outcome route', () => {
 		const doTest = (title: string, fail: (proof: Proof) => void, expected: string, shown: string) => {
--- a/tests/proofs/transactions-tests.ts
+++ b/tests/proofs/transactions-tests.ts
@@ -120,9 +120,9 @@
 			const id = await begin(proof, holder);
 			await run(proof, holder, id, 1);
 			proof.system.network.setFaultsBetween(proof.system.getProxyOrThrow(holder).address, proof.system.getProxyOrThrow(other).address, {cut: true});
-			const unsure = await commit(proof, other, id);
+			const unknown = await commit(proof, other, id);
 			const done = await commit(proof, proof.outsider, id);
-			return [describeAnswer(unsure).split(':')[0]!, describeAnswer(done), ...listCommitted(proof)];
+			return [describeAnswer(unknown).split(':')[0]!, describeAnswer(done), ...listCommitted(proof)];
 		}, ['unknown', 'done', 'committed: 1'], LONG_SERVER_IDLE_TIMEOUT);
 	});
 
--- a/tests/random-check/history.ts
+++ b/tests/random-check/history.ts
@@ -27,7 +27,7 @@
 	/** Records the answer to a submission or to an outcome request. `highestTerm` is the highest term that any server has promised. */
 	recordAnswer(key: Key, asked: 'write' | 'repeat' | 'resolve', answer: CallerResponse, highestTerm: number): void;
 	/** Records a read's rows and checks that they contain the given keys. */
-	recordRead(rows: ReadonlySet<unknown>, mustHold: Iterable<Key>, what: string): void;
+	recordRead(rows: ReadonlySet<unknown>, mustHold: Iterable<Key>, readName: string): void;
 	recordPromotion(term: number, log: DatabaseLog): void;
 	/** Checks the log that is left after all faults. */
 	checkSurvivingLog(log: DatabaseLog): void;
@@ -120,11 +120,11 @@
 
 			checkContradiction(key);
 		},
-		recordRead(rows, mustHold, what) {
+		recordRead(rows, mustHold, readName) {
 			figures.reads++;
 			for (const key of mustHold) {
 				if (!rows.has(key.rowId)) {
-					violations.push(`stale read: ${what} lacks ${key.rowId} of term ${key.ackedTerm!}`);
+					violations.push(`stale read: ${readName} lacks ${key.rowId} of term ${key.ackedTerm!}`);
 				}
 			}
 		},
