--- a/src/bench/failover-gap/filings.ts
+++ b/src/bench/failover-gap/filings.ts
@@ -83,7 +83,7 @@
 	}
 }
 
-/** Returns the longest time from one acknowledgement to the next, in milliseconds, of those that end after `since`; a gap without an end lasts until `until`. */
+/** Returns the longest time from one acknowledgement to the next, in milliseconds, of those that end after `since`; `until` counts as an acknowledgement, which ends an open gap. */
 export function getLongestGap(filings: readonly Filing[], since: number, until: number): {readonly ms: number; readonly endedAt: number} {
 	const done = filings.filter(({answer: response}) => response?.outcome === Outcome.Done).map(({endedAt}) => endedAt!);
 	const times = [...done, until].toSorted((left, right) => left - right);
--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -43,7 +43,7 @@
 const ZONES = ['lozenets', 'mladost', 'druzhba'];
 const PROXIES = 9;
 const WARM_UP_MS = 1500;
-/** Duration of a loss, in milliseconds; a gap during which no primary is promoted lasts as long. */
+/** Duration of a loss, in milliseconds; a gap that lasts longer is counted up to the end of the loss. */
 export const LOSS_MS = 6000;
 const RECOVERY_MS = 8000;
 
--- a/src/bench/failover-gap/losses.ts
+++ b/src/bench/failover-gap/losses.ts
@@ -88,7 +88,7 @@
 	owner.platform.faultInjector.faults.outage = Outage.Silent;
 }
 
-/** Ends the faults of every scenario. */
+/** Ends the faults of any scenario, except that a killed owner stays down and the platform stays silent for an owner that was paused. */
 export function healAll({system, owner, primary, replicas}: LossTargets): void {
 	primary.faults.thaw();
 	primary.restart();
--- a/src/bench/lead-changes.ts
+++ b/src/bench/lead-changes.ts
@@ -124,7 +124,7 @@
 	];
 }
 
-/** Takes the store down just after one host was killed, so that the other hosts cannot receive responses from all hosts. */
+/** Takes the store down just after one host was killed, so that the other hosts get confirmations neither from the store nor from all hosts. */
 async function runOutage({clock, system, acknowledgedAt, failedAt}: PrimaryLossTestbed): Promise<{readonly pauseMs: number; readonly failed: number}> {
 	system.kill(system.proxies[8]!);
 	system.store.setFaults(undefined, {silent: true});
--- a/src/demo/platform-demo.ts
+++ b/src/demo/platform-demo.ts
@@ -5,7 +5,7 @@
 import {createDemoOutput, type DemoOutput} from './demo-output.js';
 
 /**
- * The program of `npm run demo:platform`: proxies as processes in front of a database group without a fence against superseded primaries, with the whole
+ * The program of `npm run demo:platform`: proxies as processes in front of a database group whose fences do not stop a superseded primary, with the whole
  * platform in this process. It ends with exit code 1 where a guarantee was broken.
  */
 
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Writes one item after another until aborted, in sessions at one proxy after another. */
+/** Writes to the writer's item repeatedly until aborted, in sessions at one proxy after another. */
 async function write(proxies: readonly LocalProxy[], writer: number, signal: AbortSignal) {
 	for (let session = writer; !signal.aborted; session++) {
 		const caller = await openWireCaller(proxies[session % proxies.length]!.callerPort, 'roster');
--- a/src/demo/work-stream.ts
+++ b/src/demo/work-stream.ts
@@ -14,7 +14,7 @@
 
 /** Callers that repeatedly write and read what they wrote, until they are stopped. */
 export type WorkStream = {
-	/** Writes whose final outcome is known to their callers. */
+	/** Writes that have received their last answer; the outcome of some may still be unknown. */
 	readonly writes: readonly SentWrite[];
 	readonly reads: readonly OwnRead[];
 	/** Number of connections that broke during a request. */
--- a/tests/lead-check/leadership-faults.ts
+++ b/tests/lead-check/leadership-faults.ts
@@ -52,11 +52,11 @@
 		});
 	},
 	cutPrimaryFromProxies(world, ms) {
-		const leaderId = world.system.groups[0]!.latestPrimary.id;
+		const primaryId = world.system.groups[0]!.latestPrimary.id;
 		for (const proxy of world.system.proxies) {
 			if (world.random.fraction() < 0.6) {
-				proxy.cutFrom.add(leaderId);
-				later(world, ms, () => proxy.cutFrom.delete(leaderId));
+				proxy.cutFrom.add(primaryId);
+				later(world, ms, () => proxy.cutFrom.delete(primaryId));
 			}
 		}
 	},
@@ -139,16 +139,16 @@
 	isolateWithPrimary(world, ms) {
 		const group = world.system.groups[0]!;
 		const server = group.latestPrimary;
-		const alone = pickRunningProxy(world);
-		if (!alone) {
+		const isolated = pickRunningProxy(world);
+		if (!isolated) {
 			return;
 		}
 
 		server.cutFromGroup = true;
-		world.system.store.setFaults(alone.name, {silent: true});
-		for (const proxy of world.system.proxies.filter(other => other !== alone)) {
+		world.system.store.setFaults(isolated.name, {silent: true});
+		for (const proxy of world.system.proxies.filter(other => other !== isolated)) {
 			proxy.cutFrom.add(server.id);
-			world.system.network.setFaultsBetween(alone.peerAddress, proxy.peerAddress, {cut: true});
+			world.system.network.setFaultsBetween(isolated.peerAddress, proxy.peerAddress, {cut: true});
 		}
 
 		later(world, 2000 + (2 * ms), () => {
@@ -200,13 +200,13 @@
 /** Interrupts the store briefly and restores it from an older backup. The records that the operator and the servers wrote are there again at once or later. */
 function restoreBackup(world: World, ms: number) {
 	const {store} = world.system;
-	const copy = store.takeBackup();
+	const backup = store.takeBackup();
 	later(world, ms, () => {
 		store.setFaults(undefined, {silent: true});
 	});
 	later(world, ms + 200 + (1800 * world.random.fraction()), () => {
 		store.heal();
-		store.restore(copy, world.random.fraction() < 0.5 ? 0 : 1500 * world.random.fraction());
+		store.restore(backup, world.random.fraction() < 0.5 ? 0 : 1500 * world.random.fraction());
 	});
 }
 
