--- a/src/bench/explanations-trial.ts
+++ b/src/bench/explanations-trial.ts
@@ -35,7 +35,7 @@
 /** Number of groups that refuse requests during a burst. */
 const GROUP_COUNT = 20;
 
-/** Number of searches over which each median is taken. */
+/** Number of searches over which a median is taken; fewer are made among the batches of more than 100 writers. */
 const SEARCHES_PER_MEDIAN = 200;
 
 /** Numbers of hosts that each wrote a full batch in the minute that is searched. */
@@ -100,8 +100,8 @@
 	const clock = createSystemClock();
 	const random = createSeededRandom(seed);
 	const store = createObjectStore({clock});
-	const front = createPlatformServer({store, faultInjector: createFaultInjector({clock})});
-	const platform = createHttpPlatform({baseUrl: await front.listen({host: '127.0.0.1', port: 0}), clock});
+	const server = createPlatformServer({store, faultInjector: createFaultInjector({clock})});
+	const platform = createHttpPlatform({baseUrl: await server.listen({host: '127.0.0.1', port: 0}), clock});
 	await platform.start?.();
 	const host = createHost(0, platform, clock, random);
 	const [record] = createRecords(1, clock.wall(), random) as [RefusalRecord];
@@ -115,7 +115,7 @@
 		{name: `why from the platform, ${writers} full batches in the minute`, unit: 'ms', value: await getMedianMs(clock, searchCount, async () => searchFor(host, wanted))},
 	];
 	await platform.stop?.();
-	await front.close();
+	await server.close();
 	return figures;
 }
 
--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -111,8 +111,8 @@
 	return filings.filter(({answer: response}) => response !== undefined && response.outcome !== Outcome.Done).length;
 }
 
-function getParts({stepDurations: parts, at}: Testbed['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
-	const {claimMs, fenceMs, promoteMs, learnMs} = parts;
+function getParts({stepDurations, at}: Testbed['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
+	const {claimMs, fenceMs, promoteMs, learnMs} = stepDurations;
 	return {
 		detect: at - lostAt - claimMs - fenceMs - promoteMs - learnMs,
 		claim: claimMs,
--- a/src/bench/workspace-links/simulate-pool-hosts.ts
+++ b/src/bench/workspace-links/simulate-pool-hosts.ts
@@ -48,14 +48,14 @@
 
 /** Simulates one busy endpoint. */
 export async function simulatePoolHosts({
-	poolHostsPerZone: hostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
+	poolHostsPerZone, zones, byWorkspace, workspaces, skew, statementsPerSecond, slowFactor = 1, seed,
 }: PoolHostsScenario): Promise<PoolHostsFigures> {
 	const clock = createVirtualClock(undefined, {drainRounds: 1});
 	const random = createSeededRandom(seed);
 	const endpoint = createBusyEndpoint({
 		clock, slots: 3, queue: 24, maxConnections: 46, openMs: 12, oneWayMs: 1,
 	});
-	const poolHosts = hostsPerZone * zones;
+	const poolHosts = poolHostsPerZone * zones;
 	const pools = Array.from({length: poolHosts}, () => createEndpointPool({
 		target: {address: '10.1.0.9:8080', group: 'nights', endpointId: 'i-1'},
 		opener: endpoint.opener,
@@ -83,7 +83,7 @@
 
 	const choosePool = (workspace: string, turn: number): EndpointPool => {
 		const zone = Math.floor(random.fraction() * zones);
-		const zonePools = pools.slice(zone * hostsPerZone, (zone + 1) * hostsPerZone);
+		const zonePools = pools.slice(zone * poolHostsPerZone, (zone + 1) * poolHostsPerZone);
 		const hash = hashName(workspace);
 		const ranked = zonePools.map((pool, i) => ({pool, weight: getWeight(hash, hashName(`keeper ${zone} ${i}`))})).toSorted((left, right) => right.weight - left.weight);
 		return byWorkspace ? ranked[0]!.pool : zonePools[turn % zonePools.length]!;
--- a/src/stand-ins/processes/child-process.ts
+++ b/src/stand-ins/processes/child-process.ts
@@ -47,7 +47,7 @@
 
 /** Starts a script of the build with this Node. Resolves once it is ready; kills it and rejects where it ends before that or takes too long. */
 export async function startManagedProcess(options: ManagedProcessOptions): Promise<ReadyProcess> {
-	const {script, args = [], readyTimeoutMs: readyBoundMs = READY_TIMEOUT_MS} = options;
+	const {script, args = [], readyTimeoutMs = READY_TIMEOUT_MS} = options;
 	const path = new URL(`../../../dist/${script}`, import.meta.url).pathname;
 	const child = spawn(process.execPath, [path, ...args], {stdio: ['ignore', 'pipe', 'inherit']});
 	const managed = createManagedProcess(child);
@@ -55,7 +55,7 @@
 	// Kills a process that never becomes ready, which would otherwise outlive its starter.
 	const timer = setTimeout(() => {
 		void managed.kill();
-	}, readyBoundMs);
+	}, readyTimeoutMs);
 	try {
 		return {process: managed, readyLine: await waitForReadyLine(child, options)};
 	} finally {
