--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -53,7 +53,7 @@
 	const system: SimulatedSystem = createSimulatedSystem({
 		proxies: PROXIES,
 		availabilityZones: ZONES,
-		groups: [{name: GROUP, availabilityZones: ZONES, sizes: {connections: 35, slots: 2}}],
+		groups: [{name: GROUP, availabilityZones: ZONES, serverParameters: {connections: 35, slots: 2}}],
 		seed,
 		latencyMs: 1.5,
 		wrapPeers: policy.wrapPeers,
--- a/src/stand-ins/system/simulated-system.ts
+++ b/src/stand-ins/system/simulated-system.ts
@@ -56,7 +56,7 @@
 	/** Availability zones, one for each server. */
 	readonly availabilityZones: readonly string[];
 	readonly config?: Partial<Omit<GroupConfig, 'name' | 'endpoints'>>;
-	readonly sizes?: Partial<DatabaseServerParameters>;
+	readonly serverParameters?: Partial<DatabaseServerParameters>;
 };
 
 /** Options of a simulated system. */
@@ -113,7 +113,7 @@
 			addresses: cfg.endpoints.map(({address}) => address),
 			clock,
 			random: createSeededRandom(seed + 100 + index),
-			serverParameters: {...group.sizes, connections: cfg.endpoints[0]?.connections, slots: cfg.endpoints[0]?.slots},
+			serverParameters: {...group.serverParameters, connections: cfg.endpoints[0]?.connections, slots: cfg.endpoints[0]?.slots},
 		}));
 		configure(cfg);
 	}
@@ -205,8 +205,8 @@
 			name: `${group.name}-${server + 1}`,
 			address: `10.1.${index}.${server + 1}:5432`,
 			availabilityZone,
-			connections: group.sizes?.connections ?? 20,
-			slots: group.sizes?.slots ?? 3,
+			connections: group.serverParameters?.connections ?? 20,
+			slots: group.serverParameters?.slots ?? 3,
 		})),
 	});
 }
--- a/tests/golden/filing-session-tests.ts
+++ b/tests/golden/filing-session-tests.ts
@@ -54,7 +54,7 @@
 		void dying.kernel.getOrThrow('entry').execute('filings', callerRequestSchema.parse(file('Strandzha', strandzha)), attorney.token);
 		await system.clock.advance(10);
 		system.network.kill(dying.address);
-		await attorney.askOutcome('entry-3', 'filings', strandzha);
+		await attorney.queryOutcome('entry-3', 'filings', strandzha);
 		await system.clock.advance(20_000);
 		script.note('the message has arrived; filings-1 is back');
 		old!.restart();
--- a/tests/golden/session-script.ts
+++ b/tests/golden/session-script.ts
@@ -8,7 +8,7 @@
 	/** Sends a request to a proxy and adds the request and its answer to the transcript. */
 	ask(proxy: string, group: string, body: Record<string, unknown>): Promise<CallerResponse>;
 	/** Requests the outcome of a request, and adds it to the transcript. */
-	askOutcome(proxy: string, group: string, requestId: string): Promise<CallerResponse>;
+	queryOutcome(proxy: string, group: string, requestId: string): Promise<CallerResponse>;
 	/** The session header of the next request. Assign it to simulate a lost or forged token. */
 	token: string | undefined;
 };
@@ -87,7 +87,7 @@
 				const description = `${req.kind} ${group} ${req.statement} ${JSON.stringify(req.values)}`;
 				return exchange(proxy, description, async () => getEntry(proxy).execute(group, req, caller.token));
 			},
-			async askOutcome(proxy, group, requestId) {
+			async queryOutcome(proxy, group, requestId) {
 				return exchange(proxy, `what became of the request in ${group}?`, async () => getEntry(proxy).resolveOutcome(group, requestId, caller.token));
 			},
 		};
--- a/tests/proofs/at-most-once-tests.ts
+++ b/tests/proofs/at-most-once-tests.ts
@@ -28,7 +28,7 @@
 
 		const answers = await proof.clock.runUntil(Promise.all(tries));
 		return [...answers.map(answer => describeAnswer(answer)), proof.getScores()];
-	}, ['done: 41', 'done: 41', 'done: 41', 'stored: 40, 41'], {sizes: {serviceMs: 400}});
+	}, ['done: 41', 'done: 41', 'done: 41', 'stored: 40, 41'], {serverParameters: {serviceMs: 400}});
 
 	describe('when something is lost after it was sent', () => {
 		const doTest = (title: string, fail: (proof: Proof) => Promise<string>, expected: string) => {
@@ -43,7 +43,7 @@
 				proof.servers[0]!.restart();
 				await proof.clock.advance(RECOVERY_MS);
 				return [held, describeAnswer(answer), proof.getScores()];
-			}, [expected, 'done', 'stored: 40, 41'], {sizes: {replicationLagMs: 20}});
+			}, [expected, 'done', 'stored: 40, 41'], {serverParameters: {replicationLagMs: 20}});
 		};
 
 		doTest('the connection, for good', async ({clock, servers}) => {
--- a/tests/proofs/leaving-endpoints-tests.ts
+++ b/tests/proofs/leaving-endpoints-tests.ts
@@ -186,7 +186,7 @@
 					void proof.send(proof.owners[0]!, index === 0 ? createWrite(count, {deadlineMs: 30_000}) : createRead({deadlineMs: 30_000}), 'new');
 				}
 			},
-		}, {sizes: {serviceMs: 1500}});
+		}, {serverParameters: {serviceMs: 1500}});
 	}
 
 	// Every connection of an owner is used by a transaction when the order arrives, and further transactions wait for one.
--- a/tests/proofs/not-run-tests.ts
+++ b/tests/proofs/not-run-tests.ts
@@ -77,7 +77,7 @@
 			await proof.clock.advance(RECOVERY_MS);
 			const refused = answers.filter(({outcome}) => outcome === 'not-run').length;
 			return [`some are refused: ${refused > 0}`, ...findWrongAnswers(proof, answers)];
-		}, ['some are refused: true'], {sizes: {serviceMs: 20}});
+		}, ['some are refused: true'], {serverParameters: {serviceMs: 20}});
 	});
 
 	describe('of a request that was sent again', () => {
@@ -138,7 +138,7 @@
 			await proof.clock.advance(100);
 			proof.killProcess(owner);
 			await proof.clock.advance(2900);
-			const outcome = await proof.askOutcome(other, requestId);
+			const outcome = await proof.queryOutcome(other, requestId);
 			const between = proof.getScores();
 			return [describeAnswer(outcome), between, await getFinalScores(proof)];
 		}, ['not-run: resolved', 'stored: 40', 'stored: 40']);
@@ -157,7 +157,7 @@
 				}
 
 				const found = firstScore === undefined
-					? await proof.askOutcome(cutOff, requestId)
+					? await proof.queryOutcome(cutOff, requestId)
 					: await proof.ask(cutOff, createWrite(41, {requestId, deadlineMs: 500, attempt: 2}), 'new');
 				const done = await proof.clock.runUntil(waiting);
 				return [describeAnswer(found), describeAnswer(done), await getFinalScores(proof)];
@@ -177,7 +177,7 @@
 			}
 
 			const held = proof.send(waiting, createWrite(41, {requestId, deadlineMs: 30_000}), 'new');
-			const outcome = await proof.askOutcome(reaching, requestId);
+			const outcome = await proof.queryOutcome(reaching, requestId);
 			const done = await proof.clock.runUntil(held);
 			return [describeAnswer(outcome), describeAnswer(done), await getFinalScores(proof)];
 		}, ['done', 'done', 'stored: 40, 41'], {config: {durability: 'primary'}});
--- a/tests/proofs/planned-stops-tests.ts
+++ b/tests/proofs/planned-stops-tests.ts
@@ -57,7 +57,7 @@
 				const cut = `cut: ${countRunning(proof, endpoint)}`;
 				proof.servers[index]!.kill();
 				return [cut, `primary: ${proof.servers.indexOf(proof.getPrimaryOrThrow()) === 0 ? 'the old one' : 'a new one'}`];
-			}, ['cut: 0', `primary: ${index === 0 ? 'a new one' : 'the old one'}`], {sizes: {serviceMs: 30}});
+			}, ['cut: 0', `primary: ${index === 0 ? 'a new one' : 'the old one'}`], {serverParameters: {serviceMs: 30}});
 		};
 
 		doEndpointTest('that is a replica', 1);
@@ -68,7 +68,7 @@
 	doTest('of the primary\'s role', async proof => {
 		await order(proof, `promote endpoint ${GROUP}-3`);
 		return [`primary: ${proof.servers.indexOf(proof.getPrimaryOrThrow()) + 1}`];
-	}, ['primary: 3'], {sizes: {serviceMs: 30}});
+	}, ['primary: 3'], {serverParameters: {serviceMs: 30}});
 
 	describe('of a proxy', () => {
 		const doProxyTest = (title: string, pick: (proof: Proof) => string, options: StopOptions = {}) => {
@@ -78,7 +78,7 @@
 				await proof.clock.advance(500);
 				await proof.clock.runUntil(proof.system.leave(name));
 				return [];
-			}, [], {sizes: {serviceMs: 30}, ...options});
+			}, [], {serverParameters: {serviceMs: 30}, ...options});
 		};
 
 		// A host is replaced. The balancer sends its callers to other hosts, but the host owns the group: it still runs requests
@@ -101,7 +101,7 @@
 			await proof.clock.runUntil(proof.system.leave(owner));
 			const answers = await proof.clock.runUntil(Promise.all(pending));
 			return answers.map(({outcome}) => outcome);
-		}, ['done', 'done', 'done', 'done', 'done', 'done'], {config: {owners: 1}, sizes: {serviceMs: 200}});
+		}, ['done', 'done', 'done', 'done', 'done', 'done'], {config: {owners: 1}, serverParameters: {serviceMs: 200}});
 
 		// A commit arrived through another host and is in the primary's log, but the replicas that must confirm it lag. The
 		// transaction is no longer open and no single request is running, so the host could consider itself idle. The outcome of
@@ -123,6 +123,6 @@
 			await proof.clock.runUntil(leaving);
 			const {outcome} = await proof.clock.runUntil(committed);
 			return [scores, first, outcome];
-		}, ['stored: 1', 'done', 'done'], {config: {owners: 1}, sizes: {replicationLagMs: 1000}});
+		}, ['stored: 1', 'done', 'done'], {config: {owners: 1}, serverParameters: {replicationLagMs: 1000}});
 	});
 });
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -34,7 +34,7 @@
 	/** Returns the entry of a proxy, for transactions. */
 	getEntry(proxy: string): Entry;
 	/** Requests the outcome of a request, and advances the clock until it is answered. */
-	askOutcome(proxy: string, requestId: string, token?: string): Promise<CallerResponse>;
+	queryOutcome(proxy: string, requestId: string, token?: string): Promise<CallerResponse>;
 	/** Creates a request id with the current time. */
 	createId(): string;
 	/** Separates a proxy and a server, which still reach each other, from all other proxies and servers. */
@@ -50,7 +50,7 @@
 };
 
 /** Options that differ from the default system. */
-export type ProofOptions = Pick<SimulatedGroup, 'config' | 'sizes'> & Partial<Pick<SimulatedSystemOptions, 'proxies' | 'wrapEndpoints'>>;
+export type ProofOptions = Pick<SimulatedGroup, 'config' | 'serverParameters'> & Partial<Pick<SimulatedSystemOptions, 'proxies' | 'wrapEndpoints'>>;
 
 export const MEMBER = 'm-17';
 
@@ -71,7 +71,7 @@
 			proxies: options.proxies ?? 3,
 			availabilityZones: ['hall-a', 'hall-b', 'hall-c', 'hall-d'],
 			groups: [{
-				name: GROUP, availabilityZones: ['hall-a', 'hall-b', 'hall-c'], config: options.config, sizes: options.sizes,
+				name: GROUP, availabilityZones: ['hall-a', 'hall-b', 'hall-c'], config: options.config, serverParameters: options.serverParameters,
 			}],
 			wrapEndpoints: options.wrapEndpoints,
 		});
@@ -117,7 +117,7 @@
 		outsider: system.proxies.find(({name}) => !ranked.includes(name))!.name,
 		send,
 		ask: async (proxy, body, token) => clock.runUntil(send(proxy, body, token)),
-		askOutcome: async (proxy, requestId, token) => clock.runUntil(getEntry(proxy).resolveOutcome(GROUP, requestId, token)),
+		queryOutcome: async (proxy, requestId, token) => clock.runUntil(getEntry(proxy).resolveOutcome(GROUP, requestId, token)),
 		createId: () => createRequestId(clock.wall(), random),
 		cutOff(proxy, server) {
 			const {address} = system.getProxyOrThrow(proxy);
--- a/tests/proofs/retries-tests.ts
+++ b/tests/proofs/retries-tests.ts
@@ -146,7 +146,7 @@
 
 		const byReplicas = answers.filter(({servedBy}) => servedBy !== 'sleep-logs-1');
 		return [...count(answers), `${byReplicas.length} by replicas`];
-	}, ['100 done: 40', '100 by replicas'], {sizes: {serviceMs: 8}});
+	}, ['100 done: 40', '100 by replicas'], {serverParameters: {serviceMs: 8}});
 
 	const breaker = createBreaker();
 
@@ -190,7 +190,7 @@
 				await proof.clock.advance(20);
 				proof.system.kill(proof.outsider);
 				await proof.clock.advance(500);
-				const outcome = await proof.askOutcome(proof.owners[0]!, requestId, 'new');
+				const outcome = await proof.queryOutcome(proof.owners[0]!, requestId, 'new');
 				await proof.clock.advance(5000);
 				const read = await proof.ask(proof.owners[1]!, createRead(), outcome.session);
 				return [describeAnswer(outcome), describeAnswer(read)];
--- a/tests/proofs/transactions-tests.ts
+++ b/tests/proofs/transactions-tests.ts
@@ -8,7 +8,7 @@
 const RETURNING = 'INSERT INTO nights (member, score) VALUES ($1, $2) RETURNING score';
 
 /** Makes servers keep idle transactions for an hour, in tests of how the proxies end them. */
-const LONG_SERVER_IDLE_TIMEOUT = {sizes: {idleInTransactionMs: 3_600_000}};
+const LONG_SERVER_IDLE_TIMEOUT = {serverParameters: {idleInTransactionMs: 3_600_000}};
 
 /** Longer than a proxy lets a transaction idle, in milliseconds. */
 const IDLE_MS = 32_000;
@@ -155,7 +155,7 @@
 			link.heal();
 			await proof.clock.advance(1000);
 			return [describeAnswer(committed), ...listCommitted(proof)];
-		}, ['not-run: resolved'], {sizes: {idleInTransactionMs: 2000}});
+		}, ['not-run: resolved'], {serverParameters: {idleInTransactionMs: 2000}});
 
 		// The primary commits and is cut off from its replicas before they have the entry. Another server is promoted.
 		doProof('at a primary that is superseded is resolved at the next one', async proof => {
