--- a/src/bench/failover-gap/loss-run.ts
+++ b/src/bench/failover-gap/loss-run.ts
@@ -43,7 +43,7 @@
 const ZONES = ['lozenets', 'mladost', 'druzhba'];
 const PROXIES = 9;
 const WARM_UP_MS = 1500;
-/** Duration of a loss, in milliseconds; a gap during which no primary is promoted lasts as long. */
+/** Duration of a loss, in milliseconds; a gap that lasts longer is counted up to the end of the loss. */
 export const LOSS_MS = 6000;
 const RECOVERY_MS = 8000;
 
@@ -53,7 +53,7 @@
 	const system: SimulatedSystem = createSimulatedSystem({
 		proxies: PROXIES,
 		availabilityZones: ZONES,
-		groups: [{name: GROUP, availabilityZones: ZONES, sizes: {connections: 35, slots: 2}}],
+		groups: [{name: GROUP, availabilityZones: ZONES, serverParameters: {connections: 35, slots: 2}}],
 		seed,
 		latencyMs: 1.5,
 		wrapPeers: policy.wrapPeers,
@@ -111,8 +111,8 @@
 	return filings.filter(({answer: response}) => response !== undefined && response.outcome !== Outcome.Done).length;
 }
 
-function getParts({stepDurations: parts, at}: Testbed['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
-	const {claimMs, fenceMs, promoteMs, learnMs} = parts;
+function getParts({stepDurations, at}: Testbed['promotions'][number], lostAt: number, firstAt: number): Record<GapPart, number> {
+	const {claimMs, fenceMs, promoteMs, learnMs} = stepDurations;
 	return {
 		detect: at - lostAt - claimMs - fenceMs - promoteMs - learnMs,
 		claim: claimMs,
--- a/tests/proofs/proof-bench.ts
+++ b/tests/proofs/proof-bench.ts
@@ -34,7 +34,7 @@
 	/** Returns the entry of a proxy, for transactions. */
 	getEntry(proxy: string): Entry;
 	/** Requests the outcome of a request, and advances the clock until it is answered. */
-	askOutcome(proxy: string, requestId: string, token?: string): Promise<CallerResponse>;
+	queryOutcome(proxy: string, requestId: string, token?: string): Promise<CallerResponse>;
 	/** Creates a request id with the current time. */
 	createId(): string;
 	/** Separates a proxy and a server, which still reach each other, from all other proxies and servers. */
@@ -50,7 +50,7 @@
 };
 
 /** Options that differ from the default system. */
-export type ProofOptions = Pick<SimulatedGroup, 'config' | 'sizes'> & Partial<Pick<SimulatedSystemOptions, 'proxies' | 'wrapEndpoints'>>;
+export type ProofOptions = Pick<SimulatedGroup, 'config' | 'serverParameters'> & Partial<Pick<SimulatedSystemOptions, 'proxies' | 'wrapEndpoints'>>;
 
 export const MEMBER = 'm-17';
 
@@ -64,20 +64,20 @@
 	kind: 'read', statement: 'SELECT score FROM nights WHERE member = $1', values: [MEMBER], ...more,
 });
 
-/** Declares a test that compares the lines returned by `play` with the expected ones. */
-export function doProof(title: string, play: (proof: Proof) => Promise<readonly string[]>, expected: readonly string[], options: ProofOptions = {}): void {
+/** Declares a test that compares the lines returned by `run` with the expected ones. */
+export function doProof(title: string, run: (proof: Proof) => Promise<readonly string[]>, expected: readonly string[], options: ProofOptions = {}): void {
 	it(title, async () => {
 		const system = createSimulatedSystem({
 			proxies: options.proxies ?? 3,
 			availabilityZones: ['hall-a', 'hall-b', 'hall-c', 'hall-d'],
 			groups: [{
-				name: GROUP, availabilityZones: ['hall-a', 'hall-b', 'hall-c'], config: options.config, sizes: options.sizes,
+				name: GROUP, availabilityZones: ['hall-a', 'hall-b', 'hall-c'], config: options.config, serverParameters: options.serverParameters,
 			}],
 			wrapEndpoints: options.wrapEndpoints,
 		});
 		await system.start();
 		try {
-			expect(await play(createProof(system))).to.deep.equal(expected);
+			expect(await run(createProof(system))).to.deep.equal(expected);
 		} finally {
 			await system.stop();
 		}
@@ -117,7 +117,7 @@
 		outsider: system.proxies.find(({name}) => !ranked.includes(name))!.name,
 		send,
 		ask: async (proxy, body, token) => clock.runUntil(send(proxy, body, token)),
-		askOutcome: async (proxy, requestId, token) => clock.runUntil(getEntry(proxy).resolveOutcome(GROUP, requestId, token)),
+		queryOutcome: async (proxy, requestId, token) => clock.runUntil(getEntry(proxy).resolveOutcome(GROUP, requestId, token)),
 		createId: () => createRequestId(clock.wall(), random),
 		cutOff(proxy, server) {
 			const {address} = system.getProxyOrThrow(proxy);
@@ -140,7 +140,7 @@
 		getPrimaryOrThrow,
 		getScores(member = MEMBER) {
 			const rows = getPrimaryOrThrow().member.state.findRows('nights', [{column: 'member', value: member}]);
-			return `stands: ${rows.map(({row}) => String(row.score)).join(', ') || 'nothing'}`;
+			return `stored: ${rows.map(({row}) => String(row.score)).join(', ') || 'nothing'}`;
 		},
 	};
 }
